--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -12,15 +12,15 @@
 //! that the suspect can refute. Each probe carries a digest of the whole board, so a node that
 //! missed a message notices and pulls what differs. Nothing here owns a socket or a clock.
 
-mod board;
 mod duty;
 mod fact;
+mod fact_table;
 mod membership;
 mod probing;
 
-pub use board::{BUCKETS, Board, Merge};
 pub use duty::DutyRank;
 pub use fact::{
     ConfigFact, CrashFact, Fact, FactKey, NodeFact, NodeState, OwnerFact, TargetFact, TargetReport,
 };
+pub use fact_table::{BUCKETS, Board, Merge};
 pub use membership::{Membership, MembershipSettings, Message, Output};
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -10,8 +10,8 @@
 //! and open suspicions get their time again. This is the local-health idea of Lifeguard in its
 //! smallest form.
 
-use crate::board::{BUCKETS, Board, Merge, size_bytes};
 use crate::fact::{Fact, FactKey, NodeFact, NodeState};
+use crate::fact_table::{BUCKETS, Board, Merge, size_bytes};
 use catkinmast_model::{Name, UnixMs};
 use indexmap::{IndexMap, IndexSet};
 use rand::seq::IndexedRandom;
