--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -9,7 +9,7 @@
 use crate::slope::Slope;
 use catkinmast_config::CallClass;
 use catkinmast_member::{
-    Board, ConfigFact, Fact, Membership, MembershipSettings, Message, NodeFact, NodeState,
+    ConfigFact, Fact, FactTable, Membership, MembershipSettings, Message, NodeFact, NodeState,
     TargetFact, TargetReport,
 };
 use catkinmast_model::{
@@ -112,14 +112,14 @@
     Slope::fit(sizes.iter().map(|size| (*size as f64, value(*size))).collect())
 }
 
-fn board_of(facts: impl Iterator<Item = Fact>) -> Board {
-    let mut board = Board::default();
+fn fact_table_of(facts: impl Iterator<Item = Fact>) -> FactTable {
+    let mut table = FactTable::default();
     for fact in facts {
-        board.merge(fact, 3);
+        table.merge(fact, 3);
     }
     // Sent on already, as in a fleet that has settled.
-    while !board.take_fresh(1_200, 3).is_empty() {}
-    board
+    while !table.take_fresh(1_200, 3).is_empty() {}
+    table
 }
 
 fn registration() -> Registration {
@@ -324,7 +324,7 @@
             "facts about nodes, bytes of state",
             "node",
             slope_of(&FLEET_SIZES, |nodes| {
-                held_bytes(|| board_of((0..nodes).map(|n| Fact::Node(node_fact(n)))))
+                held_bytes(|| fact_table_of((0..nodes).map(|n| Fact::Node(node_fact(n)))))
             }),
             NODES,
         ),
@@ -332,7 +332,7 @@
             "facts about workers, bytes of state",
             "worker",
             slope_of(&WORKER_SIZES, |workers| {
-                held_bytes(|| board_of((0..workers).map(|n| Fact::Target(target_fact(n)))))
+                held_bytes(|| fact_table_of((0..workers).map(|n| Fact::Target(target_fact(n)))))
             }),
             WORKERS,
         ),
@@ -443,7 +443,7 @@
             std::hint::black_box(view.tick(UnixMs(now)));
         }),
     );
-    let digest = view.board().digest();
+    let digest = view.facts().digest();
     add(
         "probe received and answered",
         nanoseconds(2_000, |sequence| {
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -322,7 +322,7 @@
     /// Returns what `viewer` believes of `node`; none when it does not know it.
     pub fn state(&self, viewer: usize, node: usize) -> Option<NodeState> {
         let key = FactKey::Node(name(&format!("entry-{node}")));
-        match self.members[viewer].view.board().get(&key) {
+        match self.members[viewer].view.facts().get(&key) {
             Some(Fact::Node(fact)) => Some(fact.state),
             _ => None,
         }
@@ -332,7 +332,7 @@
     pub fn all_know(&self, fact: &Fact) -> bool {
         let key = fact.key();
         let up = self.members.iter().filter(|member| member.up && !member.paused);
-        up.map(|member| member.view.board().get(&key)).all(|held| held == Some(fact))
+        up.map(|member| member.view.facts().get(&key)).all(|held| held == Some(fact))
     }
 
     /// Tells whether every node that is up sees exactly the nodes that are up as live.
--- a/crates/member/src/fact_table.rs
+++ b/crates/member/src/fact_table.rs
@@ -15,7 +15,7 @@
 
 /// Facts held by a node.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct FactTable {
     buckets: [u64; BUCKETS],
     facts: IndexMap<FactKey, Held>,
     fresh: VecDeque<FactKey>,
@@ -38,13 +38,13 @@
     Taken,
 }
 
-impl Default for Board {
+impl Default for FactTable {
     fn default() -> Self {
         Self { buckets: [0; BUCKETS], facts: IndexMap::new(), fresh: VecDeque::new() }
     }
 }
 
-impl Board {
+impl FactTable {
     /// Takes a fact if it is newer than the one held.
     pub fn merge(&mut self, fact: Fact, sends: u8) -> Merge {
         let key = fact.key();
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -7,7 +7,7 @@
 //! must be *agreed* (leases, revisions, ledgers) is agreed in the platform's key-value service, and
 //! only its outcome is spread here.
 //!
-//! [`Board`] holds the facts and decides what to send. [`Membership`] adds the failure detector:
+//! [`FactTable`] holds the facts and decides what to send. [`Membership`] adds the failure detector:
 //! one probe a second to one other node, a second and three indirect ones before a suspicion, and a suspicion
 //! that the suspect can refute. Each probe carries a digest of the whole board, so a node that
 //! missed a message notices and pulls what differs. Nothing here owns a socket or a clock.
@@ -22,5 +22,5 @@
 pub use fact::{
     ConfigFact, CrashFact, Fact, FactKey, NodeFact, NodeState, OwnerFact, TargetFact, TargetReport,
 };
-pub use fact_table::{BUCKETS, Board, Merge};
+pub use fact_table::{BUCKETS, FactTable, Merge};
 pub use membership::{Membership, MembershipSettings, Message, Output};
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -11,7 +11,7 @@
 //! smallest form.
 
 use crate::fact::{Fact, FactKey, NodeFact, NodeState};
-use crate::fact_table::{BUCKETS, Board, Merge, size_bytes};
+use crate::fact_table::{BUCKETS, FactTable, Merge, size_bytes};
 use catkinmast_model::{Name, UnixMs};
 use indexmap::{IndexMap, IndexSet};
 use rand::seq::IndexedRandom;
@@ -133,7 +133,7 @@
 /// A node's view of the fleet.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    pub(crate) board: Board,
+    pub(crate) facts: FactTable,
     pub(crate) former: IndexSet<SocketAddr>,
     pub(crate) gone_until: IndexMap<FactKey, UnixMs>,
     pub(crate) last_tick_at: Option<UnixMs>,
@@ -161,10 +161,10 @@
         settings: MembershipSettings,
         rng: Pcg64Mcg,
     ) -> Self {
-        let mut board = Board::default();
-        board.merge(Fact::Node(me.clone()), 2);
+        let mut table = FactTable::default();
+        table.merge(Fact::Node(me.clone()), 2);
         Self {
-            board,
+            facts: table,
             former: IndexSet::new(),
             gone_until: IndexMap::new(),
             last_tick_at: None,
@@ -185,8 +185,8 @@
     }
 
     /// Borrows the board.
-    pub const fn board(&self) -> &Board {
-        &self.board
+    pub const fn facts(&self) -> &FactTable {
+        &self.facts
     }
 
     /// Borrows this node's own fact.
@@ -196,7 +196,7 @@
 
     /// Walks through all nodes known, this one included.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeFact> {
-        self.board.iter().filter_map(|fact| match fact {
+        self.facts.iter().filter_map(|fact| match fact {
             Fact::Node(node) => Some(node),
             _ => None,
         })
@@ -210,7 +210,7 @@
     /// Forgets a fact that is too old to matter; peers that still hold it tell it again, and forget it
     /// themselves soon after.
     pub fn forget(&mut self, key: &FactKey) {
-        self.board.forget(key);
+        self.facts.forget(key);
     }
 
     /// Adds an address to ask while no peer is known.
@@ -288,8 +288,8 @@
             Message::Facts { facts } => self.take_all(now, facts, &mut outputs),
             Message::Ping { digest, facts, sequence } => {
                 self.take_all(now, facts, &mut outputs);
-                let facts = self.board.take_fresh(FACTS_BUDGET_BYTES, 1);
-                let message = Message::Ack { digest: self.board.digest(), facts, sequence };
+                let facts = self.facts.take_fresh(FACTS_BUDGET_BYTES, 1);
+                let message = Message::Ack { digest: self.facts.digest(), facts, sequence };
                 outputs.push(Output::Send { message, to: from });
                 self.compare(now, from, digest, &mut outputs);
             }
@@ -326,10 +326,10 @@
         {
             let mine = Fact::Node(self.me.clone());
             self.pull_after = now.plus(SETTLE_MS);
-            self.board.merge(mine, Self::sends());
+            self.facts.merge(mine, Self::sends());
             return;
         }
-        if self.board.merge(fact.clone(), Self::sends()) == Merge::Known {
+        if self.facts.merge(fact.clone(), Self::sends()) == Merge::Known {
             return;
         }
         self.pull_after = now.plus(SETTLE_MS);
@@ -383,7 +383,7 @@
     }
 
     pub(crate) fn node(&self, name: &Name) -> Option<&NodeFact> {
-        match self.board.get(&FactKey::Node(name.clone())) {
+        match self.facts.get(&FactKey::Node(name.clone())) {
             Some(Fact::Node(node)) => Some(node),
             _ => None,
         }
@@ -414,14 +414,14 @@
             .collect();
         for key in due {
             self.gone_until.swap_remove(&key);
-            self.board.forget(&key);
+            self.facts.forget(&key);
         }
     }
 
     /// Pulls when the boards differ and nothing is on its way that would explain it, or they have differed
     /// for too long.
     fn compare(&mut self, now: UnixMs, from: SocketAddr, digest: u64, outputs: &mut Vec<Output>) {
-        if digest == self.board.digest() {
+        if digest == self.facts.digest() {
             self.pull_by = None;
             return;
         }
@@ -432,7 +432,7 @@
         }
         self.pull_by = None;
         self.pull_after = now.plus(SETTLE_MS);
-        let buckets = self.board.buckets().to_vec();
+        let buckets = self.facts.buckets().to_vec();
         outputs.push(Output::Send { message: Message::Pull { buckets }, to: from });
     }
 
@@ -442,7 +442,7 @@
         }
         let mut facts = Vec::new();
         let mut spent_bytes = 0;
-        for fact in self.board.differing(buckets) {
+        for fact in self.facts.differing(buckets) {
             let size = size_bytes(&fact);
             if spent_bytes + size > FACTS_BUDGET_BYTES && !facts.is_empty() {
                 let message = Message::Facts { facts: std::mem::take(&mut facts) };
@@ -458,7 +458,7 @@
     }
 
     fn push_fresh(&mut self, outputs: &mut Vec<Output>) {
-        if !self.board.has_fresh() {
+        if !self.facts.has_fresh() {
             return;
         }
         let peers: Vec<SocketAddr> = self
@@ -471,7 +471,7 @@
         if receivers.is_empty() {
             return;
         }
-        let facts = self.board.take_fresh(FACTS_BUDGET_BYTES, receivers.len() as u8);
+        let facts = self.facts.take_fresh(FACTS_BUDGET_BYTES, receivers.len() as u8);
         for to in receivers {
             let message = Message::Facts { facts: facts.clone() };
             outputs.push(Output::Send { message, to });
--- a/crates/member/src/probing.rs
+++ b/crates/member/src/probing.rs
@@ -71,12 +71,12 @@
     }
 
     pub(crate) fn ping(&mut self, to: SocketAddr, sequence: u64, outputs: &mut Vec<Output>) {
-        let mut facts = self.board.take_fresh(FACTS_BUDGET_BYTES, 1);
+        let mut facts = self.facts.take_fresh(FACTS_BUDGET_BYTES, 1);
         if self.peers().next().is_none() && !facts.iter().any(|fact| self.is_me(fact)) {
             // A seed that does not know us yet must learn where to answer.
             facts.push(Fact::Node(self.me.clone()));
         }
-        let message = Message::Ping { digest: self.board.digest(), facts, sequence };
+        let message = Message::Ping { digest: self.facts.digest(), facts, sequence };
         outputs.push(Output::Send { message, to });
     }
 
@@ -135,7 +135,7 @@
         }
         if let Some(relay) = self.relays.swap_remove(&sequence) {
             let message = Message::Ack {
-                digest: self.board.digest(),
+                digest: self.facts.digest(),
                 facts: Vec::new(),
                 sequence: relay.asker_sequence,
             };
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -288,7 +288,7 @@
 
     fn target(&self, name: &Name) -> Option<&TargetFact> {
         let key = catkinmast_member::FactKey::Target(name.clone());
-        match self.membership.board().get(&key) {
+        match self.membership.facts().get(&key) {
             Some(Fact::Target(target)) => Some(target),
             _ => None,
         }
@@ -320,7 +320,7 @@
         let nodes: Vec<NodeFact> = self.membership.nodes().cloned().collect();
         let mut owners: IndexMap<Name, OwnerFact> = IndexMap::new();
         let mut targets = IndexMap::new();
-        for fact in self.membership.board().iter() {
+        for fact in self.membership.facts().iter() {
             match fact {
                 Fact::Owner(owner) => {
                     owners.insert(owner.trainer.clone(), owner.clone());
--- a/crates/node/src/control/trainers.rs
+++ b/crates/node/src/control/trainers.rs
@@ -150,7 +150,7 @@
 
     fn owner_of(&self, trainer: &Name) -> Option<&OwnerFact> {
         let key = catkinmast_member::FactKey::Owner(trainer.clone());
-        match self.membership.board().get(&key) {
+        match self.membership.facts().get(&key) {
             Some(Fact::Owner(owner)) => Some(owner),
             _ => None,
         }
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -79,7 +79,7 @@
 pub(crate) fn holder_of<P: Platform>(node: &Node<P>, duty: &Name) -> Option<Name> {
     let members = node.members.borrow();
     let members = members.as_ref()?;
-    let fact = members.board().iter().find_map(|fact| match fact {
+    let fact = members.facts().iter().find_map(|fact| match fact {
         Fact::Owner(owner) if owner.trainer == *duty => Some(owner.clone()),
         _ => None,
     })?;
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -1,6 +1,6 @@
 //! Which requests are sent to no more targets, without a network.
 
-use catkinmast_member::{Board, CrashFact, Fact, Merge};
+use catkinmast_member::{CrashFact, Fact, FactTable, Merge};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::{
     BrokenOff, ENOUGH_LIVES, Evidence, Fate, Fingerprint, Life, Quarantine, Standing,
@@ -226,7 +226,7 @@
         }
         Fact::Crash(CrashFact { evidence, fingerprint: request("p") })
     };
-    let (mut here, mut there) = (Board::default(), Board::default());
+    let (mut here, mut there) = (FactTable::default(), FactTable::default());
     here.merge(fact(&[1, 2]), 1);
     there.merge(fact(&[3]), 1);
 
