--- a/crates/member/src/fact_table.rs
+++ b/crates/member/src/fact_table.rs
@@ -1,7 +1,7 @@
 //! The facts a node holds, and which of them to send.
 //!
 //! A fact that is new to the node is sent on a few times and then rests. Facts are also summed
-//! into a digest of [`BUCKETS`] parts: two boards with the same facts have the same digest, and
+//! into a digest of [`DIGEST_BUCKETS`] parts: two boards with the same facts have the same digest, and
 //! where they differ only the differing parts travel. Loss of a message therefore costs a pull of
 //! a few facts, not a lost change.
 
@@ -11,12 +11,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Parts of the digest. 64 parts keep a pull request in one datagram.
-pub const BUCKETS: usize = 64;
+pub const DIGEST_BUCKETS: usize = 64;
 
 /// Facts held by a node.
 #[derive(Clone, Debug)]
 pub struct FactTable {
-    buckets: [u64; BUCKETS],
+    buckets: [u64; DIGEST_BUCKETS],
     facts: IndexMap<FactKey, Held>,
     fresh: VecDeque<FactKey>,
 }
@@ -40,7 +40,7 @@
 
 impl Default for FactTable {
     fn default() -> Self {
-        Self { buckets: [0; BUCKETS], facts: IndexMap::new(), fresh: VecDeque::new() }
+        Self { buckets: [0; DIGEST_BUCKETS], facts: IndexMap::new(), fresh: VecDeque::new() }
     }
 }
 
@@ -97,7 +97,7 @@
     }
 
     /// Returns the digest's parts.
-    pub const fn buckets(&self) -> &[u64; BUCKETS] {
+    pub const fn buckets(&self) -> &[u64; DIGEST_BUCKETS] {
         &self.buckets
     }
 
@@ -154,7 +154,7 @@
 /// holds it must not look different from one that does not.
 fn place(fact: &Fact, key: &FactKey) -> (u64, usize) {
     let about = format!("{key:?}");
-    let bucket = (xxh3_64(about.as_bytes()) % BUCKETS as u64) as usize;
+    let bucket = (xxh3_64(about.as_bytes()) % DIGEST_BUCKETS as u64) as usize;
     if fact.is_gone() {
         return (0, bucket);
     }
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -11,7 +11,7 @@
 //! smallest form.
 
 use crate::fact::{Fact, FactKey, NodeFact, NodeState};
-use crate::fact_table::{BUCKETS, FactTable, Merge, size_bytes};
+use crate::fact_table::{DIGEST_BUCKETS, FactTable, Merge, size_bytes};
 use catkinmast_model::{Name, UnixMs};
 use indexmap::{IndexMap, IndexSet};
 use rand::seq::IndexedRandom;
@@ -437,7 +437,7 @@
     }
 
     fn answer_pull(&self, to: SocketAddr, buckets: &[u64], outputs: &mut Vec<Output>) {
-        if buckets.len() != BUCKETS {
+        if buckets.len() != DIGEST_BUCKETS {
             return;
         }
         let mut facts = Vec::new();
