--- a/crates/member/src/fact_table.rs
+++ b/crates/member/src/fact_table.rs
@@ -31,11 +31,11 @@
 
 /// What became of a fact that was offered to a board.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Merge {
+pub enum MergeOutcome {
     /// The board already knew this or something newer.
-    Known,
+    Unchanged,
     /// The board took it.
-    Taken,
+    Applied,
 }
 
 impl Default for FactTable {
@@ -46,13 +46,13 @@
 
 impl FactTable {
     /// Takes a fact if it is newer than the one held.
-    pub fn merge(&mut self, fact: Fact, sends: u8) -> Merge {
+    pub fn merge(&mut self, fact: Fact, sends: u8) -> MergeOutcome {
         let key = fact.key();
         let fact = match self.facts.get(&key) {
             Some(held) if fact.supersedes(&held.fact) => fact.joined(&held.fact),
             // Else two nodes that forget at different times would tell each other for ever.
             None if !fact.is_gone() => fact,
-            _ => return Merge::Known,
+            _ => return MergeOutcome::Unchanged,
         };
         let (hash, bucket) = place(&fact, &key);
         let held = Held { bucket, fact, hash, sends_left: sends };
@@ -67,7 +67,7 @@
             }
             None => self.fresh.push_back(key),
         }
-        Merge::Taken
+        MergeOutcome::Applied
     }
 
     /// Returns the fact about `key`.
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -22,5 +22,5 @@
 pub use fact::{
     ConfigFact, CrashFact, Fact, FactKey, NodeFact, NodeState, OwnerFact, TargetFact, TargetReport,
 };
-pub use fact_table::{DIGEST_BUCKETS, FactTable, Merge};
+pub use fact_table::{DIGEST_BUCKETS, FactTable, MergeOutcome};
 pub use membership::{Membership, MembershipSettings, Message, Output};
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -11,7 +11,7 @@
 //! smallest form.
 
 use crate::fact::{Fact, FactKey, NodeFact, NodeState};
-use crate::fact_table::{DIGEST_BUCKETS, FactTable, Merge, size_bytes};
+use crate::fact_table::{DIGEST_BUCKETS, FactTable, MergeOutcome, size_bytes};
 use catkinmast_model::{Name, UnixMs};
 use indexmap::{IndexMap, IndexSet};
 use rand::seq::IndexedRandom;
@@ -329,7 +329,7 @@
             self.facts.merge(mine, Self::sends());
             return;
         }
-        if self.facts.merge(fact.clone(), Self::sends()) == Merge::Known {
+        if self.facts.merge(fact.clone(), Self::sends()) == MergeOutcome::Unchanged {
             return;
         }
         self.pull_after = now.plus(SETTLE_MS);
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -1,6 +1,6 @@
 //! Which requests are sent to no more targets, without a network.
 
-use catkinmast_member::{CrashFact, Fact, FactTable, Merge};
+use catkinmast_member::{CrashFact, Fact, FactTable, MergeOutcome};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::{
     BrokenOff, ENOUGH_LIVES, Evidence, Fate, Fingerprint, Life, Quarantine, Standing,
@@ -230,12 +230,16 @@
     here.merge(fact(&[1, 2]), 1);
     there.merge(fact(&[3]), 1);
 
-    assert_eq!(here.merge(fact(&[3]), 1), Merge::Taken);
-    assert_eq!(there.merge(fact(&[1, 2]), 1), Merge::Taken);
+    assert_eq!(here.merge(fact(&[3]), 1), MergeOutcome::Applied);
+    assert_eq!(there.merge(fact(&[1, 2]), 1), MergeOutcome::Applied);
 
     assert_eq!(here.digest(), there.digest());
     assert_eq!(here.iter().next(), Some(&fact(&[1, 2, 3])));
-    assert_eq!(here.merge(fact(&[2, 3]), 1), Merge::Known, "nothing new is not passed on");
+    assert_eq!(
+        here.merge(fact(&[2, 3]), 1),
+        MergeOutcome::Unchanged,
+        "nothing new is not passed on"
+    );
 }
 
 fn evidence() -> impl Strategy<Value = Evidence> {
