--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -118,7 +118,7 @@
         table.merge(fact, 3);
     }
     // Sent on already, as in a fleet that has settled.
-    while !table.take_fresh(1_200, 3).is_empty() {}
+    while !table.take_pending(1_200, 3).is_empty() {}
     table
 }
 
--- a/crates/member/src/fact_table.rs
+++ b/crates/member/src/fact_table.rs
@@ -18,7 +18,7 @@
 pub struct FactTable {
     buckets: [u64; DIGEST_BUCKETS],
     facts: IndexMap<FactKey, Held>,
-    fresh: VecDeque<FactKey>,
+    pending: VecDeque<FactKey>,
 }
 
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 
 impl Default for FactTable {
     fn default() -> Self {
-        Self { buckets: [0; DIGEST_BUCKETS], facts: IndexMap::new(), fresh: VecDeque::new() }
+        Self { buckets: [0; DIGEST_BUCKETS], facts: IndexMap::new(), pending: VecDeque::new() }
     }
 }
 
@@ -62,10 +62,10 @@
             Some(old) => {
                 self.buckets[old.bucket] ^= old.hash;
                 if old.sends_left == 0 {
-                    self.fresh.push_back(key);
+                    self.pending.push_back(key);
                 }
             }
-            None => self.fresh.push_back(key),
+            None => self.pending.push_back(key),
         }
         MergeOutcome::Applied
     }
@@ -109,27 +109,27 @@
     }
 
     /// Tells whether some fact still waits to be sent on.
-    pub fn has_fresh(&self) -> bool {
-        !self.fresh.is_empty()
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
     /// Takes fresh facts of at most `budget_bytes` in all, each counted as sent `copies` times.
-    pub fn take_fresh(&mut self, budget_bytes: usize, copies: u8) -> Vec<Fact> {
+    pub fn take_pending(&mut self, budget_bytes: usize, copies: u8) -> Vec<Fact> {
         let mut taken = Vec::new();
         let mut spent_bytes = 0;
-        for _ in 0..self.fresh.len() {
-            let Some(key) = self.fresh.pop_front() else { break };
+        for _ in 0..self.pending.len() {
+            let Some(key) = self.pending.pop_front() else { break };
             let Some(held) = self.facts.get_mut(&key) else { continue };
             let size_bytes = size_bytes(&held.fact);
             if spent_bytes + size_bytes > budget_bytes {
-                self.fresh.push_front(key);
+                self.pending.push_front(key);
                 break;
             }
             spent_bytes += size_bytes;
             taken.push(held.fact.clone());
             held.sends_left = held.sends_left.saturating_sub(copies);
             if held.sends_left > 0 {
-                self.fresh.push_back(key);
+                self.pending.push_back(key);
             }
         }
         taken
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -249,7 +249,7 @@
     pub fn observe(&mut self, now: UnixMs, fact: Fact) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.take(now, fact, &mut outputs);
-        self.push_fresh(&mut outputs);
+        self.push_pending(&mut outputs);
         outputs
     }
 
@@ -272,7 +272,7 @@
             self.rejoin_at = now.plus(REJOIN_EVERY_MS);
             self.try_to_rejoin(&mut outputs);
         }
-        self.push_fresh(&mut outputs);
+        self.push_pending(&mut outputs);
         outputs
     }
 
@@ -288,7 +288,7 @@
             Message::Facts { facts } => self.take_all(now, facts, &mut outputs),
             Message::Ping { digest, facts, sequence } => {
                 self.take_all(now, facts, &mut outputs);
-                let facts = self.facts.take_fresh(FACTS_BUDGET_BYTES, 1);
+                let facts = self.facts.take_pending(FACTS_BUDGET_BYTES, 1);
                 let message = Message::Ack { digest: self.facts.digest(), facts, sequence };
                 outputs.push(Output::Send { message, to: from });
                 self.compare(now, from, digest, &mut outputs);
@@ -298,7 +298,7 @@
             }
             Message::Pull { buckets } => self.answer_pull(from, &buckets, &mut outputs),
         }
-        self.push_fresh(&mut outputs);
+        self.push_pending(&mut outputs);
         outputs
     }
 
@@ -457,8 +457,8 @@
         }
     }
 
-    fn push_fresh(&mut self, outputs: &mut Vec<Output>) {
-        if !self.facts.has_fresh() {
+    fn push_pending(&mut self, outputs: &mut Vec<Output>) {
+        if !self.facts.has_pending() {
             return;
         }
         let peers: Vec<SocketAddr> = self
@@ -471,7 +471,7 @@
         if receivers.is_empty() {
             return;
         }
-        let facts = self.facts.take_fresh(FACTS_BUDGET_BYTES, receivers.len() as u8);
+        let facts = self.facts.take_pending(FACTS_BUDGET_BYTES, receivers.len() as u8);
         for to in receivers {
             let message = Message::Facts { facts: facts.clone() };
             outputs.push(Output::Send { message, to });
--- a/crates/member/src/probing.rs
+++ b/crates/member/src/probing.rs
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn ping(&mut self, to: SocketAddr, sequence: u64, outputs: &mut Vec<Output>) {
-        let mut facts = self.facts.take_fresh(FACTS_BUDGET_BYTES, 1);
+        let mut facts = self.facts.take_pending(FACTS_BUDGET_BYTES, 1);
         if self.peers().next().is_none() && !facts.iter().any(|fact| self.is_me(fact)) {
             // A seed that does not know us yet must learn where to answer.
             facts.push(Fact::Node(self.me.clone()));
