--- a/crates/member/src/fact.rs
+++ b/crates/member/src/fact.rs
@@ -161,7 +161,7 @@
     /// Adds what is held of the same subject, where facts grow instead of superseding each other: two
     /// nodes may each know of ends that the other has not seen.
     #[must_use]
-    pub fn joined(self, held: &Self) -> Self {
+    pub fn merged_with(self, held: &Self) -> Self {
         match (self, held) {
             (Self::Crash(mut new), Self::Crash(old)) => {
                 new.evidence.join(&old.evidence);
--- a/crates/member/src/fact_table.rs
+++ b/crates/member/src/fact_table.rs
@@ -49,7 +49,7 @@
     pub fn merge(&mut self, fact: Fact, sends: u8) -> MergeOutcome {
         let key = fact.key();
         let fact = match self.facts.get(&key) {
-            Some(held) if fact.supersedes(&held.fact) => fact.joined(&held.fact),
+            Some(held) if fact.supersedes(&held.fact) => fact.merged_with(&held.fact),
             // Else two nodes that forget at different times would tell each other for ever.
             None if !fact.is_gone() => fact,
             _ => return MergeOutcome::Unchanged,
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Nodes share small *facts*: which node lives, which target leaves, which node owns a trainer,
 //! which configuration is in force. Each fact has a rule by which a newer one supersedes an older
-//! one ([`Fact::supersedes`]) or adds to it ([`Fact::joined`]), and none by which it goes back, so
+//! one ([`Fact::supersedes`]) or adds to it ([`Fact::merged_with`]), and none by which it goes back, so
 //! facts may arrive late, twice or in any order. That makes gossip safe for hints and copies; what
 //! must be *agreed* (leases, revisions, ledgers) is agreed in the platform's key-value service, and
 //! only its outcome is spread here.
