--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -230,7 +230,7 @@
     ///
     /// When a whole fleet starts at once, rumours alone take seconds to tell each node of all
     /// others; until then nodes with half a view would take duties from owners that live.
-    pub fn greet(&mut self) -> Vec<Output> {
+    pub fn announce_to_seeds(&mut self) -> Vec<Output> {
         let seeds: Vec<SocketAddr> =
             self.seeds.choose_multiple(&mut self.rng, GREETED_MAX).copied().collect();
         let facts = vec![Fact::Node(self.me.clone())];
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -108,7 +108,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut buffer = vec![0; wire::DATAGRAM_MAX_BYTES + 64];
     let mut doubts = Doubts { refutation: 0, ticked_at: clock::now() };
-    with_members(&node, |members, _| members.greet());
+    with_members(&node, |members, _| members.announce_to_seeds());
     loop {
         tokio::select! {
             _ = ticks.tick() => {
