--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -10,7 +10,7 @@
 use catkinmast_config::CallClass;
 use catkinmast_member::{
     ConfigFact, Fact, FactTable, Membership, MembershipSettings, Message, NodeFact, NodeState,
-    TargetFact, TargetReport,
+    TargetFact, TargetFactSource,
 };
 use catkinmast_model::{
     Fence, Incarnation, InstanceKind, InstanceState, Labels, Name, Revision, SampleId, Segments,
@@ -93,7 +93,7 @@
         kind: InstanceKind::Engine,
         labels: Labels::default().with("app", "citation").with("rack", format!("r{}", number % 40)),
         name: name(&format!("worker-{number:04}")),
-        report: TargetReport::List,
+        report: TargetFactSource::List,
         state: InstanceState::Live,
     }
 }
--- a/crates/member/src/fact.rs
+++ b/crates/member/src/fact.rs
@@ -46,7 +46,7 @@
 /// Where the news of a target comes from.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TargetReport {
+pub enum TargetFactSource {
     /// The platform's lagging list.
     List,
     /// The target refused a call because it leaves.
@@ -71,7 +71,7 @@
     /// Its name.
     pub name: Name,
     /// Who said so.
-    pub report: TargetReport,
+    pub report: TargetFactSource,
     /// Whether it takes work. Leaving is sticky: the list may still call it live for a while.
     pub state: InstanceState,
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -20,7 +20,8 @@
 
 pub use duty::DutyRank;
 pub use fact::{
-    ConfigFact, CrashFact, Fact, FactKey, NodeFact, NodeState, OwnerFact, TargetFact, TargetReport,
+    ConfigFact, CrashFact, Fact, FactKey, NodeFact, NodeState, OwnerFact, TargetFact,
+    TargetFactSource,
 };
 pub use fact_table::{DIGEST_BUCKETS, FactTable, MergeOutcome};
 pub use membership::{Membership, MembershipSettings, Message, Output};
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -13,7 +13,7 @@
 use catkinmast_config::FollowerEvent;
 use catkinmast_lease::Report;
 use catkinmast_member::{Fact, Membership, Message, NodeFact, Output, OwnerFact, TargetFact};
-use catkinmast_member::{NodeState, TargetReport};
+use catkinmast_member::{NodeState, TargetFactSource};
 use catkinmast_model::{Instance, InstanceState, Name, UnixMs};
 use catkinmast_platform::LeaseId;
 use catkinmast_rollout::{Command, Event, Reply};
@@ -182,7 +182,7 @@
                 self.carry_out(now, outputs);
             }
             Input::DrainTarget { reply, target } => {
-                let known = self.target_leaves(now, &target, TargetReport::Operator);
+                let known = self.target_leaves(now, &target, TargetFactSource::Operator);
                 // The operator may have hung up; the drain stands.
                 let _unheard = reply.send(known);
             }
@@ -195,7 +195,7 @@
             Input::Rollout { event, trainer } => self.rollout_event(now, &trainer, event),
             Input::Stop { .. } => {}
             Input::TargetRefused { target } => {
-                self.target_leaves(now, &target, TargetReport::Refusal);
+                self.target_leaves(now, &target, TargetFactSource::Refusal);
             }
         }
     }
@@ -294,7 +294,7 @@
         }
     }
 
-    fn target_leaves(&mut self, now: UnixMs, name: &Name, report: TargetReport) -> bool {
+    fn target_leaves(&mut self, now: UnixMs, name: &Name, report: TargetFactSource) -> bool {
         let Some(target) = self.target(name).cloned() else { return false };
         if target.state == InstanceState::Live {
             let leaving = TargetFact { report, state: InstanceState::Leaving, ..target };
@@ -349,7 +349,7 @@
         kind: instance.kind,
         labels: instance.labels.clone(),
         name: instance.name.clone(),
-        report: TargetReport::List,
+        report: TargetFactSource::List,
         state: instance.state,
     }
 }
--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -3,7 +3,7 @@
 use catkinmast_bench::VirtualFleet;
 use catkinmast_member::{
     ConfigFact, DutyRank, Fact, Membership, MembershipSettings, Message, NodeFact, NodeState,
-    Output, TargetFact, TargetReport,
+    Output, TargetFact, TargetFactSource,
 };
 use catkinmast_model::{Incarnation, InstanceKind, InstanceState, Labels, Revision, UnixMs};
 use rand::SeedableRng;
@@ -23,7 +23,7 @@
     Fact::Config(ConfigFact { digest: format!("{revision:032x}"), revision: Revision(revision) })
 }
 
-fn target(incarnation: u64, state: InstanceState, report: TargetReport) -> Fact {
+fn target(incarnation: u64, state: InstanceState, report: TargetFactSource) -> Fact {
     Fact::Target(TargetFact {
         address: "127.0.0.1:9000".parse().expect("an address"),
         data_centre: "place-0".parse().expect("a name"),
@@ -94,7 +94,7 @@
         // Something else is new three times in four; the digest differs by what was missed.
         let facts = match turn % 4 {
             0 => Vec::new(),
-            _ => vec![target(turn, InstanceState::Live, TargetReport::List)],
+            _ => vec![target(turn, InstanceState::Live, TargetFactSource::List)],
         };
         let outputs =
             members.receive(now, from, Message::Ping { digest: turn, facts, sequence: turn });
@@ -281,15 +281,15 @@
 fn late_messages_never_take_a_fact_back() {
     // Arrange
     let mut fleet = settled(16, 8, 0);
-    let leaving = target(1, InstanceState::Leaving, TargetReport::Refusal);
+    let leaving = target(1, InstanceState::Leaving, TargetFactSource::Refusal);
     fleet.observe(1, config(9));
-    fleet.observe(2, target(1, InstanceState::Live, TargetReport::List));
+    fleet.observe(2, target(1, InstanceState::Live, TargetFactSource::List));
     fleet.observe(3, leaving.clone());
     fleet.run_until(fleet.now().plus(5_000));
 
     // Act: the lagging list still calls the target live, and an old revision turns up.
     fleet.observe(4, config(8));
-    fleet.observe(5, target(1, InstanceState::Live, TargetReport::List));
+    fleet.observe(5, target(1, InstanceState::Live, TargetFactSource::List));
     fleet.run_until(fleet.now().plus(5_000));
 
     // Assert: on every node, at every change.
