--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -93,7 +93,7 @@
         kind: InstanceKind::Engine,
         labels: Labels::default().with("app", "citation").with("rack", format!("r{}", number % 40)),
         name: name(&format!("worker-{number:04}")),
-        report: TargetFactSource::List,
+        source: TargetFactSource::List,
         state: InstanceState::Live,
     }
 }
--- a/crates/member/src/fact.rs
+++ b/crates/member/src/fact.rs
@@ -71,7 +71,8 @@
     /// Its name.
     pub name: Name,
     /// Who said so.
-    pub report: TargetFactSource,
+    #[serde(rename = "report")]
+    pub source: TargetFactSource,
     /// Whether it takes work. Leaving is sticky: the list may still call it live for a while.
     pub state: InstanceState,
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -240,7 +240,7 @@
             Fact::Crash(_) => {}
             Fact::Owner(owner) => self.owner_announced(owner),
             Fact::Target(target) => {
-                log::info!("target {} is {:?} ({:?})", target.name, target.state, target.report);
+                log::info!("target {} is {:?} ({:?})", target.name, target.state, target.source);
                 self.trainers.targets_changed = true;
             }
         }
@@ -294,10 +294,10 @@
         }
     }
 
-    fn target_leaves(&mut self, now: UnixMs, name: &Name, report: TargetFactSource) -> bool {
+    fn target_leaves(&mut self, now: UnixMs, name: &Name, source: TargetFactSource) -> bool {
         let Some(target) = self.target(name).cloned() else { return false };
         if target.state == InstanceState::Live {
-            let leaving = TargetFact { report, state: InstanceState::Leaving, ..target };
+            let leaving = TargetFact { source, state: InstanceState::Leaving, ..target };
             self.observe(now, Fact::Target(leaving));
         }
         true
@@ -349,7 +349,7 @@
         kind: instance.kind,
         labels: instance.labels.clone(),
         name: instance.name.clone(),
-        report: TargetFactSource::List,
+        source: TargetFactSource::List,
         state: instance.state,
     }
 }
--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -23,7 +23,7 @@
     Fact::Config(ConfigFact { digest: format!("{revision:032x}"), revision: Revision(revision) })
 }
 
-fn target(incarnation: u64, state: InstanceState, report: TargetFactSource) -> Fact {
+fn target(incarnation: u64, state: InstanceState, source: TargetFactSource) -> Fact {
     Fact::Target(TargetFact {
         address: "127.0.0.1:9000".parse().expect("an address"),
         data_centre: "place-0".parse().expect("a name"),
@@ -31,7 +31,7 @@
         kind: InstanceKind::Service,
         labels: Labels::default().with("app", "registre"),
         name: "worker-1".parse().expect("a name"),
-        report,
+        source,
         state,
     })
 }
