--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -7,8 +7,8 @@
 use catkinmast_config::CallClass;
 use catkinmast_model::{Name, UnixMs};
 use catkinmast_route::{
-    Admission, AdmissionLimits, Admitted, Choice, Outcome, PickPolicy, Released, RetryBudget,
-    TargetSettings, Targets, WaitId, stable_subset,
+    Admission, AdmissionDecision, AdmissionLimits, Choice, Outcome, PickPolicy, Released,
+    RetryBudget, TargetSettings, Targets, WaitId, stable_subset,
 };
 use indexmap::IndexMap;
 use rand::{Rng, SeedableRng};
@@ -391,11 +391,11 @@
             let (admitted, released) = admission.arrive(now, "workspace", ranked, deadline);
             release(now_ms, released, &mut waiting, &mut ends, &mut tally);
             match admitted {
-                Admitted::Now => {
+                AdmissionDecision::Admitted => {
                     ends.push(Reverse((now_ms + PLACE_MS, now_ms, class == CallClass::Lookup)));
                 }
-                Admitted::Refused(_) => tally.refusals_ms.push(0),
-                Admitted::Waiting(id) => {
+                AdmissionDecision::Refused(_) => tally.refusals_ms.push(0),
+                AdmissionDecision::Queued(id) => {
                     waiting.insert(id, (now_ms, class));
                 }
             }
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -12,7 +12,7 @@
 use bytes::{Bytes, BytesMut};
 use catkinmast_config::{Call, CallClass, PlainService};
 use catkinmast_model::{Name, Refusal, UnixMs, Verdict};
-use catkinmast_route::{Admitted, Choice, Outcome, Released};
+use catkinmast_route::{AdmissionDecision, Choice, Outcome, Released};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -158,9 +158,9 @@
         let (admitted, released) = admission.arrive(shared.now(), workspace, class, deadline);
         shared.metrics.requests_in_flight.set(i64::from(admission.in_flight()));
         let waited = match admitted {
-            Admitted::Now => return Ok(permit()),
-            Admitted::Refused(refusal) => return Err(refusal),
-            Admitted::Waiting(id) => {
+            AdmissionDecision::Admitted => return Ok(permit()),
+            AdmissionDecision::Refused(refusal) => return Err(refusal),
+            AdmissionDecision::Queued(id) => {
                 let (sender, waited) = oneshot::channel();
                 lock(&shared.traffic.admission_waiting).insert(id, sender);
                 (waited, id)
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -30,13 +30,13 @@
 
 /// What happens to a request that arrives.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It is served now.
-    Now,
+    Admitted,
     /// It is given up on.
     Refused(Refusal),
     /// It waits.
-    Waiting(WaitId),
+    Queued(WaitId),
 }
 
 /// What becomes of requests that waited.
@@ -105,31 +105,31 @@
         workspace: &str,
         class: CallClass,
         deadline: UnixMs,
-    ) -> (Admitted, Released) {
+    ) -> (AdmissionDecision, Released) {
         let mut released = Released::default();
         if self.workspace_is_full(workspace) {
             let message =
                 format!("workspace '{workspace}' has as many requests in flight as it may");
-            return (Admitted::Refused(self.refusal(now, message, 1)), released);
+            return (AdmissionDecision::Refused(self.refusal(now, message, 1)), released);
         }
         if self.in_flight < self.limits.in_flight_max && self.queue.is_empty() {
             self.occupy(workspace);
-            return (Admitted::Now, released);
+            return (AdmissionDecision::Admitted, released);
         }
         let ahead = self.queue.iter().filter(|waiting| waiting.class <= class).count() as u64;
         if now.plus(self.expected_wait_ms(ahead + 1)) > deadline {
             let message = "the node is full: the request would miss its deadline in the queue";
-            return (Admitted::Refused(self.refusal(now, message, ahead + 1)), released);
+            return (AdmissionDecision::Refused(self.refusal(now, message, ahead + 1)), released);
         }
         if self.queue.len() as u64 >= u64::from(self.limits.queue_max) {
             if let Some(displaced) = self.displace(now, class) {
                 released.refused.push(displaced);
             } else {
                 let refusal = self.refusal(now, "the node's queue is full", ahead + 1);
-                return (Admitted::Refused(refusal), released);
+                return (AdmissionDecision::Refused(refusal), released);
             }
         }
-        (Admitted::Waiting(self.enqueue(workspace, class, deadline)), released)
+        (AdmissionDecision::Queued(self.enqueue(workspace, class, deadline)), released)
     }
 
     /// Counts a request as done after `service_us`, and lets waiting ones in.
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -302,12 +302,14 @@
                 let deadline = UnixMs(need(args, "deadline")?);
                 let (admitted, released) = self.admission.arrive(now, "workspace", class, deadline);
                 match admitted {
-                    catkinmast_route::Admitted::Now => writeln!(output, "{who} is served")?,
-                    catkinmast_route::Admitted::Waiting(id) => {
+                    catkinmast_route::AdmissionDecision::Admitted => {
+                        writeln!(output, "{who} is served")?
+                    }
+                    catkinmast_route::AdmissionDecision::Queued(id) => {
                         self.waiting.insert(id, who.clone());
                         writeln!(output, "{who} waits")?;
                     }
-                    catkinmast_route::Admitted::Refused(refusal) => writeln!(
+                    catkinmast_route::AdmissionDecision::Refused(refusal) => writeln!(
                         output,
                         "{who} is refused, {}, come back at {:?}: {}",
                         refusal.verdict,
