--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -7,7 +7,7 @@
 use catkinmast_config::CallClass;
 use catkinmast_model::{Name, UnixMs};
 use catkinmast_route::{
-    Admission, AdmissionDecision, AdmissionLimits, Choice, Outcome, PickPolicy, Released,
+    Admission, AdmissionDecision, AdmissionLimits, Choice, Dequeued, Outcome, PickPolicy,
     RetryBudget, TargetSettings, Targets, WaitId, stable_subset,
 };
 use indexmap::IndexMap;
@@ -371,8 +371,8 @@
             if is_lookup && now_ms - began_ms <= PATIENCE_MS {
                 tally.in_time += 1;
             }
-            let released = admission.finish(now, "workspace", PLACE_MS * 1_000);
-            release(now_ms, released, &mut waiting, &mut ends, &mut tally);
+            let dequeued = admission.finish(now, "workspace", PLACE_MS * 1_000);
+            release(now_ms, dequeued, &mut waiting, &mut ends, &mut tally);
         }
         let arrivals = poisson(&mut rng, per_ms);
         for _ in 0..arrivals {
@@ -388,8 +388,8 @@
             } else {
                 (CallClass::Audit, UnixMs(u64::MAX))
             };
-            let (admitted, released) = admission.arrive(now, "workspace", ranked, deadline);
-            release(now_ms, released, &mut waiting, &mut ends, &mut tally);
+            let (admitted, dequeued) = admission.arrive(now, "workspace", ranked, deadline);
+            release(now_ms, dequeued, &mut waiting, &mut ends, &mut tally);
             match admitted {
                 AdmissionDecision::Admitted => {
                     ends.push(Reverse((now_ms + PLACE_MS, now_ms, class == CallClass::Lookup)));
@@ -408,17 +408,17 @@
 
 fn release(
     now_ms: u64,
-    released: Released,
+    dequeued: Dequeued,
     waiting: &mut IndexMap<WaitId, (u64, CallClass)>,
     ends: &mut BinaryHeap<Reverse<(u64, u64, bool)>>,
     seen: &mut Overload,
 ) {
-    for id in released.admitted {
+    for id in dequeued.admitted {
         if let Some((began_ms, class)) = waiting.swap_remove(&id) {
             ends.push(Reverse((now_ms + PLACE_MS, began_ms, class == CallClass::Lookup)));
         }
     }
-    for (id, _) in released.refused {
+    for (id, _) in dequeued.refused {
         if let Some((began_ms, _)) = waiting.swap_remove(&id) {
             seen.refusals_ms.push(now_ms - began_ms);
         }
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -12,7 +12,7 @@
 use bytes::{Bytes, BytesMut};
 use catkinmast_config::{Call, CallClass, PlainService};
 use catkinmast_model::{Name, Refusal, UnixMs, Verdict};
-use catkinmast_route::{AdmissionDecision, Choice, Outcome, Released};
+use catkinmast_route::{AdmissionDecision, Choice, Dequeued, Outcome};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -120,18 +120,18 @@
         let service_us = self.began.elapsed().as_micros() as u64;
         let now = self.shared.now();
         let mut admission = lock(&self.shared.traffic.admission);
-        let released = admission.finish(now, &self.workspace, service_us);
+        let dequeued = admission.finish(now, &self.workspace, service_us);
         self.shared.metrics.requests_in_flight.set(i64::from(admission.in_flight()));
         drop(admission);
-        settle_waiting(&self.shared, released);
+        settle_waiting(&self.shared, dequeued);
     }
 }
 
 /// Tells requests that waited what became of them.
-fn settle_waiting(shared: &Shared, released: Released) {
+fn settle_waiting(shared: &Shared, dequeued: Dequeued) {
     let mut waiting = lock(&shared.traffic.admission_waiting);
-    let admitted = released.admitted.into_iter().map(|id| (id, None));
-    let refused = released.refused.into_iter().map(|(id, refusal)| (id, Some(refusal)));
+    let admitted = dequeued.admitted.into_iter().map(|id| (id, None));
+    let refused = dequeued.refused.into_iter().map(|(id, refusal)| (id, Some(refusal)));
     for (id, verdict) in admitted.chain(refused) {
         if let Some(sender) = waiting.swap_remove(&id)
             && sender.send(verdict).is_err()
@@ -155,7 +155,7 @@
     };
     let (waited, id) = {
         let mut admission = lock(&shared.traffic.admission);
-        let (admitted, released) = admission.arrive(shared.now(), workspace, class, deadline);
+        let (admitted, dequeued) = admission.arrive(shared.now(), workspace, class, deadline);
         shared.metrics.requests_in_flight.set(i64::from(admission.in_flight()));
         let waited = match admitted {
             AdmissionDecision::Admitted => return Ok(permit()),
@@ -167,7 +167,7 @@
             }
         };
         drop(admission);
-        settle_waiting(shared, released);
+        settle_waiting(shared, dequeued);
         waited
     };
     let wait = Duration::from_millis(deadline.since_ms(shared.now()));
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -41,7 +41,7 @@
 
 /// What becomes of requests that waited.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Released {
+pub struct Dequeued {
     /// They are served now.
     pub admitted: Vec<WaitId>,
     /// They are given up on.
@@ -105,35 +105,35 @@
         workspace: &str,
         class: CallClass,
         deadline: UnixMs,
-    ) -> (AdmissionDecision, Released) {
-        let mut released = Released::default();
+    ) -> (AdmissionDecision, Dequeued) {
+        let mut dequeued = Dequeued::default();
         if self.workspace_is_full(workspace) {
             let message =
                 format!("workspace '{workspace}' has as many requests in flight as it may");
-            return (AdmissionDecision::Refused(self.refusal(now, message, 1)), released);
+            return (AdmissionDecision::Refused(self.refusal(now, message, 1)), dequeued);
         }
         if self.in_flight < self.limits.in_flight_max && self.queue.is_empty() {
             self.occupy(workspace);
-            return (AdmissionDecision::Admitted, released);
+            return (AdmissionDecision::Admitted, dequeued);
         }
         let ahead = self.queue.iter().filter(|waiting| waiting.class <= class).count() as u64;
         if now.plus(self.expected_wait_ms(ahead + 1)) > deadline {
             let message = "the node is full: the request would miss its deadline in the queue";
-            return (AdmissionDecision::Refused(self.refusal(now, message, ahead + 1)), released);
+            return (AdmissionDecision::Refused(self.refusal(now, message, ahead + 1)), dequeued);
         }
         if self.queue.len() as u64 >= u64::from(self.limits.queue_max) {
             if let Some(displaced) = self.displace(now, class) {
-                released.refused.push(displaced);
+                dequeued.refused.push(displaced);
             } else {
                 let refusal = self.refusal(now, "the node's queue is full", ahead + 1);
-                return (AdmissionDecision::Refused(refusal), released);
+                return (AdmissionDecision::Refused(refusal), dequeued);
             }
         }
-        (AdmissionDecision::Queued(self.enqueue(workspace, class, deadline)), released)
+        (AdmissionDecision::Queued(self.enqueue(workspace, class, deadline)), dequeued)
     }
 
     /// Counts a request as done after `service_us`, and lets waiting ones in.
-    pub fn finish(&mut self, now: UnixMs, workspace: &str, service_us: u64) -> Released {
+    pub fn finish(&mut self, now: UnixMs, workspace: &str, service_us: u64) -> Dequeued {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(count) = self.workspace_in_flight.get_mut(workspace) {
             *count = count.saturating_sub(1);
@@ -148,27 +148,27 @@
         self.queue.retain(|waiting| waiting.id != id);
     }
 
-    fn admit_waiting(&mut self, now: UnixMs) -> Released {
-        let mut released = self.expire(now);
+    fn admit_waiting(&mut self, now: UnixMs) -> Dequeued {
+        let mut dequeued = self.expire(now);
         while self.in_flight < self.limits.in_flight_max {
             let next =
                 self.queue.iter().position(|waiting| !self.workspace_is_full(&waiting.workspace));
             let Some(place) = next else { break };
             let waiting = self.queue.remove(place);
             self.occupy(&waiting.workspace);
-            released.admitted.push(waiting.id);
+            dequeued.admitted.push(waiting.id);
         }
-        released
+        dequeued
     }
 
     /// Refuses what waited past its deadline.
-    pub fn expire(&mut self, now: UnixMs) -> Released {
+    pub fn expire(&mut self, now: UnixMs) -> Dequeued {
         let (late, kept): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.queue).into_iter().partition(|w| w.deadline <= now);
         self.queue = kept;
         let message = "the request waited past its deadline";
         let refused = late.into_iter().map(|w| (w.id, self.refusal(now, message, 1))).collect();
-        Released { admitted: Vec::new(), refused }
+        Dequeued { admitted: Vec::new(), refused }
     }
 
     fn workspace_is_full(&self, workspace: &str) -> bool {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -13,7 +13,7 @@
 mod ticket;
 
 pub use addresses::{AddressAnswer, AddressEntry, address_answer};
-pub use admission::{Admission, AdmissionDecision, AdmissionLimits, Released, WaitId};
+pub use admission::{Admission, AdmissionDecision, AdmissionLimits, Dequeued, WaitId};
 pub use budget::RetryBudget;
 pub use targets::{Choice, Outcome, PickPolicy, TargetSettings, Targets, rank, stable_subset};
 pub use ticket::{Begin, RecordedAnswer, Ticket, TicketBook, TicketError, TicketLimits};
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -11,7 +11,7 @@
 use catkinmast_lease::{HolderRecord, Report, Tenure};
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
-    Admission, AdmissionLimits, Begin, Choice, Outcome, RecordedAnswer, Released, RetryBudget,
+    Admission, AdmissionLimits, Begin, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
     TargetSettings, Targets, Ticket, TicketBook, TicketLimits, WaitId,
 };
 use goldenscript::{ArgumentConsumer, Command, Context};
@@ -291,7 +291,7 @@
         let who = event_of(args)?.to_owned();
         let now = at(args)?;
         let mut output = String::new();
-        let released = match event.as_str() {
+        let dequeued = match event.as_str() {
             "arrive" => {
                 let class = match need::<String>(args, "class")?.as_str() {
                     "lookup" => CallClass::Lookup,
@@ -300,7 +300,7 @@
                     _ => CallClass::Audit,
                 };
                 let deadline = UnixMs(need(args, "deadline")?);
-                let (admitted, released) = self.admission.arrive(now, "workspace", class, deadline);
+                let (admitted, dequeued) = self.admission.arrive(now, "workspace", class, deadline);
                 match admitted {
                     catkinmast_route::AdmissionDecision::Admitted => {
                         writeln!(output, "{who} is served")?
@@ -317,21 +317,21 @@
                         refusal.message
                     )?,
                 }
-                released
+                dequeued
             }
             "finish" => self.admission.finish(now, "workspace", need(args, "service-us")?),
             "expire" => self.admission.expire(now),
             other => return Err(format!("unknown event '{other}'").into()),
         };
-        self.show_released(&released, &mut output)?;
+        self.show_dequeued(&dequeued, &mut output)?;
         Ok(output)
     }
 
-    fn show_released(&self, released: &Released, output: &mut String) -> std::fmt::Result {
-        for id in &released.admitted {
+    fn show_dequeued(&self, dequeued: &Dequeued, output: &mut String) -> std::fmt::Result {
+        for id in &dequeued.admitted {
             writeln!(output, "{} is served now", self.waiting[id])?;
         }
-        for (id, refusal) in &released.refused {
+        for (id, refusal) in &dequeued.refused {
             let verdict = refusal.verdict;
             writeln!(output, "{} is refused, {verdict}: {}", self.waiting[id], refusal.message)?;
         }
