--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -22,7 +22,7 @@
 };
 use catkinmast_route::{
     Admission, AdmissionLimits, Begin, Outcome, RecordedAnswer, TargetSettings, Targets, Ticket,
-    TicketBook, TicketLimits,
+    TicketLimits, TicketTable,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, SharedKey, open, seal};
 use rand::SeedableRng;
@@ -44,7 +44,7 @@
 const WORKER_SIZES: [usize; 4] = [100, 300, 600, 870];
 /// Numbers of samples at which a step's state is counted.
 const SAMPLE_SIZES: [usize; 4] = [256, 512, 1_024, 2_048];
-/// Numbers of tickets at which a book is counted.
+/// Numbers of tickets at which a table is counted.
 const TICKET_SIZES: [usize; 4] = [500, 1_000, 2_000, 4_000];
 
 /// A counted figure with its slope.
@@ -218,19 +218,19 @@
     }
 }
 
-fn ticket_book(tickets: usize) -> TicketBook {
+fn ticket_table(tickets: usize) -> TicketTable {
     let limits =
         TicketLimits { answers_max_bytes: 64 << 20, memory_ms: 600_000, tickets_max: 100_000 };
-    let mut book = TicketBook::open(limits);
+    let mut table = TicketTable::open(limits);
     for number in 0..tickets {
         let ticket = ticket(number);
-        if book.begin(UnixMs(0), &ticket) == Begin::Run {
+        if table.begin(UnixMs(0), &ticket) == Begin::Run {
             let body = Some(vec![0; 200]);
             let content_type = Some("application/json".to_owned());
-            book.answered(&ticket, RecordedAnswer { body, content_type, status: 200 });
+            table.answered(&ticket, RecordedAnswer { body, content_type, status: 200 });
         }
     }
-    book
+    table
 }
 
 /// Bytes that a node sends and receives in a calm second, at one size of the fleet.
@@ -347,7 +347,7 @@
         counted(
             "answers kept for tickets (200 bytes each), bytes of state",
             "ticket",
-            slope_of(&TICKET_SIZES, |tickets| held_bytes(|| ticket_book(tickets))),
+            slope_of(&TICKET_SIZES, |tickets| held_bytes(|| ticket_table(tickets))),
             4_000.0,
         ),
         counted(
@@ -478,16 +478,16 @@
             }
         }),
     );
-    let mut book = ticket_book(0);
+    let mut table = ticket_table(0);
     let mut number = 0;
     add(
         "ticket begun and answered",
         nanoseconds(5_000, |_| {
             number += 1;
             let ticket = ticket(number);
-            std::hint::black_box(book.begin(UnixMs(0), &ticket));
+            std::hint::black_box(table.begin(UnixMs(0), &ticket));
             let answer = RecordedAnswer { body: None, content_type: None, status: 200 };
-            book.answered(&ticket, answer);
+            table.answered(&ticket, answer);
         }),
     );
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -11,7 +11,7 @@
 use catkinmast_model::{Incarnation, Name, Refusal, UnixMs};
 use catkinmast_platform::{HttpEngines, HttpPlatform};
 use catkinmast_route::{
-    Admission, AdmissionLimits, RetryBudget, TargetSettings, Targets, TicketBook, TicketLimits,
+    Admission, AdmissionLimits, RetryBudget, TargetSettings, Targets, TicketLimits, TicketTable,
     WaitId,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, open};
@@ -47,7 +47,7 @@
     pub budget: Mutex<RetryBudget>,
     pub rng: Mutex<Pcg64Mcg>,
     pub targets: Mutex<Targets>,
-    pub tickets: Mutex<TicketBook>,
+    pub tickets: Mutex<TicketTable>,
 }
 
 /// Clients of targets.
@@ -136,7 +136,7 @@
             budget: Mutex::new(RetryBudget::open(limits.retry_budget_percent)),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
             targets: Mutex::new(Targets::open(TargetSettings::default())),
-            tickets: Mutex::new(TicketBook::open(TicketLimits {
+            tickets: Mutex::new(TicketTable::open(TicketLimits {
                 answers_max_bytes: TICKET_ANSWERS_MAX_BYTES,
                 memory_ms: limits.ticket_memory_ms,
                 tickets_max: TICKETS_MAX,
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -131,14 +131,14 @@
 
 /// The tickets that one node life has run.
 #[derive(Clone, Debug)]
-pub struct TicketBook {
+pub struct TicketTable {
     answers_bytes: usize,
     latest: UnixMs,
     limits: TicketLimits,
     pages: IndexMap<Ticket, Page>,
 }
 
-impl TicketBook {
+impl TicketTable {
     /// Opens an empty book.
     pub fn open(limits: TicketLimits) -> Self {
         Self { answers_bytes: 0, latest: UnixMs(0), limits, pages: IndexMap::new() }
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -12,7 +12,7 @@
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
     Admission, AdmissionLimits, Begin, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
-    TargetSettings, Targets, Ticket, TicketBook, TicketLimits, WaitId,
+    TargetSettings, Targets, Ticket, TicketLimits, TicketTable, WaitId,
 };
 use goldenscript::{ArgumentConsumer, Command, Context};
 use indexmap::IndexMap;
@@ -54,7 +54,7 @@
     rng: Pcg64Mcg,
     targets: Targets,
     tenure: Tenure,
-    tickets: TicketBook,
+    tickets: TicketTable,
     waiting: IndexMap<WaitId, String>,
 }
 
@@ -80,7 +80,7 @@
             rng: Pcg64Mcg::seed_from_u64(1),
             targets: Targets::open(TargetSettings::default()),
             tenure: Tenure::open(holder()),
-            tickets: TicketBook::open(ticket_limits),
+            tickets: TicketTable::open(ticket_limits),
             waiting: IndexMap::new(),
         }
     }
