--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -21,8 +21,8 @@
     OrderSettings, Registration, Rollout, ScheduleSettings, StepSpec,
 };
 use catkinmast_route::{
-    Admission, AdmissionLimits, Begin, Outcome, RecordedAnswer, TargetSettings, Targets, Ticket,
-    TicketLimits, TicketTable,
+    Admission, AdmissionLimits, Outcome, RecordedAnswer, TargetSettings, Targets, Ticket,
+    TicketDecision, TicketLimits, TicketTable,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, SharedKey, open, seal};
 use rand::SeedableRng;
@@ -224,7 +224,7 @@
     let mut table = TicketTable::open(limits);
     for number in 0..tickets {
         let ticket = ticket(number);
-        if table.begin(UnixMs(0), &ticket) == Begin::Run {
+        if table.begin(UnixMs(0), &ticket) == TicketDecision::Run {
             let body = Some(vec![0; 200]);
             let content_type = Some("application/json".to_owned());
             table.answered(&ticket, RecordedAnswer { body, content_type, status: 200 });
--- a/crates/node/src/api/ticket.rs
+++ b/crates/node/src/api/ticket.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use catkinmast_config::CallClass;
 use catkinmast_model::{Refusal, UnixMs, Verdict};
-use catkinmast_route::{Begin, RecordedAnswer, Ticket};
+use catkinmast_route::{RecordedAnswer, Ticket, TicketDecision};
 use rocket::Request;
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,21 +49,23 @@
     let retry_at = shared.now().plus(RUNNING_RETRY_MS);
     let begin = lock(&shared.traffic.tickets).begin(UnixMs::from_wall_clock(), ticket);
     match begin {
-        Begin::Run => {}
-        Begin::Expired => {
+        TicketDecision::Run => {}
+        TicketDecision::Expired => {
             let message = "the ticket has expired, so nobody remembers whether its call ran";
             return Err(Refusal::may_have_run(message).into());
         }
-        Begin::Full => {
+        TicketDecision::Full => {
             let message = "no memory is left to remember one more call";
             return Err(Refusal::not_run(message).retry_at(retry_at).into());
         }
-        Begin::Recorded(recorded) => return replay(shared, call.workspace, recorded).await,
-        Begin::Running => {
+        TicketDecision::Recorded(recorded) => {
+            return replay(shared, call.workspace, recorded).await;
+        }
+        TicketDecision::Running => {
             let message = "the call with this ticket is running; ask again for its answer";
             return Err(Refusal::may_have_run(message).retry_at(retry_at).into());
         }
-        Begin::Unsettled => {
+        TicketDecision::Unsettled => {
             let message = "the call with this ticket may have run; its answer was lost";
             return Err(Refusal::may_have_run(message).into());
         }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,4 +16,4 @@
 pub use admission::{Admission, AdmissionDecision, AdmissionLimits, Dequeued, WaitId};
 pub use budget::RetryBudget;
 pub use targets::{Choice, Outcome, PickPolicy, TargetSettings, Targets, rank, stable_subset};
-pub use ticket::{Begin, RecordedAnswer, Ticket, TicketError, TicketLimits, TicketTable};
+pub use ticket::{RecordedAnswer, Ticket, TicketDecision, TicketError, TicketLimits, TicketTable};
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -101,7 +101,7 @@
 
 /// What to do with a call that carries a ticket.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Begin {
+pub enum TicketDecision {
     /// The ticket is too old to be remembered for certain.
     Expired,
     /// No memory is left to remember one more; the call did not run.
@@ -154,29 +154,29 @@
     /// A full book refuses new tickets: to forget an old one early would let its call run twice.
     /// A wall clock that is set back must not make a forgotten ticket look new, so the latest time
     /// ever seen counts.
-    pub fn begin(&mut self, now: UnixMs, ticket: &Ticket) -> Begin {
+    pub fn begin(&mut self, now: UnixMs, ticket: &Ticket) -> TicketDecision {
         self.latest = self.latest.max(now);
         let now = self.latest;
         if let Some(page) = self.pages.get(ticket) {
             return match &page.state {
-                State::Answered(answer) => Begin::Recorded(answer.clone()),
-                State::Running => Begin::Running,
-                State::Unsettled => Begin::Unsettled,
+                State::Answered(answer) => TicketDecision::Recorded(answer.clone()),
+                State::Running => TicketDecision::Running,
+                State::Unsettled => TicketDecision::Unsettled,
             };
         }
         if ticket.expires_at <= now || ticket.expires_at > now.plus(self.limits.memory_ms) {
-            return Begin::Expired;
+            return TicketDecision::Expired;
         }
         self.forget(now);
         let is_full = self.pages.len() >= self.limits.tickets_max
             || self.answers_bytes >= self.limits.answers_max_bytes;
         if is_full {
-            return Begin::Full;
+            return TicketDecision::Full;
         }
         // Kept past the ticket's expiry, so that an old ticket is never taken for a new one.
         let forget_at = now.plus(self.limits.memory_ms);
         self.pages.insert(ticket.clone(), Page { forget_at, state: State::Running });
-        Begin::Run
+        TicketDecision::Run
     }
 
     /// Records the answer of a call that ran.
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -11,8 +11,8 @@
 use catkinmast_lease::{HolderRecord, Report, Tenure};
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
-    Admission, AdmissionLimits, Begin, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
-    TargetSettings, Targets, Ticket, TicketLimits, TicketTable, WaitId,
+    Admission, AdmissionLimits, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
+    TargetSettings, Targets, Ticket, TicketDecision, TicketLimits, TicketTable, WaitId,
 };
 use goldenscript::{ArgumentConsumer, Command, Context};
 use indexmap::IndexMap;
@@ -264,7 +264,7 @@
         };
         Ok(match event.as_str() {
             "begin" => match self.tickets.begin(now, &ticket) {
-                Begin::Recorded(answer) => format!("recorded {}\n", answer.status),
+                TicketDecision::Recorded(answer) => format!("recorded {}\n", answer.status),
                 other => format!("{other:?}\n"),
             },
             "answered" => {
