--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -220,7 +220,7 @@
 
 fn ticket_table(tickets: usize) -> TicketTable {
     let limits =
-        TicketLimits { answers_max_bytes: 64 << 20, memory_ms: 600_000, tickets_max: 100_000 };
+        TicketLimits { answers_max_bytes: 64 << 20, retention_ms: 600_000, tickets_max: 100_000 };
     let mut table = TicketTable::open(limits);
     for number in 0..tickets {
         let ticket = ticket(number);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -138,7 +138,7 @@
             targets: Mutex::new(Targets::open(TargetSettings::default())),
             tickets: Mutex::new(TicketTable::open(TicketLimits {
                 answers_max_bytes: TICKET_ANSWERS_MAX_BYTES,
-                memory_ms: limits.ticket_memory_ms,
+                retention_ms: limits.ticket_memory_ms,
                 tickets_max: TICKETS_MAX,
             })),
         }
@@ -155,7 +155,7 @@
             AdmissionLimits { in_flight_max: limits.in_flight_max, queue_max: limits.queue_max };
         lock(&self.admission).set_limits(admission, workspaces);
         lock(&self.budget).set_percent(limits.retry_budget_percent);
-        lock(&self.tickets).set_memory(limits.ticket_memory_ms);
+        lock(&self.tickets).set_retention(limits.ticket_memory_ms);
     }
 }
 
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -83,7 +83,7 @@
     /// Most bytes of answers kept.
     pub answers_max_bytes: usize,
     /// How long an answer is kept.
-    pub memory_ms: u64,
+    pub retention_ms: u64,
     /// Most tickets kept.
     pub tickets_max: usize,
 }
@@ -145,8 +145,8 @@
     }
 
     /// Changes how long answers are kept; those already kept stay as long as was promised.
-    pub const fn set_memory(&mut self, memory_ms: u64) {
-        self.limits.memory_ms = memory_ms;
+    pub const fn set_retention(&mut self, retention_ms: u64) {
+        self.limits.retention_ms = retention_ms;
     }
 
     /// Decides on a call with a ticket of this life.
@@ -164,7 +164,7 @@
                 State::Unsettled => TicketDecision::Unsettled,
             };
         }
-        if ticket.expires_at <= now || ticket.expires_at > now.plus(self.limits.memory_ms) {
+        if ticket.expires_at <= now || ticket.expires_at > now.plus(self.limits.retention_ms) {
             return TicketDecision::Expired;
         }
         self.forget(now);
@@ -174,7 +174,7 @@
             return TicketDecision::Full;
         }
         // Kept past the ticket's expiry, so that an old ticket is never taken for a new one.
-        let forget_at = now.plus(self.limits.memory_ms);
+        let forget_at = now.plus(self.limits.retention_ms);
         self.pages.insert(ticket.clone(), Page { forget_at, state: State::Running });
         TicketDecision::Run
     }
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -70,7 +70,7 @@
     fn new(folder: std::path::PathBuf) -> Self {
         let limits = AdmissionLimits { in_flight_max: 2, queue_max: 2 };
         let ticket_limits =
-            TicketLimits { answers_max_bytes: 1_000, memory_ms: 10_000, tickets_max: 2 };
+            TicketLimits { answers_max_bytes: 1_000, retention_ms: 10_000, tickets_max: 2 };
         Self {
             admission: Admission::open(limits),
             budget: RetryBudget::open(10),
