--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -227,7 +227,7 @@
         if table.begin(UnixMs(0), &ticket) == TicketDecision::Run {
             let body = Some(vec![0; 200]);
             let content_type = Some("application/json".to_owned());
-            table.answered(&ticket, RecordedAnswer { body, content_type, status: 200 });
+            table.record_answer(&ticket, RecordedAnswer { body, content_type, status: 200 });
         }
     }
     table
@@ -487,7 +487,7 @@
             let ticket = ticket(number);
             std::hint::black_box(table.begin(UnixMs(0), &ticket));
             let answer = RecordedAnswer { body: None, content_type: None, status: 200 };
-            table.answered(&ticket, answer);
+            table.record_answer(&ticket, answer);
         }),
     );
 }
--- a/crates/node/src/api/ticket.rs
+++ b/crates/node/src/api/ticket.rs
@@ -76,13 +76,13 @@
         Err(refusal) => {
             if refusal.verdict == Verdict::NotRun {
                 guard.settled = true;
-                lock(&shared.traffic.tickets).not_run(ticket);
+                lock(&shared.traffic.tickets).mark_not_run(ticket);
             }
             return Err(refusal.into());
         }
     };
     guard.settled = true;
-    lock(&shared.traffic.tickets).answered(ticket, record(&answer));
+    lock(&shared.traffic.tickets).record_answer(ticket, record(&answer));
     Ok(answer)
 }
 
@@ -97,7 +97,7 @@
 impl Drop for TicketGuard<'_> {
     fn drop(&mut self) {
         if !self.settled {
-            lock(&self.shared.traffic.tickets).unsettled(self.ticket);
+            lock(&self.shared.traffic.tickets).mark_unsettled(self.ticket);
         }
     }
 }
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -180,7 +180,7 @@
     }
 
     /// Records the answer of a call that ran.
-    pub fn answered(&mut self, ticket: &Ticket, answer: RecordedAnswer) {
+    pub fn record_answer(&mut self, ticket: &Ticket, answer: RecordedAnswer) {
         if let Some(page) = self.pages.get_mut(ticket) {
             self.answers_bytes += answer.body.as_ref().map_or(0, Vec::len);
             page.state = State::Answered(answer);
@@ -188,14 +188,14 @@
     }
 
     /// Records that a call may have run and its answer was lost.
-    pub fn unsettled(&mut self, ticket: &Ticket) {
+    pub fn mark_unsettled(&mut self, ticket: &Ticket) {
         if let Some(page) = self.pages.get_mut(ticket) {
             page.state = State::Unsettled;
         }
     }
 
     /// Records that a call certainly did not run; its ticket may be used again.
-    pub fn not_run(&mut self, ticket: &Ticket) {
+    pub fn mark_not_run(&mut self, ticket: &Ticket) {
         self.pages.shift_remove(ticket);
     }
 
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -271,15 +271,15 @@
                 let status = need(args, "status")?;
                 let body = Some(b"answer".to_vec());
                 let answer = RecordedAnswer { body, content_type: None, status };
-                self.tickets.answered(&ticket, answer);
+                self.tickets.record_answer(&ticket, answer);
                 String::new()
             }
             "not-run" => {
-                self.tickets.not_run(&ticket);
+                self.tickets.mark_not_run(&ticket);
                 String::new()
             }
             "unsettled" => {
-                self.tickets.unsettled(&ticket);
+                self.tickets.mark_unsettled(&ticket);
                 String::new()
             }
             other => return Err(format!("unknown event '{other}'").into()),
