--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -21,7 +21,7 @@
     OrderSettings, Registration, Rollout, ScheduleSettings, StepSpec,
 };
 use catkinmast_route::{
-    Admission, AdmissionLimits, Outcome, RecordedAnswer, TargetSettings, Targets, Ticket,
+    Admission, AdmissionLimits, Outcome, RecordedAnswer, TargetBalancer, TargetSettings, Ticket,
     TicketDecision, TicketLimits, TicketTable,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, SharedKey, open, seal};
@@ -466,7 +466,7 @@
             admission.finish(now, "workspace", 2_000);
         }),
     );
-    let mut targets = Targets::open(TargetSettings::default());
+    let mut targets = TargetBalancer::open(TargetSettings::default());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let names: Vec<Name> = (0..20).map(|number| name(&format!("worker-{number:04}"))).collect();
     add(
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -1,6 +1,6 @@
 //! The routing benchmark: choice of target, retries to a dead third, overload.
 //!
-//! Small queues in virtual time around the real `Targets`, `RetryBudget` and `Admission`. Targets
+//! Small queues in virtual time around the real `TargetBalancer`, `RetryBudget` and `Admission`. Targets
 //! serve a few calls at once and queue the rest, some are slower than others, and arrivals are
 //! random with a fixed seed.
 
@@ -8,7 +8,7 @@
 use catkinmast_model::{Name, UnixMs};
 use catkinmast_route::{
     Admission, AdmissionDecision, AdmissionLimits, Choice, Dequeued, Outcome, PickPolicy,
-    RetryBudget, TargetSettings, Targets, WaitId, stable_subset,
+    RetryBudget, TargetBalancer, TargetSettings, WaitId, stable_subset,
 };
 use indexmap::IndexMap;
 use rand::{Rng, SeedableRng};
@@ -101,7 +101,7 @@
 struct NodeSim {
     budget: RetryBudget,
     candidates: Vec<Name>,
-    targets: Targets,
+    targets: TargetBalancer,
 }
 
 struct Run {
@@ -145,7 +145,7 @@
         let node = |number: usize| NodeSim {
             budget: RetryBudget::open(if scene.protected { 10 } else { 100_000 }),
             candidates: stable_subset(&target_name(1_000 + number), &names, SUBSET),
-            targets: Targets::open(settings),
+            targets: TargetBalancer::open(settings),
         };
         Self {
             attempts: 0,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -11,8 +11,8 @@
 use catkinmast_model::{Incarnation, Name, Refusal, UnixMs};
 use catkinmast_platform::{HttpEngines, HttpPlatform};
 use catkinmast_route::{
-    Admission, AdmissionLimits, RetryBudget, TargetSettings, Targets, TicketLimits, TicketTable,
-    WaitId,
+    Admission, AdmissionLimits, RetryBudget, TargetBalancer, TargetSettings, TicketLimits,
+    TicketTable, WaitId,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, open};
 use indexmap::IndexMap;
@@ -46,7 +46,7 @@
     pub admission_waiting: Mutex<IndexMap<WaitId, oneshot::Sender<Option<Refusal>>>>,
     pub budget: Mutex<RetryBudget>,
     pub rng: Mutex<Pcg64Mcg>,
-    pub targets: Mutex<Targets>,
+    pub targets: Mutex<TargetBalancer>,
     pub tickets: Mutex<TicketTable>,
 }
 
@@ -135,7 +135,7 @@
             admission_waiting: Mutex::default(),
             budget: Mutex::new(RetryBudget::open(limits.retry_budget_percent)),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
-            targets: Mutex::new(Targets::open(TargetSettings::default())),
+            targets: Mutex::new(TargetBalancer::open(TargetSettings::default())),
             tickets: Mutex::new(TicketTable::open(TicketLimits {
                 answers_max_bytes: TICKET_ANSWERS_MAX_BYTES,
                 retention_ms: limits.ticket_memory_ms,
--- a/crates/route/src/targets.rs
+++ b/crates/route/src/targets.rs
@@ -101,13 +101,13 @@
 
 /// What a node knows of its targets from its own calls.
 #[derive(Clone, Debug)]
-pub struct Targets {
+pub struct TargetBalancer {
     seen: IndexMap<Name, Seen>,
     settings: TargetSettings,
     turn: usize,
 }
 
-impl Targets {
+impl TargetBalancer {
     /// Opens an empty table.
     pub fn open(settings: TargetSettings) -> Self {
         Self { seen: IndexMap::new(), settings, turn: 0 }
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -12,7 +12,7 @@
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
     Admission, AdmissionLimits, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
-    TargetSettings, Targets, Ticket, TicketDecision, TicketLimits, TicketTable, WaitId,
+    TargetBalancer, TargetSettings, Ticket, TicketDecision, TicketLimits, TicketTable, WaitId,
 };
 use goldenscript::{ArgumentConsumer, Command, Context};
 use indexmap::IndexMap;
@@ -52,7 +52,7 @@
     folder: std::path::PathBuf,
     follower: Follower,
     rng: Pcg64Mcg,
-    targets: Targets,
+    targets: TargetBalancer,
     tenure: Tenure,
     tickets: TicketTable,
     waiting: IndexMap<WaitId, String>,
@@ -78,7 +78,7 @@
             folder,
             follower: Follower::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
-            targets: Targets::open(TargetSettings::default()),
+            targets: TargetBalancer::open(TargetSettings::default()),
             tenure: Tenure::open(holder()),
             tickets: TicketTable::open(ticket_limits),
             waiting: IndexMap::new(),
