--- a/crates/node/src/control/duties.rs
+++ b/crates/node/src/control/duties.rs
@@ -5,7 +5,7 @@
 
 use catkinmast_member::{NodeFact, NodeState};
 use catkinmast_model::Name;
-use catkinmast_route::rank;
+use catkinmast_route::rendezvous_rank;
 
 /// Tells whether `me` is the first of the live nodes for a duty.
 pub(crate) fn is_first<'n>(
@@ -14,6 +14,6 @@
     nodes: impl Iterator<Item = &'n NodeFact>,
 ) -> bool {
     let live = nodes.filter(|node| node.state == NodeState::Live);
-    let first = live.min_by_key(|node| rank(duty, node.name.as_str()));
+    let first = live.min_by_key(|node| rendezvous_rank(duty, node.name.as_str()));
     first.is_some_and(|node| node.name == *me)
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -17,7 +17,7 @@
 use catkinmast_model::{Instance, InstanceState, Name, UnixMs};
 use catkinmast_platform::LeaseId;
 use catkinmast_rollout::{Command, Event, Reply};
-use catkinmast_route::rank;
+use catkinmast_route::rendezvous_rank;
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, seal};
 use configuration::Configuration;
 use indexmap::IndexMap;
@@ -256,8 +256,8 @@
             node.data_centre == me.data_centre
                 && matches!(node.state, NodeState::Live | NodeState::Suspect)
         });
-        let mine = rank("watch", me.name.as_str());
-        let before = alive.filter(|node| rank("watch", node.name.as_str()) < mine);
+        let mine = rendezvous_rank("watch", me.name.as_str());
+        let before = alive.filter(|node| rendezvous_rank("watch", node.name.as_str()) < mine);
         before.count() < WATCHERS_PER_DATA_CENTRE
     }
 
--- a/crates/node/src/edge/content.rs
+++ b/crates/node/src/edge/content.rs
@@ -5,7 +5,7 @@
 use crate::shared::{Shared, lock};
 use catkinmast_member::{NodeFact, NodeState};
 use catkinmast_model::Name;
-use catkinmast_route::rank;
+use catkinmast_route::rendezvous_rank;
 use std::net::SocketAddr;
 
 /// How many nodes are tried as holders of a copy.
@@ -34,8 +34,9 @@
         })
         .collect();
     let sample = format!("{}/{}", key.trainer, key.sample);
-    takers
-        .sort_by_cached_key(|node| (node.data_centre == *home, rank(&sample, node.name.as_str())));
+    takers.sort_by_cached_key(|node| {
+        (node.data_centre == *home, rendezvous_rank(&sample, node.name.as_str()))
+    });
     for taker in takers.into_iter().take(HOLDERS_TRIED) {
         let request = PeerRequest::Store { content: content.clone(), key: key.clone() };
         match ask(shared, taker.control, &request).await {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,6 +16,6 @@
 pub use admission::{Admission, AdmissionDecision, AdmissionLimits, Dequeued, WaitId};
 pub use budget::RetryBudget;
 pub use targets::{
-    Choice, Outcome, PickPolicy, TargetBalancer, TargetSettings, rank, stable_subset,
+    Choice, Outcome, PickPolicy, TargetBalancer, TargetSettings, rendezvous_rank, stable_subset,
 };
 pub use ticket::{RecordedAnswer, Ticket, TicketDecision, TicketError, TicketLimits, TicketTable};
--- a/crates/route/src/targets.rs
+++ b/crates/route/src/targets.rs
@@ -253,14 +253,16 @@
 ///
 /// All who see the same names agree on the order without a word, and a name that comes or goes
 /// changes little of it.
-pub fn rank(what: &str, who: &str) -> u64 {
+pub fn rendezvous_rank(what: &str, who: &str) -> u64 {
     xxh3_64(format!("{what}\n{who}").as_bytes())
 }
 
 /// Returns the `size` targets that `node` should use, by their rank for it.
 pub fn stable_subset(node: &Name, targets: &[Name], size: usize) -> Vec<Name> {
-    let mut ranked: Vec<(u64, &Name)> =
-        targets.iter().map(|target| (rank(node.as_str(), target.as_str()), target)).collect();
+    let mut ranked: Vec<(u64, &Name)> = targets
+        .iter()
+        .map(|target| (rendezvous_rank(node.as_str(), target.as_str()), target))
+        .collect();
     ranked.sort_unstable();
     ranked.into_iter().take(size).map(|(_, target)| target.clone()).collect()
 }
