--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -25,7 +25,7 @@
 
 /// What a head in the key-value service says.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HeadSeen {
+pub struct ObservedHead {
     /// Digest of the document in force.
     pub digest: Digest,
     /// The revision in force.
@@ -52,7 +52,7 @@
     /// A body could not be fetched.
     BodyMissing,
     /// The head was read; none means that nothing was ever in force.
-    HeadRead(Option<HeadSeen>),
+    HeadRead(Option<ObservedHead>),
     /// The head cannot be read.
     HeadUnavailable,
     /// Peers said what they have in force.
@@ -72,7 +72,7 @@
     /// A watch ended, with a newer head if one came.
     WatchEnded {
         /// The newer head.
-        head: Option<HeadSeen>,
+        head: Option<ObservedHead>,
         /// Whether the service answered.
         worked: bool,
     },
@@ -228,7 +228,7 @@
         }
     }
 
-    fn head_seen(&mut self, now: UnixMs, head: Option<HeadSeen>) {
+    fn head_seen(&mut self, now: UnixMs, head: Option<ObservedHead>) {
         if let Some(head) = head {
             self.head_version = self.head_version.max(head.version);
             self.want(now, head.revision, head.digest);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,5 +18,5 @@
 pub use document::{
     Call, CallClass, DataCentre, Document, Limits, Model, PlainService, Trainer, Workers, Workspace,
 };
-pub use follower::{Follower, FollowerEffect, FollowerEvent, HeadSeen, PEERS_ASKED};
+pub use follower::{Follower, FollowerEffect, FollowerEvent, ObservedHead, PEERS_ASKED};
 pub use revision::{Accepted, Digest, HEAD_KEY, Head, body_key};
--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use crate::snapshot::{InForce, VersionedHead};
 use catkinmast_config::{
-    Digest, Document, Follower, FollowerEffect, FollowerEvent, HeadSeen, PEERS_ASKED,
+    Digest, Document, Follower, FollowerEffect, FollowerEvent, ObservedHead, PEERS_ASKED,
 };
 use catkinmast_member::{ConfigFact, Fact, NodeState};
 use catkinmast_model::{Revision, UnixMs};
@@ -44,10 +44,10 @@
 }
 
 /// Reduces a head to what a follower needs of it.
-pub(crate) fn seen(head: Option<VersionedHead>) -> Option<HeadSeen> {
+pub(crate) fn seen(head: Option<VersionedHead>) -> Option<ObservedHead> {
     let (head, version) = head?;
     let accepted = head.in_force()?;
-    Some(HeadSeen { digest: accepted.digest, revision: accepted.revision, version })
+    Some(ObservedHead { digest: accepted.digest, revision: accepted.revision, version })
 }
 
 impl Control {
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -5,8 +5,8 @@
 //! itself; `UPDATE_GOLDENFILES=1` writes it anew.
 
 use catkinmast_config::{
-    CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, HeadSeen, diff,
-    merge,
+    CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, ObservedHead,
+    diff, merge,
 };
 use catkinmast_lease::{HolderRecord, Report, Tenure};
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
@@ -216,7 +216,7 @@
             "body-missing" => FollowerEvent::BodyMissing,
             "head" | "watch-ended" => {
                 let head = args.take_key("revision").map(str::parse::<u64>).transpose()?;
-                let head = head.map(|revision| HeadSeen {
+                let head = head.map(|revision| ObservedHead {
                     digest: digest(revision),
                     revision: Revision(revision),
                     version: revision * 10,
