--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -10,8 +10,8 @@
 use catkinmast_model::{Name, Refusal, SampleId};
 use catkinmast_rollout::{Attempt, Command, HoldingReport, Reply};
 use catkinmast_wire::{
-    FrameError, LENGTH_BYTES, STREAM_FRAME_MAX_BYTES, SharedKey, announced_length, length_prefix,
-    open, seal,
+    FrameError, LENGTH_BYTES, STREAM_FRAME_MAX_BYTES, SharedKey, length_prefix, open,
+    parse_length_prefix, seal,
 };
 use displaydoc::Display;
 use serde::de::DeserializeOwned;
@@ -102,7 +102,7 @@
     let read = async {
         let mut prefix = [0; LENGTH_BYTES];
         stream.read_exact(&mut prefix).await.map_err(PeerError::Broken)?;
-        let length = announced_length(prefix).map_err(PeerError::Frame)?;
+        let length = parse_length_prefix(prefix).map_err(PeerError::Frame)?;
         // Memory grows with what arrives, not with what was announced.
         let mut frame = Vec::new();
         let mut limited = stream.take(length as u64);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -139,7 +139,7 @@
 ///
 /// # Errors
 /// When the announced frame is too large.
-pub fn announced_length(prefix: [u8; LENGTH_BYTES]) -> Result<usize, FrameError> {
+pub fn parse_length_prefix(prefix: [u8; LENGTH_BYTES]) -> Result<usize, FrameError> {
     let size_bytes = u32::from_be_bytes(prefix) as usize;
     if size_bytes > STREAM_FRAME_MAX_BYTES {
         return Err(FrameError::TooLarge { size_bytes, allowed_bytes: STREAM_FRAME_MAX_BYTES });
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -4,7 +4,7 @@
 use catkinmast_member::Message;
 use catkinmast_model::{Labels, Name, Selector};
 use catkinmast_route::Ticket;
-use catkinmast_wire::{DATAGRAM_MAX_BYTES, FrameError, SharedKey, announced_length, open, seal};
+use catkinmast_wire::{DATAGRAM_MAX_BYTES, FrameError, SharedKey, open, parse_length_prefix, seal};
 use proptest::prelude::*;
 
 fn key() -> SharedKey {
@@ -95,7 +95,7 @@
 /// Symptom: a peer that announces four gigabytes takes the node's memory.
 #[test]
 fn an_announced_length_over_the_cap_is_refused_before_memory_is_taken() {
-    let announced = announced_length(u32::MAX.to_be_bytes());
+    let announced = parse_length_prefix(u32::MAX.to_be_bytes());
     assert!(matches!(announced, Err(FrameError::TooLarge { .. })), "{announced:?}");
 }
 
