--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::crashes;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, Chosen, Outgoing, WholeAnswer};
+use crate::forward::{self, AttemptFailure, Cause, Chosen, OutgoingRequest, WholeAnswer};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -182,7 +182,7 @@
         headers.remove(AUTHORIZATION);
     }
     let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str).to_owned();
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         body,
         deadline_at,
         headers,
@@ -297,7 +297,7 @@
 async fn serve<P: Platform>(
     node: &Rc<Node<P>>,
     route: &Route,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<WholeAnswer, Ending> {
     let began_at = clock::now();
     let budget_ms = outgoing.deadline_at.since_ms(began_at);
--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -5,7 +5,7 @@
 //! is asked at once, and the registry's word counts for some seconds after the break.
 
 use crate::clock;
-use crate::forward::{Chosen, Outgoing};
+use crate::forward::{Chosen, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -32,11 +32,11 @@
     chosen: Chosen,
     /// When its first event came: until then it may have waited at the target.
     first_event_at: Cell<Option<UnixMs>>,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
 }
 
 impl StreamRun {
-    pub(crate) const fn begin(chosen: Chosen, outgoing: Outgoing) -> Self {
+    pub(crate) const fn begin(chosen: Chosen, outgoing: OutgoingRequest) -> Self {
         Self { chosen, first_event_at: Cell::new(None), outgoing }
     }
 
@@ -64,7 +64,11 @@
 }
 
 /// Takes a request whose connection to its target broke while it may have run.
-pub(crate) fn broke_off<P: Platform>(node: &Rc<Node<P>>, chosen: &Chosen, outgoing: &Outgoing) {
+pub(crate) fn broke_off<P: Platform>(
+    node: &Rc<Node<P>>,
+    chosen: &Chosen,
+    outgoing: &OutgoingRequest,
+) {
     let Some(entry) = node.targets.borrow().entry(&chosen.id).cloned() else { return };
     // One that leaves as planned may break off what it has not finished by the end.
     if entry.draining {
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) use fate::{StreamRun, broke_off, target_changed};
 pub(crate) use records::keep;
 
-use crate::forward::{AttemptFailure, Cause, Outgoing};
+use crate::forward::{AttemptFailure, Cause, OutgoingRequest};
 use crate::node::Node;
 use crate::peers;
 use crate::platform::Platform;
@@ -35,7 +35,7 @@
 /// Tells whether a request is sent to no target, before one is chosen or waited for.
 pub(crate) fn check<P: Platform>(
     node: &Node<P>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
         Standing::Barred { until } => Err(barred(until)),
@@ -46,7 +46,7 @@
 /// Admits a request to a target, or says why it is not sent.
 pub(crate) async fn admit<P: Platform>(
     node: &Rc<Node<P>>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
         Standing::Clear => Ok(()),
@@ -55,7 +55,7 @@
     }
 }
 
-fn standing<P: Platform>(node: &Node<P>, outgoing: &Outgoing) -> Standing {
+fn standing<P: Platform>(node: &Node<P>, outgoing: &OutgoingRequest) -> Standing {
     if !is_any_known(node) {
         return Standing::Clear;
     }
@@ -64,7 +64,7 @@
 
 async fn admit_to_trial<P: Platform>(
     node: &Rc<Node<P>>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     number: usize,
 ) -> Result<(), AttemptFailure> {
     let fingerprint = outgoing.fingerprint();
@@ -88,7 +88,7 @@
 }
 
 /// Takes it that a target has answered a request.
-pub(crate) fn survived<P: Platform>(node: &Rc<Node<P>>, outgoing: &Outgoing) {
+pub(crate) fn survived<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
     if !is_any_known(node) && node.broken_off.borrow().is_empty() {
         return;
     }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -52,7 +52,7 @@
 
 /// A request as it goes to a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub body: Bytes,
     /// When the caller stops waiting.
     pub deadline_at: UnixMs,
@@ -67,7 +67,7 @@
     pub workspace: Option<String>,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Names what it asks, whatever its id.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let host = self.headers.get(http::header::HOST).and_then(|host| host.to_str().ok());
@@ -199,7 +199,7 @@
 pub(crate) async fn open<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &Chosen,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<(Response<Incoming>, Connection, AnswerMarks), AttemptFailure> {
     crashes::admit(node, outgoing).await?;
     let request = written::<P>(chosen, outgoing)
@@ -221,7 +221,7 @@
 
 fn written<P: Platform>(
     chosen: &Chosen,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let mut request = Request::builder()
         .method(outgoing.method.clone())
@@ -251,7 +251,7 @@
 pub(crate) async fn attempt<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &Chosen,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<WholeAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
     let counted = Counted::sent(node, outgoing.workspace.as_deref());
@@ -298,7 +298,7 @@
 async fn exchange<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &Chosen,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<WholeAnswer, AttemptFailure> {
     let (response, connection, marks) = open(node, chosen, outgoing).await?;
     let (mut head, body) = response.into_parts();
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::crashes::StreamRun;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, Chosen, InFlight, Outgoing, WholeAnswer};
+use crate::forward::{self, AttemptFailure, Cause, Chosen, InFlight, OutgoingRequest, WholeAnswer};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -94,7 +94,7 @@
 pub(crate) async fn stream<P: Platform>(
     node: &Rc<Node<P>>,
     route: &Route,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
 ) -> Answer<P> {
     let id = outgoing.request_id.clone();
     let mut tried = Vec::new();
@@ -124,7 +124,7 @@
 async fn start<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &Chosen,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<Answer<P>, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
     let began_at = clock::now();
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -3,7 +3,7 @@
 use super::finish;
 use crate::batches::{Held, Run};
 use crate::clock;
-use crate::forward::{self, Outgoing};
+use crate::forward::{self, OutgoingRequest};
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_dispatch::{Item, ItemResult, ItemState, NextItem, Progress, Reward};
@@ -125,12 +125,12 @@
     }
 }
 
-fn score_request(reward: &Reward) -> Outgoing {
+fn score_request(reward: &Reward) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     if let Ok(host) = HeaderValue::from_str(&reward.host) {
         headers.insert(HOST, host);
     }
-    Outgoing {
+    OutgoingRequest {
         body: reward.body.clone().into(),
         deadline_at: clock::now().plus(SCORE_MAX_MS),
         headers,
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -5,7 +5,7 @@
 use crate::batches::Held;
 use crate::clock;
 use crate::crashes::StreamRun;
-use crate::forward::{self, Chosen, InFlight, Outgoing};
+use crate::forward::{self, Chosen, InFlight, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -156,7 +156,7 @@
     Fingerprint::of(Method::POST.as_str(), host, &item.path, &item.body)
 }
 
-fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> Outgoing {
+fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -170,7 +170,7 @@
     }
     forward::strip_hop_by_hop(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
-    Outgoing {
+    OutgoingRequest {
         body: item.body.clone().into(),
         deadline_at: terms.give_up_at.min(clock::now().plus(RUN_MAX_MS)),
         headers,
