--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::crashes;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, Chosen, OutgoingRequest, WholeAnswer};
+use crate::forward::{self, AttemptFailure, Cause, ChosenTarget, OutgoingRequest, WholeAnswer};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -382,12 +382,12 @@
     node: &Node<P>,
     service: &str,
     tried: &[String],
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     let draw = node.draw();
     let chosen = node.pick(
         service,
         |_| true,
         |load, now, picks| load.choose(now, picks, tried, draw).map(|pick| pick.id.to_owned()),
     );
-    chosen.map(|(id, address)| Chosen { address, id })
+    chosen.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -5,7 +5,7 @@
 //! is asked at once, and the registry's word counts for some seconds after the break.
 
 use crate::clock;
-use crate::forward::{Chosen, OutgoingRequest};
+use crate::forward::{ChosenTarget, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -29,14 +29,14 @@
 /// A stream under way at a target.
 #[derive(Debug)]
 pub(crate) struct StreamRun {
-    chosen: Chosen,
+    chosen: ChosenTarget,
     /// When its first event came: until then it may have waited at the target.
     first_event_at: Cell<Option<UnixMs>>,
     outgoing: OutgoingRequest,
 }
 
 impl StreamRun {
-    pub(crate) const fn begin(chosen: Chosen, outgoing: OutgoingRequest) -> Self {
+    pub(crate) const fn begin(chosen: ChosenTarget, outgoing: OutgoingRequest) -> Self {
         Self { chosen, first_event_at: Cell::new(None), outgoing }
     }
 
@@ -66,7 +66,7 @@
 /// Takes a request whose connection to its target broke while it may have run.
 pub(crate) fn broke_off<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) {
     let Some(entry) = node.targets.borrow().entry(&chosen.id).cloned() else { return };
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -83,7 +83,7 @@
 
 /// A target that was chosen.
 #[derive(Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenTarget {
     pub address: SocketAddr,
     pub id: String,
 }
@@ -198,7 +198,7 @@
 /// calls, also those of a batch that was taken over. So a request that ends targets is stopped here.
 pub(crate) async fn open<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<(Response<Incoming>, Connection, AnswerMarks), AttemptFailure> {
     crashes::admit(node, outgoing).await?;
@@ -220,7 +220,7 @@
 }
 
 fn written<P: Platform>(
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let mut request = Request::builder()
@@ -250,7 +250,7 @@
 /// Sends a request and reads its answer whole, within the caller's time.
 pub(crate) async fn attempt<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<WholeAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
@@ -297,7 +297,7 @@
 
 async fn exchange<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<WholeAnswer, AttemptFailure> {
     let (response, connection, marks) = open(node, chosen, outgoing).await?;
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -7,7 +7,7 @@
 //! finds that number changed and does nothing.
 
 use crate::clock;
-use crate::forward::Chosen;
+use crate::forward::ChosenTarget;
 use crate::metrics::count;
 use crate::node::Node;
 use crate::peers;
@@ -178,7 +178,7 @@
     let Some(entry) = entry else { return OrderOutcome::Failed };
     let born_at_unix_ms = entry.born_at_unix_ms;
     let known = holder.accepted(&entry);
-    let chosen = Chosen { address: entry.address, id: entry.id };
+    let chosen = ChosenTarget { address: entry.address, id: entry.id };
     let expected_orders = match known {
         Some(accepted) => accepted,
         None => match report(node, &chosen).await {
@@ -244,7 +244,7 @@
 async fn wait_for_version<P: Platform>(
     node: &Rc<Node<P>>,
     holder: &Rc<Holder>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     order: &LoadOrder,
 ) -> OrderOutcome {
     for _ in 0..LOOKS_MAX {
@@ -278,7 +278,7 @@
 fn take_report<P: Platform>(
     node: &Node<P>,
     holder: &Holder,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     report: &EngineReport,
 ) {
     if !report.busy {
@@ -291,7 +291,7 @@
 
 async fn report<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
 ) -> Result<EngineReport, CallError> {
     let (status, body) = engine_call::<P>(node, chosen, None).await?;
     if status != StatusCode::OK {
@@ -310,7 +310,7 @@
 /// Sends an order, or asks for the report, at an engine.
 async fn engine_call<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     order: Option<(&'static str, Bytes)>,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let (request, body) = match order {
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -4,7 +4,9 @@
 use crate::clock;
 use crate::crashes::StreamRun;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, Chosen, InFlight, OutgoingRequest, WholeAnswer};
+use crate::forward::{
+    self, AttemptFailure, Cause, ChosenTarget, InFlight, OutgoingRequest, WholeAnswer,
+};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -123,7 +125,7 @@
 
 async fn start<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<Answer<P>, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::batches::{Held, Run};
 use crate::clock;
-use crate::forward::{Chosen, InFlight};
+use crate::forward::{ChosenTarget, InFlight};
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_dispatch::{ItemResult, NextItem};
@@ -78,7 +78,7 @@
     node: &Rc<Node<P>>,
     held: &Rc<RefCell<Held>>,
     next: NextItem,
-    chosen: Chosen,
+    chosen: ChosenTarget,
 ) {
     let group = held.borrow().batch.submission().items[next.index].group.clone();
     if let Some(group) = group {
--- a/crates/serve/src/runs/place.rs
+++ b/crates/serve/src/runs/place.rs
@@ -3,7 +3,7 @@
 use super::start_run;
 use crate::batches::Held;
 use crate::clock;
-use crate::forward::Chosen;
+use crate::forward::ChosenTarget;
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -93,7 +93,7 @@
     held: &Rc<RefCell<Held>>,
     index: usize,
     from: &str,
-    faster: Chosen,
+    faster: ChosenTarget,
 ) {
     let next = {
         let mut held = held.borrow_mut();
@@ -122,7 +122,7 @@
     index: usize,
     target: &str,
     own: &mut OwnTargets,
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     // Most runs are at targets like any other; a free one is looked for only for the rest.
     let (here_ms, fastest_ms) = {
         let load = node.load.borrow();
@@ -133,7 +133,8 @@
     }
     let (id, address) = pick_free(node, held, index, MOVED_RUN_MS, own)?;
     let there_ms = node.load.borrow().latency_ms(&id);
-    (there_ms > 0 && here_ms * 10 >= there_ms * MOVE_FROM_TENTHS).then_some(Chosen { address, id })
+    (there_ms > 0 && here_ms * 10 >= there_ms * MOVE_FROM_TENTHS)
+        .then_some(ChosenTarget { address, id })
 }
 
 pub(super) fn choose<P: Platform>(
@@ -141,13 +142,13 @@
     held: &RefCell<Held>,
     next: &NextItem,
     own: &mut OwnTargets,
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     let run_ms = {
         let held = held.borrow();
         let item = &held.batch.submission().items[next.index];
         node.expected_run_ms(item, next.progress.last_event_id)
     };
-    pick_free(node, held, next.index, run_ms, own).map(|(id, address)| Chosen { address, id })
+    pick_free(node, held, next.index, run_ms, own).map(|(id, address)| ChosenTarget { address, id })
 }
 
 /// Chooses a target with a free slot whose weights are new enough.
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -7,7 +7,7 @@
 use crate::batches::Held;
 use crate::clock;
 use crate::crashes;
-use crate::forward::{Chosen, InFlight};
+use crate::forward::{ChosenTarget, InFlight};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -209,7 +209,7 @@
     item: &str,
     run_ms: u64,
     first_target: Option<&str>,
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     let document = node.document()?;
     let route = document.route(&terms.host, path)?;
     let service = route.service(xxhash_rust::xxh3::xxh3_64(item.as_bytes()))?;
@@ -223,5 +223,5 @@
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
         load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
-    picked.map(|(id, address)| Chosen { address, id })
+    picked.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -5,7 +5,7 @@
 use crate::batches::Held;
 use crate::clock;
 use crate::crashes::StreamRun;
-use crate::forward::{self, Chosen, InFlight, OutgoingRequest};
+use crate::forward::{self, ChosenTarget, InFlight, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -81,7 +81,7 @@
     held: Rc<RefCell<Held>>,
     index: usize,
     progress: Rc<RefCell<Progress>>,
-    chosen: Chosen,
+    chosen: ChosenTarget,
     in_flight: InFlight<P>,
 ) {
     let began_at = clock::now();
@@ -188,7 +188,7 @@
     terms: &RunTerms,
     item: &Item,
     progress: &Rc<RefCell<Progress>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     longest_gap_ms: &Cell<u64>,
 ) -> RunEnd {
     let after = progress.borrow().last_event_id;
@@ -282,7 +282,7 @@
     async fn read<P: Platform>(
         &mut self,
         node: &Node<P>,
-        chosen: &Chosen,
+        chosen: &ChosenTarget,
         sent: &StreamRun,
     ) -> Result<(), ReadEnd> {
         let mut events = EventReader::default();
@@ -322,7 +322,7 @@
     fn take<P: Platform>(
         &mut self,
         node: &Node<P>,
-        chosen: &Chosen,
+        chosen: &ChosenTarget,
         event: &catkinmast_dispatch::StreamEvent,
     ) -> Result<(), String> {
         if let Some(version) = P::event_version(event) {
