--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::crashes;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, ChosenTarget, OutgoingRequest, WholeAnswer};
+use crate::forward::{self, AttemptFailure, Cause, ChosenTarget, CompleteAnswer, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -285,7 +285,7 @@
     ending.answer()
 }
 
-fn passed_on<P: Platform>(node: &Node<P>, answer: WholeAnswer) -> Answer<P> {
+fn passed_on<P: Platform>(node: &Node<P>, answer: CompleteAnswer) -> Answer<P> {
     count(&node.metrics.answers, "passed_on");
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = answer.status;
@@ -298,7 +298,7 @@
     node: &Rc<Node<P>>,
     route: &Route,
     outgoing: &OutgoingRequest,
-) -> Result<WholeAnswer, Ending> {
+) -> Result<CompleteAnswer, Ending> {
     let began_at = clock::now();
     let budget_ms = outgoing.deadline_at.since_ms(began_at);
     let mut tried: Vec<String> = Vec::new();
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -90,7 +90,7 @@
 
 /// A target's answer, whole.
 #[derive(Clone, Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteAnswer {
     pub body: Bytes,
     pub headers: HeaderMap,
     pub marks: AnswerMarks,
@@ -252,7 +252,7 @@
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
-) -> Result<WholeAnswer, AttemptFailure> {
+) -> Result<CompleteAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
     let counted = Counted::sent(node, outgoing.workspace.as_deref());
     let began_at = clock::now();
@@ -299,7 +299,7 @@
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
-) -> Result<WholeAnswer, AttemptFailure> {
+) -> Result<CompleteAnswer, AttemptFailure> {
     let (response, connection, marks) = open(node, chosen, outgoing).await?;
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -324,5 +324,5 @@
         crashes::survived(node, outgoing);
     }
     strip_hop_by_hop(&mut head.headers);
-    Ok(WholeAnswer { body, headers: head.headers, marks, status: head.status })
+    Ok(CompleteAnswer { body, headers: head.headers, marks, status: head.status })
 }
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -5,7 +5,7 @@
 use crate::crashes::StreamRun;
 use crate::feed::{self, Subject};
 use crate::forward::{
-    self, AttemptFailure, Cause, ChosenTarget, InFlight, OutgoingRequest, WholeAnswer,
+    self, AttemptFailure, Cause, ChosenTarget, CompleteAnswer, InFlight, OutgoingRequest,
 };
 use crate::metrics::count;
 use crate::node::Node;
@@ -176,11 +176,11 @@
     in_flight.end(Outcome::Answered { latency_ms });
     let body = read_whole(body, forward::HELD_MAX_BYTES).await.unwrap_or_default();
     node.pool.keep(connection, &kept);
-    let answer = WholeAnswer { body, headers: head.headers, marks, status: head.status };
+    let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
     Ok(failure_passed_on(answer))
 }
 
-fn failure_passed_on<P: Platform>(answer: WholeAnswer) -> Answer<P> {
+fn failure_passed_on<P: Platform>(answer: CompleteAnswer) -> Answer<P> {
     let status: StatusCode = answer.status;
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = status;
