--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::access::{self, Refusal};
 use crate::batches::{self, Acceptance, Lookup, Origin};
-use crate::caller::{Answer, COME_BACK_MS, Ending, ended, host, plain};
+use crate::caller::{Answer, COME_BACK_MS, ErrorAnswer, ended, host, plain};
 use crate::clock;
 use crate::metrics::count;
 use crate::node::Node;
@@ -30,7 +30,7 @@
         Ok(scope) => scope,
         Err(refusal) => {
             let id = P::caller_terms(headers).request_id;
-            return ended(node, id.as_deref(), None, &Ending::of(refusal));
+            return ended(node, id.as_deref(), None, &ErrorAnswer::of(refusal));
         }
     };
     let (batch, what, result) = match call {
@@ -56,7 +56,7 @@
         }
         Lookup::Missing => {
             node.note("batch_call_missing", json!({ "request": batch, "call": what }));
-            Ending::new(StatusCode::NOT_FOUND, "no such batch or item").answer()
+            ErrorAnswer::new(StatusCode::NOT_FOUND, "no such batch or item").answer()
         }
         Lookup::Unsure(why) => {
             let ms = clock::now().since_ms(began_at);
@@ -64,7 +64,7 @@
                 "batch_call_unsure",
                 json!({ "request": batch, "call": what, "why": why, "ms": ms }),
             );
-            Ending::not_run(why, COME_BACK_MS).answer()
+            ErrorAnswer::not_run(why, COME_BACK_MS).answer()
         }
     }
 }
@@ -92,13 +92,14 @@
             && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
     let Some(id) = id.filter(fits) else {
-        let ending = Ending::new(StatusCode::BAD_REQUEST, "a batch submission needs a plain id");
+        let ending =
+            ErrorAnswer::new(StatusCode::BAD_REQUEST, "a batch submission needs a plain id");
         return ended(node, None, Some(route), &ending);
     };
     let mut submission = match P::submission(&body) {
         Ok(submission) => submission,
         Err(error) => {
-            let ending = Ending::new(StatusCode::BAD_REQUEST, error.to_string());
+            let ending = ErrorAnswer::new(StatusCode::BAD_REQUEST, error.to_string());
             return ended(node, Some(&id), Some(route), &ending);
         }
     };
@@ -118,14 +119,14 @@
         }
         Acceptance::Taken => {
             let message = format!("the id {id} is taken");
-            let ending = Ending::new(StatusCode::CONFLICT, message);
+            let ending = ErrorAnswer::new(StatusCode::CONFLICT, message);
             ended(node, Some(&id), Some(route), &ending)
         }
         Acceptance::Unknown(refusal) => {
             let ending = if refusal.verdict == Verdict::NotRun {
-                Ending::not_run(refusal.message, COME_BACK_MS)
+                ErrorAnswer::not_run(refusal.message, COME_BACK_MS)
             } else {
-                Ending::new(StatusCode::GATEWAY_TIMEOUT, refusal.message)
+                ErrorAnswer::new(StatusCode::GATEWAY_TIMEOUT, refusal.message)
             };
             ended(node, Some(&id), Some(route), &ending)
         }
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -67,13 +67,13 @@
 
 /// A refusal or failure of our own.
 #[derive(Clone, Debug)]
-pub(crate) struct Ending {
+pub(crate) struct ErrorAnswer {
     come_back_ms: Option<u64>,
     message: String,
     status: StatusCode,
 }
 
-impl Ending {
+impl ErrorAnswer {
     pub(crate) fn new(status: StatusCode, message: impl Into<String>) -> Self {
         Self { come_back_ms: None, message: message.into(), status }
     }
@@ -148,7 +148,7 @@
             node,
             id.as_deref(),
             None,
-            &Ending::not_run("no configuration yet", COME_BACK_MS),
+            &ErrorAnswer::not_run("no configuration yet", COME_BACK_MS),
         );
     };
     let host = host(&head.headers).to_owned();
@@ -158,7 +158,7 @@
     };
     let workspace = match access::workspace(node, &document, route.is_public, &head.headers) {
         Ok(workspace) => workspace,
-        Err(refusal) => return ended(node, id.as_deref(), Some(&route), &Ending::of(refusal)),
+        Err(refusal) => return ended(node, id.as_deref(), Some(&route), &ErrorAnswer::of(refusal)),
     };
     let own_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
     let priority = own_rank.unwrap_or(route.priority);
@@ -208,27 +208,34 @@
     host.split(':').next().unwrap_or_default()
 }
 
-fn no_route<P: Platform>(node: &Node<P>, document: &Document, host: &str, path: &str) -> Ending {
+fn no_route<P: Platform>(
+    node: &Node<P>,
+    document: &Document,
+    host: &str,
+    path: &str,
+) -> ErrorAnswer {
     let message = format!("no route for {host}{path} in version {}", document.version);
     if feed::is_current(node, Subject::Operators) {
-        Ending::new(StatusCode::NOT_FOUND, message)
+        ErrorAnswer::new(StatusCode::NOT_FOUND, message)
     } else {
         // A newer version may have the route, and no caller asks again after a 404.
-        Ending::not_run(message, COME_BACK_MS)
+        ErrorAnswer::not_run(message, COME_BACK_MS)
     }
 }
 
-async fn read_body(body: Incoming, max_bytes: u64, until: UnixMs) -> Result<Bytes, Ending> {
+async fn read_body(body: Incoming, max_bytes: u64, until: UnixMs) -> Result<Bytes, ErrorAnswer> {
     let left_ms = until.since_ms(clock::now());
     let read = Limited::new(body, max_bytes as usize).collect();
     match tokio::time::timeout(Duration::from_millis(left_ms), read).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let message = format!("the body is larger than {max_bytes} bytes");
-            Err(Ending::new(StatusCode::PAYLOAD_TOO_LARGE, message))
+            Err(ErrorAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, message))
+        }
+        Ok(Err(error)) => Err(ErrorAnswer::new(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(_) => {
+            Err(ErrorAnswer::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"))
         }
-        Ok(Err(error)) => Err(Ending::new(StatusCode::BAD_REQUEST, error.to_string())),
-        Err(_) => Err(Ending::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
     }
 }
 
@@ -242,17 +249,17 @@
     ended(node, id, Some(route), &ending_of(failure))
 }
 
-fn ending_of(failure: &AttemptFailure) -> Ending {
+fn ending_of(failure: &AttemptFailure) -> ErrorAnswer {
     match failure.verdict {
         Verdict::NotRun => {
             let come_back_ms = match failure.cause {
                 Cause::Barred { come_back_ms } => come_back_ms,
                 Cause::Full | Cause::Other => FULL_COME_BACK_MS,
             };
-            Ending::not_run(failure.message.clone(), come_back_ms)
+            ErrorAnswer::not_run(failure.message.clone(), come_back_ms)
         }
         Verdict::MayHaveRun | Verdict::Ran => {
-            Ending::new(StatusCode::BAD_GATEWAY, failure.message.clone())
+            ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone())
         }
     }
 }
@@ -261,7 +268,7 @@
     node: &Node<P>,
     id: Option<&str>,
     route: Option<&Route>,
-    ending: &Ending,
+    ending: &ErrorAnswer,
 ) -> Answer<P> {
     let version = node.document().map(|document| document.version);
     node.note(
@@ -298,7 +305,7 @@
     node: &Rc<Node<P>>,
     route: &Route,
     outgoing: &OutgoingRequest,
-) -> Result<CompleteAnswer, Ending> {
+) -> Result<CompleteAnswer, ErrorAnswer> {
     let began_at = clock::now();
     let budget_ms = outgoing.deadline_at.since_ms(began_at);
     let mut tried: Vec<String> = Vec::new();
@@ -308,7 +315,7 @@
         let left_ms = outgoing.deadline_at.since_ms(clock::now());
         if left_ms <= ANSWER_BEFORE_MS {
             let status = StatusCode::GATEWAY_TIMEOUT;
-            return Err(Ending::new(status, format!("no answer in {budget_ms} ms")));
+            return Err(ErrorAnswer::new(status, format!("no answer in {budget_ms} ms")));
         }
         crashes::check(node, outgoing).map_err(|failure| barred(&failure, ran_somewhere))?;
         let service = route.service(node.draw()).unwrap_or_default();
@@ -365,9 +372,9 @@
 }
 
 /// How a request ends that is sent to no more targets: a target of this very call may have run it.
-fn barred(failure: &AttemptFailure, ran_somewhere: bool) -> Ending {
+fn barred(failure: &AttemptFailure, ran_somewhere: bool) -> ErrorAnswer {
     if ran_somewhere {
-        return Ending::new(StatusCode::BAD_GATEWAY, failure.message.clone());
+        return ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone());
     }
     ending_of(failure)
 }
