--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::access::{self, Refusal};
 use crate::batches::{self, Acceptance, Lookup, Origin};
-use crate::caller::{Answer, COME_BACK_MS, ErrorAnswer, ended, host, plain};
+use crate::caller::{Answer, ErrorAnswer, RETRY_AFTER_MS, ended, host, plain};
 use crate::clock;
 use crate::metrics::count;
 use crate::node::Node;
@@ -64,7 +64,7 @@
                 "batch_call_unsure",
                 json!({ "request": batch, "call": what, "why": why, "ms": ms }),
             );
-            ErrorAnswer::not_run(why, COME_BACK_MS).answer()
+            ErrorAnswer::not_run(why, RETRY_AFTER_MS).answer()
         }
     }
 }
@@ -124,7 +124,7 @@
         }
         Acceptance::Unknown(refusal) => {
             let ending = if refusal.verdict == Verdict::NotRun {
-                ErrorAnswer::not_run(refusal.message, COME_BACK_MS)
+                ErrorAnswer::not_run(refusal.message, RETRY_AFTER_MS)
             } else {
                 ErrorAnswer::new(StatusCode::GATEWAY_TIMEOUT, refusal.message)
             };
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -35,7 +35,7 @@
 
 /// When to come back after a refusal because this node has no configuration, or the store does
 /// not answer: about the time in which either returns after a restart.
-pub(crate) const COME_BACK_MS: u64 = 500;
+pub(crate) const RETRY_AFTER_MS: u64 = 500;
 /// When to come back after all targets refused for load: about one usual request's time.
 const FULL_COME_BACK_MS: u64 = 100;
 /// Pause before targets that have all been tried are tried again: a slot frees about that often. Targets
@@ -87,7 +87,7 @@
     pub(crate) fn of(refusal: Refusal) -> Self {
         match refusal {
             Refusal::Denied(why) => Self::new(StatusCode::UNAUTHORIZED, why),
-            Refusal::Unsure(why) => Self::not_run(why, COME_BACK_MS),
+            Refusal::Unsure(why) => Self::not_run(why, RETRY_AFTER_MS),
         }
     }
 
@@ -148,7 +148,7 @@
             node,
             id.as_deref(),
             None,
-            &ErrorAnswer::not_run("no configuration yet", COME_BACK_MS),
+            &ErrorAnswer::not_run("no configuration yet", RETRY_AFTER_MS),
         );
     };
     let host = host(&head.headers).to_owned();
@@ -219,7 +219,7 @@
         ErrorAnswer::new(StatusCode::NOT_FOUND, message)
     } else {
         // A newer version may have the route, and no caller asks again after a 404.
-        ErrorAnswer::not_run(message, COME_BACK_MS)
+        ErrorAnswer::not_run(message, RETRY_AFTER_MS)
     }
 }
 
