--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -23,7 +23,7 @@
 
 /// Answers up to this size are read whole before any of them is passed on, so that one that is
 /// cut can be asked for again; a usual answer is a thousandth of it.
-pub(crate) const HELD_MAX_BYTES: usize = 1 << 20;
+pub(crate) const BUFFERED_ANSWER_MAX_BYTES: usize = 1 << 20;
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [HeaderName; 7] = [
@@ -306,7 +306,7 @@
         let change = node.targets.borrow_mut().refused(&chosen.id);
         node.target_changed(&change, "another target answered at its address");
     }
-    let body = read_whole(body, HELD_MAX_BYTES).await.map_err(|error| {
+    let body = read_whole(body, BUFFERED_ANSWER_MAX_BYTES).await.map_err(|error| {
         crashes::broke_off(node, chosen, outgoing);
         AttemptFailure::of(error)
     })?;
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -174,7 +174,7 @@
         return Ok(Response::from_parts(head, Either::Right(relay)));
     }
     in_flight.end(Outcome::Answered { latency_ms });
-    let body = read_whole(body, forward::HELD_MAX_BYTES).await.unwrap_or_default();
+    let body = read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
     node.pool.keep(connection, &kept);
     let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
     Ok(failure_passed_on(answer))
