--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::peers;
 use crate::platform::Platform;
-use crate::pool::guard_against_silence;
+use crate::pool::set_timeouts_and_keepalive;
 use bytes::Bytes;
 use catkinmast_member::NodeState;
 use http::request::Parts;
@@ -51,7 +51,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                if guard_against_silence(&stream).is_ok() {
+                if set_timeouts_and_keepalive(&stream).is_ok() {
                     tokio::task::spawn_local(serve(Rc::clone(&node), stream));
                 }
             }
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -179,7 +179,7 @@
             Ok(Err(error)) => return Err(CallError::not_run(error.to_string())),
             Err(_) => return Err(CallError::not_run("no connection in time")),
         };
-        if let Err(error) = guard_against_silence(&stream) {
+        if let Err(error) = set_timeouts_and_keepalive(&stream) {
             return Err(CallError::not_run(error.to_string()));
         }
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
@@ -193,7 +193,7 @@
 
 /// A peer that lost power, or is cut off, sends nothing: without these a call on the connection
 /// hangs for good. It is noticed as requests that take until their deadline.
-pub(crate) fn guard_against_silence(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn set_timeouts_and_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))?;
