--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -5,7 +5,7 @@
 };
 use super::standby::send_copies;
 use super::write::{RETRY, save_texts, write_results};
-use super::{Held, LEFTOVER_KEPT_MS};
+use super::{LEFTOVER_KEPT_MS, LocalBatch};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
@@ -315,14 +315,14 @@
     accepted_at: UnixMs,
     terms: BatchTerms,
     chunks: &[Chunk],
-) -> (Held, usize) {
+) -> (LocalBatch, usize) {
     let Source { record, record_revision, results, submission, texts } = source;
     let workspace = record.origin.workspace.as_deref();
     let (mut batch, resumed) = open_batch(node, workspace, submission, terms, chunks, texts);
     for result in results {
         batch.finished(clock::now(), result);
     }
-    let held = Held {
+    let held = LocalBatch {
         accepted_at,
         batch,
         changed: Rc::new(Notify::new()),
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -1,6 +1,6 @@
 //! Ending a batch, and forgetting it when nobody reads it any more.
 
-use super::Held;
+use super::LocalBatch;
 use super::accept::ACCEPT_TRIES;
 use super::keys::{
     Record, RecordWrite, Scope, TRANSACTION_MAX_KEYS, chunk_key, encode, part_key, part_max_bytes,
@@ -143,7 +143,7 @@
 /// Gives up items whose time is over, and forgets batches that nobody reads any more.
 pub(super) async fn forget_old<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
-    let all: Vec<Rc<RefCell<Held>>> = node.batches.owned.borrow().values().cloned().collect();
+    let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     for held in all {
         let old = held.borrow().settled_at.is_some_and(|at| now.since_ms(at) > KEPT_MS);
         if old {
@@ -152,7 +152,7 @@
     }
 }
 
-pub(super) async fn forget<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) async fn forget<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     let (id, chunks) = (held.borrow().id.clone(), held.borrow().batch.next_chunk());
     let parts = encode(held.borrow().batch.submission())
         .map_or(1, |body| body.len().div_ceil(part_max_bytes(node)));
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -45,7 +45,7 @@
 
 /// A batch that this node owns.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct LocalBatch {
     /// When it was accepted, by our clock.
     pub accepted_at: UnixMs,
     /// The items and results.
@@ -72,7 +72,7 @@
     taken_over: bool,
 }
 
-impl Held {
+impl LocalBatch {
     /// Returns by which request it was submitted, and for whom.
     pub(crate) const fn origin(&self) -> &Origin {
         &self.record.origin
@@ -169,7 +169,7 @@
 pub(crate) struct Batches {
     leftovers: RefCell<Leftovers>,
     pub lookahead: RefCell<Lookahead>,
-    owned: RefCell<IndexMap<String, Rc<RefCell<Held>>>>,
+    owned: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
     owners: RefCell<IndexMap<String, ToldOwner>>,
     /// Runs of items for batches to come.
     pub second_runs: SecondRuns,
@@ -246,7 +246,7 @@
 
     /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
     pub(crate) fn stop_runs_at(&self, target: &str) {
-        let owned: Vec<Rc<RefCell<Held>>> = self.owned.borrow().values().cloned().collect();
+        let owned: Vec<Rc<RefCell<LocalBatch>>> = self.owned.borrow().values().cloned().collect();
         for held in owned.into_iter().chain(self.standby.interim()) {
             let mut held = held.borrow_mut();
             let at_target =
@@ -259,13 +259,13 @@
         self.second_runs.stop_where(|second| second.target == target);
     }
 
-    pub(crate) fn get(&self, batch: &str) -> Option<Rc<RefCell<Held>>> {
+    pub(crate) fn get(&self, batch: &str) -> Option<Rc<RefCell<LocalBatch>>> {
         self.owned.borrow().get(batch).cloned()
     }
 
     /// Returns the owned batches that have something left to run, the most urgent first.
-    pub(crate) fn open(&self) -> Vec<Rc<RefCell<Held>>> {
-        let mut open: Vec<Rc<RefCell<Held>>> = self
+    pub(crate) fn open(&self) -> Vec<Rc<RefCell<LocalBatch>>> {
+        let mut open: Vec<Rc<RefCell<LocalBatch>>> = self
             .owned
             .borrow()
             .values()
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -2,7 +2,7 @@
 
 use super::keys::{Record, read_record};
 use super::write::RETRY;
-use super::{Held, LeftText};
+use super::{LeftText, LocalBatch};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Owner};
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 /// Keeps what an ended batch leaves of its items: a later one may ask for the same ones.
-pub(super) fn keep_leftovers<P: Platform>(node: &Node<P>, held: &mut Held) {
+pub(super) fn keep_leftovers<P: Platform>(node: &Node<P>, held: &mut LocalBatch) {
     let now = clock::now();
     let mut leftovers = node.batches.leftovers.borrow_mut();
     let untaken = held.batch.untaken_groups();
@@ -35,7 +35,7 @@
 /// Takes a batch's record as it stands in the store.
 pub(super) fn take_record<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     record: Record,
     revision: u64,
 ) {
@@ -81,7 +81,7 @@
 }
 
 /// Stops a batch: nothing of it runs any more, and what it has of its texts is kept.
-pub(super) fn stop<P: Platform>(node: &Node<P>, held: &mut Held) {
+pub(super) fn stop<P: Platform>(node: &Node<P>, held: &mut LocalBatch) {
     held.batch.end();
     held.stop_runs();
     keep_leftovers(node, held);
@@ -92,14 +92,14 @@
 /// Asks the store whether this node still owns its batches, after a sign that others may have
 /// taken it for dead.
 pub(crate) fn doubt_all<P: Platform>(node: &Rc<Node<P>>) {
-    let all: Vec<Rc<RefCell<Held>>> = node.batches.owned.borrow().values().cloned().collect();
+    let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     node.note("ownership_doubted", json!({ "batches": all.len() }));
     for held in all {
         doubt(node, &held);
     }
 }
 
-pub(super) fn doubt<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) fn doubt<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     if std::mem::replace(&mut held.borrow_mut().doubted, true) {
         return;
     }
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -16,7 +16,7 @@
 use super::keys::Record;
 use super::succession::SKEW_MAX_MS;
 use super::write::SAVE_AFTER_MS;
-use super::{Held, OPEN_MAX_MS};
+use super::{LocalBatch, OPEN_MAX_MS};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
@@ -65,12 +65,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Standby {
     copies: RefCell<IndexMap<String, HeldCopy>>,
-    interim: RefCell<IndexMap<String, Rc<RefCell<Held>>>>,
+    interim: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
 }
 
 impl Standby {
     /// Returns the batches of which items run here until they have an owner.
-    pub(crate) fn interim(&self) -> Vec<Rc<RefCell<Held>>> {
+    pub(crate) fn interim(&self) -> Vec<Rc<RefCell<LocalBatch>>> {
         self.interim.borrow().values().cloned().collect()
     }
 
@@ -105,7 +105,7 @@
 
 /// Sends a copy of a batch to the node that would follow this one as its owner, and what is new of its
 /// texts for as long as it is open.
-pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<Held>>) {
+pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
     let id = held.borrow().id.clone();
     let mut told = Told::default();
     let mut sent_to = None;
@@ -125,7 +125,7 @@
     }
 }
 
-async fn send_copy<P: Platform>(node: &Node<P>, held: &RefCell<Held>, to: &Owner) -> bool {
+async fn send_copy<P: Platform>(node: &Node<P>, held: &RefCell<LocalBatch>, to: &Owner) -> bool {
     let (batch, copy) = {
         let held = held.borrow();
         let submission = held.batch.submission().clone();
@@ -136,7 +136,7 @@
 
 async fn send_texts<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     to: &Owner,
     told: &mut Told,
 ) -> bool {
--- a/crates/serve/src/batches/succession.rs
+++ b/crates/serve/src/batches/succession.rs
@@ -1,6 +1,6 @@
 //! Batches whose owner died or leaves: who takes them, and when.
 
-use super::Held;
+use super::LocalBatch;
 use super::accept::{Source, duty_of, own};
 use super::end::forget_old;
 use super::keys::{
@@ -293,7 +293,7 @@
     }
 }
 
-pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     let texts = {
         let mut held = held.borrow_mut();
         let texts = held.texts(0);
--- a/crates/serve/src/batches/write.rs
+++ b/crates/serve/src/batches/write.rs
@@ -1,6 +1,6 @@
 //! Writing results and begun texts to the store.
 
-use super::Held;
+use super::LocalBatch;
 use super::keys::{
     RECORDS, Record, chunk_key, encode, part_max_bytes, record_key, texts_key, unexpected,
     unreadable,
@@ -39,7 +39,7 @@
 /// its batch ended, without a word reaching it: its datagrams are lost or it has no processor time
 /// to read them. Items would then reach targets long after the end was confirmed, until the next
 /// result is written. So it learns of it here, [`SAVE_EVERY`] after the change at the latest.
-pub(super) async fn save_texts<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<Held>>) {
+pub(super) async fn save_texts<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
     let mut saved = 0;
     loop {
         sleep(SAVE_EVERY).await;
@@ -76,7 +76,7 @@
 }
 
 /// Writes the results of a batch as they come, until it is settled or another owns it.
-pub(super) async fn write_results<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<Held>>) {
+pub(super) async fn write_results<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
     let finished = Rc::clone(&held.borrow().finished);
     loop {
         if !held.borrow().owned {
@@ -110,7 +110,7 @@
 }
 
 /// Waits for more results to write with the first, unless the trainer waits for just what is there.
-async fn gather(held: &RefCell<Held>, finished: &Notify) {
+async fn gather(held: &RefCell<LocalBatch>, finished: &Notify) {
     let until = clock::now().plus(GATHER_MS);
     loop {
         let left_ms = until.since_ms(clock::now());
@@ -124,7 +124,10 @@
 }
 
 /// Writes the next chunk; returns false when it must be tried again.
-pub(super) async fn write_chunk<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) -> bool {
+pub(super) async fn write_chunk<P: Platform>(
+    node: &Rc<Node<P>>,
+    held: &Rc<RefCell<LocalBatch>>,
+) -> bool {
     let (id, chunk, call) = {
         let mut held = held.borrow_mut();
         let revision = held.record_revision;
@@ -167,7 +170,7 @@
 
 pub(super) fn listed<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     chunk: &Chunk,
     revision: u64,
 ) {
@@ -188,7 +191,7 @@
 /// Another has written the chunk or changed the record: takes what is there.
 pub(super) fn resolve_conflict<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     items: &[StoredItem],
 ) {
     for item in items {
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use second::SecondRuns;
 
-use crate::batches::{Held, Run};
+use crate::batches::{LocalBatch, Run};
 use crate::clock;
 use crate::forward::{ChosenTarget, InFlight};
 use crate::node::Node;
@@ -51,7 +51,7 @@
     }
 }
 
-fn start_items<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+fn start_items<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     let now = clock::now();
     let mut own = OwnTargets::default();
     let given_up = held.borrow_mut().batch.expire(now);
@@ -76,7 +76,7 @@
 
 fn start_run<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<Held>>,
+    held: &Rc<RefCell<LocalBatch>>,
     next: NextItem,
     chosen: ChosenTarget,
 ) {
@@ -100,7 +100,7 @@
     held.borrow_mut().runs.insert(index, run);
 }
 
-fn finish<P: Platform>(node: &Node<P>, held: &RefCell<Held>, result: ItemResult) {
+fn finish<P: Platform>(node: &Node<P>, held: &RefCell<LocalBatch>, result: ItemResult) {
     let mut held = held.borrow_mut();
     let now = clock::now();
     let ms = now.since_ms(held.accepted_at);
--- a/crates/serve/src/runs/place.rs
+++ b/crates/serve/src/runs/place.rs
@@ -1,7 +1,7 @@
 //! Where runs take place, and when one moves to another target.
 
 use super::start_run;
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
 use crate::forward::ChosenTarget;
 use crate::metrics::count;
@@ -63,7 +63,7 @@
 /// A run is started at the free target as soon as it has stopped. Put back to wait for the next
 /// look, several runs left slow targets for one free slot, and all but one went back to where they
 /// had been: some moved every 300 ms and generated nothing.
-pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     if held.borrow().batch.has_waiting() {
         return;
     }
@@ -90,7 +90,7 @@
 
 fn move_run<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<Held>>,
+    held: &Rc<RefCell<LocalBatch>>,
     index: usize,
     from: &str,
     faster: ChosenTarget,
@@ -118,7 +118,7 @@
 /// Returns a free target that is worth the move of a run.
 fn faster_target<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     index: usize,
     target: &str,
     own: &mut OwnTargets,
@@ -139,7 +139,7 @@
 
 pub(super) fn choose<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     next: &NextItem,
     own: &mut OwnTargets,
 ) -> Option<ChosenTarget> {
@@ -154,7 +154,7 @@
 /// Chooses a target with a free slot whose weights are new enough.
 fn pick_free<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     index: usize,
     run_ms: u64,
     own: &mut OwnTargets,
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -1,7 +1,7 @@
 //! Scores of items whose texts are whole.
 
 use super::finish;
-use crate::batches::{Held, Run};
+use crate::batches::{LocalBatch, Run};
 use crate::clock;
 use crate::forward::{self, OutgoingRequest};
 use crate::node::Node;
@@ -26,7 +26,7 @@
 /// Scores an item whose whole text an earlier run has left.
 pub(super) fn start_scoring<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<Held>>,
+    held: &Rc<RefCell<LocalBatch>>,
     next: NextItem,
 ) {
     let NextItem { index, progress } = next;
@@ -50,7 +50,7 @@
 /// Scores an item whose text is whole, and takes its result.
 pub(super) async fn score_item<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     index: usize,
     item: &Item,
     progress: Progress,
@@ -82,7 +82,7 @@
 /// often as it may.
 async fn score<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     reward: &Reward,
 ) -> Option<String> {
     let attempts = held.borrow().batch.terms().attempts;
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -4,7 +4,7 @@
 //! the batch ends. The batch in which its item comes again takes the text and goes on from there.
 
 use super::stream::{RunEnd, RunTerms, fingerprint, run};
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes;
 use crate::forward::{ChosenTarget, InFlight};
@@ -117,7 +117,7 @@
     }
 }
 
-fn to_redo(held: &Held, now: UnixMs, next_oldest: u64) -> Vec<usize> {
+fn to_redo(held: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
     let text_version = |index: usize| {
         let run = held.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
@@ -125,7 +125,12 @@
     held.batch.worth_redoing(now, next_oldest, text_version)
 }
 
-fn start<P: Platform>(node: &Rc<Node<P>>, held: &RefCell<Held>, index: usize, next_oldest: u64) {
+fn start<P: Platform>(
+    node: &Rc<Node<P>>,
+    held: &RefCell<LocalBatch>,
+    index: usize,
+    next_oldest: u64,
+) {
     let (item, batch, terms, first_target) = {
         let held = held.borrow();
         let item = held.batch.submission().items[index].clone();
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -2,7 +2,7 @@
 
 use super::score::score_item;
 use super::{FAILED_PAUSE_MS, FULL_PAUSE_MS, finish};
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes::StreamRun;
 use crate::forward::{self, ChosenTarget, InFlight, OutgoingRequest};
@@ -49,7 +49,7 @@
 
 impl RunTerms {
     /// Returns those of a batch's own runs.
-    pub(super) fn of(held: &Held) -> Self {
+    pub(super) fn of(held: &LocalBatch) -> Self {
         let submission = held.batch.submission();
         Self {
             give_up_at: held.batch.terms().give_up_at,
@@ -78,7 +78,7 @@
 
 pub(super) async fn run_item<P: Platform>(
     node: Rc<Node<P>>,
-    held: Rc<RefCell<Held>>,
+    held: Rc<RefCell<LocalBatch>>,
     index: usize,
     progress: Rc<RefCell<Progress>>,
     chosen: ChosenTarget,
