--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -60,7 +60,7 @@
 }
 
 /// Takes the word that a batch has another owner: asks the store whether it is so.
-pub(crate) fn told_owner<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
+pub(crate) fn on_owner_reported<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     match node.batches.get(batch) {
         Some(held) => doubt(node, &held),
         None => node.batches.note_owner(batch, owner),
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -155,7 +155,7 @@
         Ok(Datagram::BatchOrphaned { batch, owner }) => batches::told_orphaned(node, &batch, owner),
         Ok(Datagram::BatchOwned { batch, model, owner, work_tokens }) => {
             node.note_demand(model.as_deref(), work_tokens);
-            batches::told_owner(node, &batch, owner);
+            batches::on_owner_reported(node, &batch, owner);
         }
         Ok(Datagram::StoreReturned) => outage::told_over(node),
         Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
