--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -68,7 +68,7 @@
 }
 
 /// Takes the word that a batch is ended, which is only given once that is durable.
-pub(crate) fn told_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
+pub(crate) fn on_batch_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     node.batches.note_ended(batch);
     node.batches.standby.forget(batch);
     let Some(held) = node.batches.get(batch) else { return };
