--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) use ownership::{doubt_all, on_batch_ended, on_owner_reported};
 pub(crate) use read::{Lookup, item_body, item_body_owned, read, read_owned};
 pub(crate) use standby::{BatchCopy, keep_copy, keep_texts};
-pub(crate) use succession::{adopt, adopt_orphans, hand_over_all, told_orphaned};
+pub(crate) use succession::{adopt, adopt_orphans, hand_over_all, on_batch_orphaned};
 
 use crate::clock;
 use crate::peers::Owner;
--- a/crates/serve/src/batches/succession.rs
+++ b/crates/serve/src/batches/succession.rs
@@ -121,7 +121,7 @@
 }
 
 /// Takes the word of a searching node that a batch's owner is dead and that it falls to this node.
-pub(crate) fn told_orphaned<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
+pub(crate) fn on_batch_orphaned<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     let is_dead = is_dead(node, &owner);
     node.batches.note_owner(batch, owner);
     if is_dead && node.batches.get(batch).is_none() {
