--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) use accept::{Acceptance, accept, submit};
 pub(crate) use end::{end, end_owned};
 pub(crate) use keys::{Origin, Scope};
-pub(crate) use ownership::{doubt_all, on_batch_ended, on_owner_reported};
+pub(crate) use ownership::{on_batch_ended, on_owner_reported, verify_ownership_of_all};
 pub(crate) use read::{Lookup, item_body, item_body_owned, read, read_owned};
 pub(crate) use standby::{BatchCopy, keep_copy, keep_texts};
 pub(crate) use succession::{adopt, adopt_orphans, hand_over_all, on_batch_orphaned};
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -91,7 +91,7 @@
 
 /// Asks the store whether this node still owns its batches, after a sign that others may have
 /// taken it for dead.
-pub(crate) fn doubt_all<P: Platform>(node: &Rc<Node<P>>) {
+pub(crate) fn verify_ownership_of_all<P: Platform>(node: &Rc<Node<P>>) {
     let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     node.note("ownership_doubted", json!({ "batches": all.len() }));
     for held in all {
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -115,7 +115,7 @@
                 with_members(&node, Membership::tick);
                 node.usage.clock_shows(node.settings().peer, UnixMs::from_wall_clock());
                 if doubts.arise(&node) {
-                    batches::doubt_all(&node);
+                    batches::verify_ownership_of_all(&node);
                 }
             }
             received = node.datagrams.recv_from(&mut buffer) => {
