--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -62,7 +62,7 @@
 /// Takes the word that a batch has another owner: asks the store whether it is so.
 pub(crate) fn on_owner_reported<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     match node.batches.get(batch) {
-        Some(held) => doubt(node, &held),
+        Some(held) => verify_ownership(node, &held),
         None => node.batches.note_owner(batch, owner),
     }
 }
@@ -77,7 +77,7 @@
     }
     stop(node, &mut held.borrow_mut());
     node.note("batch_ended_elsewhere", json!({ "request": batch }));
-    doubt(node, &held);
+    verify_ownership(node, &held);
 }
 
 /// Stops a batch: nothing of it runs any more, and what it has of its texts is kept.
@@ -95,11 +95,11 @@
     let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     node.note("ownership_doubted", json!({ "batches": all.len() }));
     for held in all {
-        doubt(node, &held);
+        verify_ownership(node, &held);
     }
 }
 
-pub(super) fn doubt<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
+pub(super) fn verify_ownership<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     if std::mem::replace(&mut held.borrow_mut().doubted, true) {
         return;
     }
