--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -326,7 +326,7 @@
         accepted_at,
         batch,
         changed: Rc::new(Notify::new()),
-        doubted: false,
+        unverified: false,
         finished: Rc::new(Notify::new()),
         group_targets: IndexMap::new(),
         record,
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -62,7 +62,7 @@
     pub id: String,
     /// Whether another may have taken it meanwhile; until the store was asked, nothing is said of
     /// it. A paused owner would otherwise show fewer results than its successor has listed.
-    doubted: bool,
+    unverified: bool,
     /// Whether this node still owns it.
     pub owned: bool,
     /// The runs in progress, by the item's index.
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -100,7 +100,7 @@
 }
 
 pub(super) fn verify_ownership<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
-    if std::mem::replace(&mut held.borrow_mut().doubted, true) {
+    if std::mem::replace(&mut held.borrow_mut().unverified, true) {
         return;
     }
     let (node, held) = (Rc::clone(node), Rc::clone(held));
@@ -110,7 +110,7 @@
             match read_record(&node, &id).await {
                 Ok(Some((record, revision))) => {
                     take_record(&node, &held, record, revision);
-                    held.borrow_mut().doubted = false;
+                    held.borrow_mut().unverified = false;
                     return;
                 }
                 Ok(None) => return,
--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -38,7 +38,7 @@
         let changed = changed.notified();
         {
             let held = held.borrow();
-            if !held.owned || held.doubted {
+            if !held.owned || held.unverified {
                 return PeerAnswer::NotOwner;
             }
             let page = held.batch.page(after, PAGE_MAX_BYTES);
