--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -161,7 +161,7 @@
 }
 
 /// Keeps a copy for the owner of a batch, unless the word of its end came first.
-pub(crate) fn keep_copy<P: Platform>(node: &Node<P>, batch: String, copy: BatchCopy) {
+pub(crate) fn accept_copy<P: Platform>(node: &Node<P>, batch: String, copy: BatchCopy) {
     if node.batches.is_ended(&batch) {
         return;
     }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -329,7 +329,7 @@
             PeerAnswer::Adopting
         }
         PeerCall::KeepCopy { batch, copy } => {
-            batches::keep_copy(&node, batch, *copy);
+            batches::accept_copy(&node, batch, *copy);
             PeerAnswer::Accepted
         }
         PeerCall::KeepTexts { batch, texts } => {
