--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -170,7 +170,11 @@
 }
 
 /// Keeps what is new of the texts of a copied batch; returns false when something before is missing.
-pub(crate) fn keep_texts<P: Platform>(node: &Node<P>, batch: &str, texts: Vec<TextNews>) -> bool {
+pub(crate) fn accept_copied_outputs<P: Platform>(
+    node: &Node<P>,
+    batch: &str,
+    texts: Vec<TextNews>,
+) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
     copies.get_mut(batch).is_some_and(|held| held.texts.take(texts))
 }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -333,7 +333,7 @@
             PeerAnswer::Accepted
         }
         PeerCall::KeepTexts { batch, texts } => {
-            if batches::keep_texts(&node, &batch, texts) {
+            if batches::accept_copied_outputs(&node, &batch, texts) {
                 PeerAnswer::Accepted
             } else {
                 PeerAnswer::Unavailable
