--- a/crates/serve/src/batches/succession.rs
+++ b/crates/serve/src/batches/succession.rs
@@ -331,7 +331,7 @@
 }
 
 /// Takes a batch that its owner gives to this node.
-pub(crate) fn adopt<P: Platform>(
+pub(crate) fn accept_handover<P: Platform>(
     node: &Rc<Node<P>>,
     batch: String,
     texts: Vec<(String, Progress)>,
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -325,7 +325,7 @@
             batches::read_owned(&node, &batch, &scope, after, wait_ms).await
         }
         PeerCall::Adopt { batch, texts } => {
-            batches::adopt(&node, batch, texts);
+            batches::accept_handover(&node, batch, texts);
             PeerAnswer::Adopting
         }
         PeerCall::KeepCopy { batch, copy } => {
