--- a/crates/serve/src/batches/succession.rs
+++ b/crates/serve/src/batches/succession.rs
@@ -62,7 +62,7 @@
 ///
 /// All nodes are told of batches and their owners, so most deaths need no look at the store: the
 /// first in rank takes what it was told of. [`SEARCHERS`] look for the rest, and tell whom it falls to.
-pub(crate) async fn adopt_orphans<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn take_over_orphans<P: Platform>(node: Rc<Node<P>>) {
     node.batches.started_at.set(clock::now());
     sweep(&node, Search::FormerLife).await;
     sleep(Duration::from_millis(peers::SETTLE_MS)).await;
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -163,7 +163,7 @@
     }
     node.ready.set(true);
     node.note("ready", json!({ "incarnation": incarnation.0 }));
-    spawn_local(batches::adopt_orphans(Rc::clone(&node)));
+    spawn_local(batches::take_over_orphans(Rc::clone(&node)));
     spawn_local(runs::schedule(Rc::clone(&node)));
     spawn_local(orders::give_orders(Rc::clone(&node)));
     spawn_local(duties::serve(Rc::clone(&node)));
