--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -10,7 +10,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use crate::turn::{self, Turn};
+use crate::turn::{self, QueuePlace};
 use bytes::Bytes;
 use catkinmast_dispatch::{Document, Route, RouteKind};
 use catkinmast_model::{UnixMs, Verdict};
@@ -356,7 +356,7 @@
             sleep(TRIED_PAUSE).await;
             if is_full {
                 let workspace = outgoing.workspace.as_deref();
-                let turn = Turn::wait(node, service, began_at, workspace, outgoing.priority);
+                let turn = QueuePlace::wait(node, service, began_at, workspace, outgoing.priority);
                 while !turn.is_due() && clock::now() <= refuse_at {
                     sleep(TRIED_PAUSE).await;
                 }
--- a/crates/serve/src/turn.rs
+++ b/crates/serve/src/turn.rs
@@ -9,13 +9,13 @@
 
 /// A request that waits; it leaves when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Turn<P: Platform> {
+pub(crate) struct QueuePlace<P: Platform> {
     id: TurnId,
     node: Rc<Node<P>>,
     service: String,
 }
 
-impl<P: Platform> Turn<P> {
+impl<P: Platform> QueuePlace<P> {
     /// Begins to wait for a request that came `since`.
     pub(crate) fn wait(
         node: &Rc<Node<P>>,
@@ -36,7 +36,7 @@
     }
 }
 
-impl<P: Platform> Drop for Turn<P> {
+impl<P: Platform> Drop for QueuePlace<P> {
     fn drop(&mut self) {
         if let Some(turns) = self.node.turns.borrow_mut().get_mut(&self.service) {
             turns.leave(self.id);
