--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -111,7 +111,7 @@
 }
 
 /// Takes what another node tells.
-pub(crate) fn told<P: Platform>(node: &Node<P>, crash: &CrashFact) {
+pub(crate) fn on_evidence_received<P: Platform>(node: &Node<P>, crash: &CrashFact) {
     learn(node, crash.fingerprint, &crash.evidence, "a peer");
 }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -196,7 +196,7 @@
 
 fn fact_changed<P: Platform>(node: &Node<P>, fact: &Fact) {
     match fact {
-        Fact::Crash(crash) => crashes::told(node, crash),
+        Fact::Crash(crash) => crashes::on_evidence_received(node, crash),
         Fact::Node(peer) => node_changed(node, peer),
         Fact::Config(_) | Fact::Owner(_) | Fact::Target(_) => {}
     }
