--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -9,7 +9,7 @@
 mod records;
 
 pub(crate) use fate::{StreamRun, broke_off, target_changed};
-pub(crate) use records::keep;
+pub(crate) use records::maintain_records;
 
 use crate::forward::{AttemptFailure, Cause, OutgoingRequest};
 use crate::node::Node;
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -52,7 +52,7 @@
 
 /// Keeps the evidence until the process ends: writes what is new, reads what an earlier fleet has left,
 /// forgets what is old.
-pub(crate) async fn keep<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn maintain_records<P: Platform>(node: Rc<Node<P>>) {
     let mut has_recalled = false;
     loop {
         if timeout(LOOK_EVERY, node.crashes_changed.notified()).await.is_ok() {
