--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -257,7 +257,7 @@
         let (response, connection) = node.pool.send(duties.address, request).await?;
         let (head, body) = response.into_parts();
         read_whole(body, ANSWER_MAX_BYTES).await?;
-        node.pool.keep(connection, &head.headers);
+        node.pool.release(connection, &head.headers);
         Ok(head.status)
     };
     let answer = timeout(CALL_MAX, exchange).await;
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -310,7 +310,7 @@
         crashes::broke_off(node, chosen, outgoing);
         AttemptFailure::of(error)
     })?;
-    node.pool.keep(connection, &head.headers);
+    node.pool.release(connection, &head.headers);
     if let Some(refusal) = refusal(head.status, &marks) {
         return Err(refusal);
     }
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -359,7 +359,7 @@
         let (response, connection) = self.pool.send(address, request).await.map_err(failed)?;
         let (head, body) = response.into_parts();
         let body = read_whole(body, STORE_ANSWER_MAX_BYTES).await.map_err(failed)?;
-        self.pool.keep(connection, &head.headers);
+        self.pool.release(connection, &head.headers);
         P::store_answer(call, head.status.as_u16(), &body)
     }
 
@@ -427,7 +427,7 @@
             let (response, connection) = self.pool.send(peer, request).await?;
             let (head, body) = response.into_parts();
             let body = read_whole(body, STORE_ANSWER_MAX_BYTES).await?;
-            self.pool.keep(connection, &head.headers);
+            self.pool.release(connection, &head.headers);
             postcard::from_bytes(&body).map_err(|error| CallError::may_have_run(error.to_string()))
         };
         match timeout(max, exchange).await {
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -331,7 +331,7 @@
         let (response, connection) = node.pool.send(chosen.address, request).await?;
         let (head, body) = response.into_parts();
         let body = read_whole(body, REPORT_MAX_BYTES).await?;
-        node.pool.keep(connection, &head.headers);
+        node.pool.release(connection, &head.headers);
         Ok((head.status, body))
     };
     match timeout(ENGINE_MAX, exchange).await {
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -121,7 +121,7 @@
     }
 
     /// Gives a connection back whose answer was read whole.
-    pub(crate) fn keep(&self, mut connection: Connection, answer: &HeaderMap) {
+    pub(crate) fn release(&self, mut connection: Connection, answer: &HeaderMap) {
         let closes = answer
             .get(http::header::CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -86,7 +86,7 @@
         if let Some(connection) = self.connection.take()
             && whole
         {
-            self.node.pool.keep(connection, &self.head);
+            self.node.pool.release(connection, &self.head);
         }
         count(&self.node.metrics.answers, if whole { "streamed" } else { "stream_broken" });
     }
@@ -175,7 +175,7 @@
     }
     in_flight.end(Outcome::Answered { latency_ms });
     let body = read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
-    node.pool.keep(connection, &kept);
+    node.pool.release(connection, &kept);
     let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
     Ok(failure_passed_on(answer))
 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -212,7 +212,7 @@
             node.target_changed(&change, "another target answered at its address");
         }
         if crate::pool::read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
-            node.pool.keep(connection, &parts.headers);
+            node.pool.release(connection, &parts.headers);
         }
         return broken(&refusal.message, Outcome::Full);
     }
@@ -220,7 +220,7 @@
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => {
             if crate::pool::read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
-                node.pool.keep(connection, &parts.headers);
+                node.pool.release(connection, &parts.headers);
             }
             return RunEnd::Failed;
         }
@@ -245,7 +245,7 @@
     longest_gap_ms.set(stream.longest_gap_ms);
     match read {
         Ok(()) => {
-            node.pool.keep(connection, &parts.headers);
+            node.pool.release(connection, &parts.headers);
             stream.progress.borrow_mut().whole = true;
             sent.ended_whole(node);
             RunEnd::Whole
