--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -213,7 +213,7 @@
             }),
         );
         if !matches!(change, TargetChange::Joined(_)) {
-            self.pool.forget(entry.address);
+            self.pool.close_idle(entry.address);
         }
         crashes::target_changed(self, change, &entry);
         if matches!(change, TargetChange::Reborn(_)) {
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -217,7 +217,7 @@
         }),
     );
     if matches!(peer.state, NodeState::Gone) {
-        node.pool.forget(peer.control);
+        node.pool.close_idle(peer.control);
         node.batches.orphaned.notify_one();
     }
 }
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -145,7 +145,7 @@
     }
 
     /// Closes all idle connections to an address.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().swap_remove(&address);
     }
 
