--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -84,10 +84,10 @@
 
 /// Asks a target's address whether anybody listens there.
 async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: Life) {
-    let mut is_closed = node.pool.is_closed(address).await;
+    let mut is_closed = node.pool.refuses_connections(address).await;
     if !is_closed {
         sleep(ASK_AGAIN_AFTER).await;
-        is_closed = node.pool.is_closed(address).await;
+        is_closed = node.pool.refuses_connections(address).await;
     }
     if is_closed {
         take(&node, Fate::Ended(&life), "refused");
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -165,7 +165,7 @@
 
     /// Tells whether nobody listens at an address: the process that did has ended. One that does not
     /// answer may be cut off.
-    pub(crate) async fn is_closed(&self, address: SocketAddr) -> bool {
+    pub(crate) async fn refuses_connections(&self, address: SocketAddr) -> bool {
         self.opened.inc();
         let opened = timeout(CONNECT_MAX, TcpStream::connect(address)).await;
         let refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
