--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use crate::peers;
 use crate::platform::{DutyCall, Platform};
-use crate::pool::{CallError, read_whole};
+use crate::pool::{CallError, read_body};
 use crate::scaling;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoredItem};
@@ -256,7 +256,7 @@
     let exchange = async {
         let (response, connection) = node.pool.send(duties.address, request).await?;
         let (head, body) = response.into_parts();
-        read_whole(body, ANSWER_MAX_BYTES).await?;
+        read_body(body, ANSWER_MAX_BYTES).await?;
         node.pool.release(connection, &head.headers);
         Ok(head.status)
     };
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -6,7 +6,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::{AnswerMarks, Platform, RequestMarks};
-use crate::pool::{CallError, Connection, read_whole};
+use crate::pool::{CallError, Connection, read_body};
 use crate::usage::Counted;
 use bytes::Bytes;
 use catkinmast_dispatch::Outcome;
@@ -306,7 +306,7 @@
         let change = node.targets.borrow_mut().refused(&chosen.id);
         node.target_changed(&change, "another target answered at its address");
     }
-    let body = read_whole(body, BUFFERED_ANSWER_MAX_BYTES).await.map_err(|error| {
+    let body = read_body(body, BUFFERED_ANSWER_MAX_BYTES).await.map_err(|error| {
         crashes::broke_off(node, chosen, outgoing);
         AttemptFailure::of(error)
     })?;
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -8,7 +8,7 @@
 use crate::outage::{self, Outage};
 use crate::peers::{PeerAnswer, PeerCall};
 use crate::platform::Platform;
-use crate::pool::{Pool, read_whole};
+use crate::pool::{Pool, read_body};
 use crate::settings::Settings;
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal};
 use crate::trail::Trail;
@@ -358,7 +358,7 @@
         };
         let (response, connection) = self.pool.send(address, request).await.map_err(failed)?;
         let (head, body) = response.into_parts();
-        let body = read_whole(body, STORE_ANSWER_MAX_BYTES).await.map_err(failed)?;
+        let body = read_body(body, STORE_ANSWER_MAX_BYTES).await.map_err(failed)?;
         self.pool.release(connection, &head.headers);
         P::store_answer(call, head.status.as_u16(), &body)
     }
@@ -426,7 +426,7 @@
         let exchange = async {
             let (response, connection) = self.pool.send(peer, request).await?;
             let (head, body) = response.into_parts();
-            let body = read_whole(body, STORE_ANSWER_MAX_BYTES).await?;
+            let body = read_body(body, STORE_ANSWER_MAX_BYTES).await?;
             self.pool.release(connection, &head.headers);
             postcard::from_bytes(&body).map_err(|error| CallError::may_have_run(error.to_string()))
         };
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::peers;
 use crate::platform::{EngineReport, OrderCall, Platform};
-use crate::pool::{CallError, read_whole};
+use crate::pool::{CallError, read_body};
 use crate::store::{Put, StoreCall};
 use crate::tenancy::Tenancy;
 use bytes::Bytes;
@@ -330,7 +330,7 @@
     let exchange = async {
         let (response, connection) = node.pool.send(chosen.address, request).await?;
         let (head, body) = response.into_parts();
-        let body = read_whole(body, REPORT_MAX_BYTES).await?;
+        let body = read_body(body, REPORT_MAX_BYTES).await?;
         node.pool.release(connection, &head.headers);
         Ok((head.status, body))
     };
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -214,7 +214,7 @@
 }
 
 /// Reads a whole body of at most `max_bytes`.
-pub(crate) async fn read_whole(body: Incoming, max_bytes: usize) -> Result<Bytes, CallError> {
+pub(crate) async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, CallError> {
     let limited = http_body_util::Limited::new(body, max_bytes);
     match limited.collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -10,7 +10,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use crate::pool::{Connection, read_whole};
+use crate::pool::{Connection, read_body};
 use crate::usage::Counted;
 use bytes::Bytes;
 use catkinmast_dispatch::{Outcome, Route};
@@ -174,7 +174,7 @@
         return Ok(Response::from_parts(head, Either::Right(relay)));
     }
     in_flight.end(Outcome::Answered { latency_ms });
-    let body = read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
+    let body = read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
     node.pool.release(connection, &kept);
     let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
     Ok(failure_passed_on(answer))
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -211,7 +211,7 @@
             let change = node.targets.borrow_mut().refused(&chosen.id);
             node.target_changed(&change, "another target answered at its address");
         }
-        if crate::pool::read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
+        if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
             node.pool.release(connection, &parts.headers);
         }
         return broken(&refusal.message, Outcome::Full);
@@ -219,7 +219,7 @@
     match parts.status {
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => {
-            if crate::pool::read_whole(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
+            if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
                 node.pool.release(connection, &parts.headers);
             }
             return RunEnd::Failed;
