--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -335,7 +335,7 @@
                 AttemptFailure::not_run(Cause::Full, format!("service {service} has no target"))
             }
         };
-        if failure.is_barred() {
+        if failure.is_blocked() {
             return Err(barred(&failure, ran_somewhere));
         }
         if failure.verdict.may_have_run() {
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -133,7 +133,7 @@
     }
 
     /// Whether it was not sent because targets have ended under the same request.
-    pub(crate) const fn is_barred(&self) -> bool {
+    pub(crate) const fn is_blocked(&self) -> bool {
         matches!(self.cause, Cause::Barred { .. })
     }
 
@@ -274,7 +274,7 @@
     }
     let label = match &result {
         Ok(_) => "answered",
-        Err(failure) if failure.is_barred() => "barred",
+        Err(failure) if failure.is_blocked() => "barred",
         Err(failure) if failure.cause == Cause::Full => "full",
         Err(failure) if failure.verdict == Verdict::NotRun => "not_run",
         Err(_) => "failed",
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -113,7 +113,7 @@
         tried.push(chosen.id.clone());
         match start(node, &chosen, &outgoing).await {
             Ok(answer) => return answer,
-            Err(failure) if failure.verdict == Verdict::NotRun && !failure.is_barred() => {}
+            Err(failure) if failure.verdict == Verdict::NotRun && !failure.is_blocked() => {}
             Err(failure) => return caller::failed(node, id.as_deref(), route, &failure),
         }
     }
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -111,7 +111,7 @@
                     let status = answer.status.as_u16();
                     node.note("score_refused", json!({ "request": reward.id, "status": status }));
                 }
-                Err(failure) if failure.is_barred() => {
+                Err(failure) if failure.is_blocked() => {
                     // The text is whole: it waits for its score until its batch is over.
                     pause_ms = SCORE_BARRED_PAUSE_MS;
                 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -200,7 +200,7 @@
     let broken = |why: &str, outcome| RunEnd::Broken { outcome, why: why.to_owned() };
     let opened = match timeout(FIRST_EVENT_MAX, forward::open(node, chosen, &request)).await {
         Ok(Ok(opened)) => opened,
-        Ok(Err(failure)) if failure.is_barred() => return RunEnd::Barred { why: failure.message },
+        Ok(Err(failure)) if failure.is_blocked() => return RunEnd::Barred { why: failure.message },
         Ok(Err(failure)) => return broken(&failure.message, Outcome::Failed),
         Err(_) => return broken("no head in time", Outcome::Failed),
     };
