--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -253,7 +253,7 @@
     match failure.verdict {
         Verdict::NotRun => {
             let come_back_ms = match failure.cause {
-                Cause::Barred { come_back_ms } => come_back_ms,
+                Cause::Blocked { come_back_ms } => come_back_ms,
                 Cause::Full | Cause::Other => FULL_COME_BACK_MS,
             };
             ErrorAnswer::not_run(failure.message.clone(), come_back_ms)
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Cause {
     /// It was not sent: targets have ended under the same request.
-    Barred {
+    Blocked {
         /// After how long it may be tried again.
         come_back_ms: u64,
     },
@@ -134,13 +134,13 @@
 
     /// Whether it was not sent because targets have ended under the same request.
     pub(crate) const fn is_blocked(&self) -> bool {
-        matches!(self.cause, Cause::Barred { .. })
+        matches!(self.cause, Cause::Blocked { .. })
     }
 
     /// What it says of its target.
     pub(crate) const fn outcome(&self) -> Outcome {
         match self.cause {
-            Cause::Barred { .. } => Outcome::Cancelled,
+            Cause::Blocked { .. } => Outcome::Cancelled,
             Cause::Full => Outcome::Full,
             Cause::Other => Outcome::Failed,
         }
