--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -68,20 +68,20 @@
 /// A refusal or failure of our own.
 #[derive(Clone, Debug)]
 pub(crate) struct ErrorAnswer {
-    come_back_ms: Option<u64>,
+    retry_after_ms: Option<u64>,
     message: String,
     status: StatusCode,
 }
 
 impl ErrorAnswer {
     pub(crate) fn new(status: StatusCode, message: impl Into<String>) -> Self {
-        Self { come_back_ms: None, message: message.into(), status }
+        Self { retry_after_ms: None, message: message.into(), status }
     }
 
     /// Not run, and never will be.
-    pub(crate) fn not_run(message: impl Into<String>, come_back_ms: u64) -> Self {
-        let come_back_ms = Some(come_back_ms);
-        Self { come_back_ms, message: message.into(), status: StatusCode::SERVICE_UNAVAILABLE }
+    pub(crate) fn not_run(message: impl Into<String>, retry_after_ms: u64) -> Self {
+        let retry_after_ms = Some(retry_after_ms);
+        Self { retry_after_ms, message: message.into(), status: StatusCode::SERVICE_UNAVAILABLE }
     }
 
     pub(crate) fn of(refusal: Refusal) -> Self {
@@ -98,7 +98,7 @@
             let scheme = HeaderValue::from_static("Bearer");
             answer.headers_mut().insert(WWW_AUTHENTICATE, scheme);
         }
-        if let Some(ms) = self.come_back_ms
+        if let Some(ms) = self.retry_after_ms
             && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", ms as f64 / 1_000.0))
         {
             answer.headers_mut().insert(RETRY_AFTER, value);
@@ -252,11 +252,11 @@
 fn ending_of(failure: &AttemptFailure) -> ErrorAnswer {
     match failure.verdict {
         Verdict::NotRun => {
-            let come_back_ms = match failure.cause {
-                Cause::Blocked { come_back_ms } => come_back_ms,
+            let retry_after_ms = match failure.cause {
+                Cause::Blocked { retry_after_ms } => retry_after_ms,
                 Cause::Full | Cause::Other => FULL_COME_BACK_MS,
             };
-            ErrorAnswer::not_run(failure.message.clone(), come_back_ms)
+            ErrorAnswer::not_run(failure.message.clone(), retry_after_ms)
         }
         Verdict::MayHaveRun | Verdict::Ran => {
             ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone())
@@ -277,7 +277,7 @@
             "request": id, "status": ending.status.as_u16(), "why": ending.message,
             "route": route.map(|route| &route.name), "document_version": version,
             "document_age_ms": feed::age_ms(node, Subject::Operators),
-            "come_back_ms": ending.come_back_ms,
+            "come_back_ms": ending.retry_after_ms,
         }),
     );
     let reason = match ending.status.as_u16() {
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -82,9 +82,9 @@
 }
 
 fn barred(until: UnixMs) -> AttemptFailure {
-    let come_back_ms = until.since_ms(UnixMs::from_wall_clock());
+    let retry_after_ms = until.since_ms(UnixMs::from_wall_clock());
     let message = "targets have ended while they ran this request";
-    AttemptFailure::not_run(Cause::Blocked { come_back_ms }, message)
+    AttemptFailure::not_run(Cause::Blocked { retry_after_ms }, message)
 }
 
 /// Takes it that a target has answered a request.
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -103,7 +103,7 @@
     /// It was not sent: targets have ended under the same request.
     Blocked {
         /// After how long it may be tried again.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// The target refused for load.
     Full,
