--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -58,7 +58,7 @@
             node.note("batch_call_missing", json!({ "request": batch, "call": what }));
             ErrorAnswer::new(StatusCode::NOT_FOUND, "no such batch or item").answer()
         }
-        Lookup::Unsure(why) => {
+        Lookup::Unavailable(why) => {
             let ms = clock::now().since_ms(began_at);
             node.note(
                 "batch_call_unsure",
@@ -73,7 +73,7 @@
     match found {
         Lookup::Found(found) => Lookup::Found(change(found)),
         Lookup::Missing => Lookup::Missing,
-        Lookup::Unsure(why) => Lookup::Unsure(why),
+        Lookup::Unavailable(why) => Lookup::Unsure(why),
     }
 }
 
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -95,17 +95,19 @@
     match end_owned(node, batch, scope).await {
         PeerAnswer::Ended => return Lookup::Found(()),
         PeerAnswer::NoBatch => return Lookup::Missing,
-        PeerAnswer::Unavailable => return Lookup::Unsure("the store did not take it".to_owned()),
+        PeerAnswer::Unavailable => {
+            return Lookup::Unavailable("the store did not take it".to_owned());
+        }
         _ => {}
     }
     let call = PeerCall::End { batch: batch.to_owned(), scope: scope.clone() };
     let (record, revision) = match ask_owner(node, batch, &call, 0).await {
         Asked::Answer(PeerAnswer::Ended) => return Lookup::Found(()),
         Asked::Answer(PeerAnswer::NoBatch) | Asked::Missing => return Lookup::Missing,
-        Asked::Answer(_) => return Lookup::Unsure("the owner could not write it".to_owned()),
+        Asked::Answer(_) => return Lookup::Unavailable("the owner could not write it".to_owned()),
         Asked::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
         Asked::Record(record, revision) => (record, revision),
-        Asked::Unsure(why) => return Lookup::Unsure(why),
+        Asked::Unavailable(why) => return Lookup::Unavailable(why),
     };
     if record.ended {
         return Lookup::Found(());
@@ -121,8 +123,8 @@
             Lookup::Found(())
         }
         Ok(RecordWrite::Changed(found, _)) if found.ended => Lookup::Found(()),
-        Ok(RecordWrite::Changed(..)) => Lookup::Unsure("the owner is changing".to_owned()),
-        Err(refusal) => Lookup::Unsure(refusal.message),
+        Ok(RecordWrite::Changed(..)) => Lookup::Unavailable("the owner is changing".to_owned()),
+        Err(refusal) => Lookup::Unavailable(refusal.message),
     }
 }
 
--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -63,7 +63,7 @@
     /// No such batch, or item, exists.
     Missing,
     /// That cannot be told now.
-    Unsure(String),
+    Unavailable(String),
 }
 
 /// Reads results of any batch.
@@ -86,14 +86,14 @@
             return Lookup::Found((total, results));
         }
         Asked::Answer(PeerAnswer::NoBatch) | Asked::Missing => return Lookup::Missing,
-        Asked::Answer(_) => return Lookup::Unsure("the owner cannot tell".to_owned()),
+        Asked::Answer(_) => return Lookup::Unavailable("the owner cannot tell".to_owned()),
         Asked::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
         Asked::Record(record, _) => record,
-        Asked::Unsure(why) => return Lookup::Unsure(why),
+        Asked::Unavailable(why) => return Lookup::Unavailable(why),
     };
     match feed::read_whole(node, &chunk_prefix(batch)).await {
         Ok((items, _)) => Lookup::Found((record.total, page_of_chunks(node, &items, after))),
-        Err(refusal) => Lookup::Unsure(refusal.message),
+        Err(refusal) => Lookup::Unavailable(refusal.message),
     }
 }
 
@@ -122,7 +122,7 @@
     /// The owner cannot be asked; this is the batch's record and its revision.
     Record(Record, u64),
     Missing,
-    Unsure(String),
+    Unavailable(String),
 }
 
 /// Asks the owner that this node was told of, else the one that the store names.
@@ -142,7 +142,7 @@
     let (record, revision) = match read_record(node, batch).await {
         Ok(Some(found)) => found,
         Ok(None) => return Asked::Missing,
-        Err(refusal) => return Asked::Unsure(refusal.message),
+        Err(refusal) => return Asked::Unavailable(refusal.message),
     };
     node.batches.note_owner(batch, record.owner.clone());
     if told.as_ref() != Some(&record.owner)
@@ -214,8 +214,8 @@
     match ask_owner(node, batch, &call, 0).await {
         Asked::Answer(PeerAnswer::Body(body)) => Lookup::Found(body),
         Asked::Answer(PeerAnswer::NoBatch | PeerAnswer::NoItem) | Asked::Missing => Lookup::Missing,
-        Asked::Answer(_) => Lookup::Unsure("the owner cannot tell".to_owned()),
-        Asked::Unsure(why) => Lookup::Unsure(why),
+        Asked::Answer(_) => Lookup::Unavailable("the owner cannot tell".to_owned()),
+        Asked::Unavailable(why) => Lookup::Unavailable(why),
         Asked::Record(record, _) if !scope.covers(&record.origin) => Lookup::Missing,
         Asked::Record(..) => match read_submission(node, batch).await {
             Ok(kept) => kept
@@ -224,7 +224,7 @@
                 .into_iter()
                 .find(|candidate| candidate.id == item)
                 .map_or(Lookup::Missing, |item| Lookup::Found(item.body)),
-            Err(refusal) => Lookup::Unsure(refusal.message),
+            Err(refusal) => Lookup::Unavailable(refusal.message),
         },
     }
 }
