--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -111,7 +111,7 @@
         }
     }
     match batches::submit(node, &id, origin, submission).await {
-        Acceptance::Kept => {
+        Acceptance::Accepted => {
             let ms = clock::now().since_ms(began_at);
             node.note("batch_accepted", json!({ "request": id, "route": route.name, "ms": ms }));
             count(&node.metrics.answers, "batch_accepted");
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Acceptance {
     /// It is kept.
-    Kept,
+    Accepted,
     /// Its id is that of another workspace's batch.
     Taken,
     /// The store could not be reached; the verdict says whether it may be kept.
@@ -89,7 +89,7 @@
     let call = PeerCall::Submit { batch: id.to_owned(), origin, submission: Box::new(submission) };
     let answer = node.ask_peer(owner, &call, SUBMIT_MAX).await;
     match answer {
-        Ok(PeerAnswer::Accepted) => return Acceptance::Kept,
+        Ok(PeerAnswer::Accepted) => return Acceptance::Accepted,
         Ok(PeerAnswer::NoBatch) => return Acceptance::Taken,
         _ => {}
     }
@@ -126,7 +126,7 @@
 ) -> Acceptance {
     if let Some(held) = node.batches.get(id) {
         let same = held.borrow().record.origin.workspace == origin.workspace;
-        return if same { Acceptance::Kept } else { Acceptance::Taken };
+        return if same { Acceptance::Accepted } else { Acceptance::Taken };
     }
     let Some(owner) = peers::me(node) else {
         return Acceptance::Unknown(StoreRefusal {
@@ -158,7 +158,7 @@
                     texts: Vec::new(),
                 };
                 own(node, id, source, accepted_at, 0, &[]);
-                return Acceptance::Kept;
+                return Acceptance::Accepted;
             }
             Ok(StoreAnswer::Conflict { items }) => {
                 return known_already(node, id, &record, submission, accepted_at, &items);
@@ -228,7 +228,7 @@
             node.batches.note_owner(id, stored.owner);
         }
     }
-    Acceptance::Kept
+    Acceptance::Accepted
 }
 
 /// Tells the owner that the store names of its batch: it may not know that its own call was done.
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -316,7 +316,7 @@
         PeerCall::Store(call) => PeerAnswer::Store(node.store_here(&call).await),
         PeerCall::Submit { batch, origin, submission } => {
             match batches::accept(&node, &batch, origin, *submission).await {
-                Acceptance::Kept => PeerAnswer::Accepted,
+                Acceptance::Accepted => PeerAnswer::Accepted,
                 Acceptance::Taken => PeerAnswer::NoBatch,
                 Acceptance::Unknown(_) => PeerAnswer::Unavailable,
             }
