--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -117,7 +117,7 @@
             count(&node.metrics.answers, "batch_accepted");
             plain(StatusCode::ACCEPTED, Bytes::from_static(b"{}"))
         }
-        Acceptance::Taken => {
+        Acceptance::IdConflict => {
             let message = format!("the id {id} is taken");
             let ending = ErrorAnswer::new(StatusCode::CONFLICT, message);
             ended(node, Some(&id), Some(route), &ending)
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -34,7 +34,7 @@
     /// It is kept.
     Accepted,
     /// Its id is that of another workspace's batch.
-    Taken,
+    IdConflict,
     /// The store could not be reached; the verdict says whether it may be kept.
     Unknown(StoreRefusal),
 }
@@ -90,7 +90,7 @@
     let answer = node.ask_peer(owner, &call, SUBMIT_MAX).await;
     match answer {
         Ok(PeerAnswer::Accepted) => return Acceptance::Accepted,
-        Ok(PeerAnswer::NoBatch) => return Acceptance::Taken,
+        Ok(PeerAnswer::NoBatch) => return Acceptance::IdConflict,
         _ => {}
     }
     // The batch is created once, whoever does it; so this node may try whatever became of the call.
@@ -126,7 +126,7 @@
 ) -> Acceptance {
     if let Some(held) = node.batches.get(id) {
         let same = held.borrow().record.origin.workspace == origin.workspace;
-        return if same { Acceptance::Accepted } else { Acceptance::Taken };
+        return if same { Acceptance::Accepted } else { Acceptance::IdConflict };
     }
     let Some(owner) = peers::me(node) else {
         return Acceptance::Unknown(StoreRefusal {
@@ -210,7 +210,7 @@
     let stored = found.and_then(|item| postcard::from_bytes::<Record>(&item.value).ok());
     if let (Some(stored), Some(item)) = (stored, found) {
         if stored.origin.workspace != record.origin.workspace {
-            return Acceptance::Taken;
+            return Acceptance::IdConflict;
         }
         if stored == *record && node.batches.get(id).is_none() {
             let source = Source {
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -317,7 +317,7 @@
         PeerCall::Submit { batch, origin, submission } => {
             match batches::accept(&node, &batch, origin, *submission).await {
                 Acceptance::Accepted => PeerAnswer::Accepted,
-                Acceptance::Taken => PeerAnswer::NoBatch,
+                Acceptance::IdConflict => PeerAnswer::NoBatch,
                 Acceptance::Unknown(_) => PeerAnswer::Unavailable,
             }
         }
