--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes it that it came to its end.
-    pub(crate) fn ended_whole<P: Platform>(&self, node: &Rc<Node<P>>) {
+    pub(crate) fn completed<P: Platform>(&self, node: &Rc<Node<P>>) {
         super::survived(node, &self.outgoing);
     }
 }
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -79,7 +79,7 @@
             in_flight.end(if whole { answered } else { Outcome::Failed });
         }
         if whole {
-            self.run.ended_whole(&self.node);
+            self.run.completed(&self.node);
         } else {
             self.run.broke_off(&self.node);
         }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -247,7 +247,7 @@
         Ok(()) => {
             node.pool.release(connection, &parts.headers);
             stream.progress.borrow_mut().whole = true;
-            sent.ended_whole(node);
+            sent.completed(node);
             RunEnd::Whole
         }
         Err(ReadEnd::BrokeOff(why)) => {
