--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -41,7 +41,7 @@
     }
 
     /// Takes it that a part of its answer came.
-    pub(crate) fn heard(&self) {
+    pub(crate) fn received(&self) {
         if self.first_event_at.get().is_none() {
             self.first_event_at.set(Some(clock::now()));
         }
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -53,7 +53,7 @@
             Poll::Ready(None) => self.finish(true),
             Poll::Ready(Some(Err(_))) => self.finish(false),
             Poll::Ready(Some(Ok(_))) => {
-                self.run.heard();
+                self.run.received();
                 if let Some(counted) = self.counted.take() {
                     counted.began_now();
                 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -303,7 +303,7 @@
                 }
             };
             let Some(data) = frame.data_ref() else { continue };
-            sent.heard();
+            sent.received();
             for event in events.read(data) {
                 self.take::<P>(node, chosen, &event).map_err(ReadEnd::Other)?;
             }
