--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -48,10 +48,10 @@
     }
 
     /// Takes it that its connection broke.
-    pub(crate) fn broke_off<P: Platform>(&self, node: &Rc<Node<P>>) {
+    pub(crate) fn connection_broke<P: Platform>(&self, node: &Rc<Node<P>>) {
         let ran_ms = self.first_event_at.get().map_or(0, |first| clock::now().since_ms(first));
         if ran_ms < SURVIVED_AFTER_MS {
-            broke_off(node, &self.chosen, &self.outgoing);
+            connection_broke(node, &self.chosen, &self.outgoing);
         } else {
             super::survived(node, &self.outgoing);
         }
@@ -64,7 +64,7 @@
 }
 
 /// Takes a request whose connection to its target broke while it may have run.
-pub(crate) fn broke_off<P: Platform>(
+pub(crate) fn connection_broke<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -8,7 +8,7 @@
 mod fate;
 mod records;
 
-pub(crate) use fate::{StreamRun, broke_off, target_changed};
+pub(crate) use fate::{StreamRun, connection_broke, target_changed};
 pub(crate) use records::maintain_records;
 
 use crate::forward::{AttemptFailure, Cause, OutgoingRequest};
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -207,7 +207,7 @@
     let sent = node.pool.send(chosen.address, request).await;
     let (response, connection) = sent.map_err(|error| {
         if error.verdict.may_have_run() {
-            crashes::broke_off(node, chosen, outgoing);
+            crashes::connection_broke(node, chosen, outgoing);
         }
         AttemptFailure::of(error)
     })?;
@@ -307,7 +307,7 @@
         node.target_changed(&change, "another target answered at its address");
     }
     let body = read_body(body, BUFFERED_ANSWER_MAX_BYTES).await.map_err(|error| {
-        crashes::broke_off(node, chosen, outgoing);
+        crashes::connection_broke(node, chosen, outgoing);
         AttemptFailure::of(error)
     })?;
     node.pool.release(connection, &head.headers);
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -81,7 +81,7 @@
         if whole {
             self.run.completed(&self.node);
         } else {
-            self.run.broke_off(&self.node);
+            self.run.connection_broke(&self.node);
         }
         if let Some(connection) = self.connection.take()
             && whole
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -251,7 +251,7 @@
             RunEnd::Whole
         }
         Err(ReadEnd::BrokeOff(why)) => {
-            sent.broke_off(node);
+            sent.connection_broke(node);
             broken(&why, Outcome::Failed)
         }
         Err(ReadEnd::Other(why)) => broken(&why, Outcome::Failed),
