--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 
 /// Tells whether there is evidence against any request.
-pub(crate) fn is_any_known<P: Platform>(node: &Node<P>) -> bool {
+pub(crate) fn has_evidence<P: Platform>(node: &Node<P>) -> bool {
     !node.quarantine.borrow().is_empty()
 }
 
@@ -56,7 +56,7 @@
 }
 
 fn standing<P: Platform>(node: &Node<P>, outgoing: &OutgoingRequest) -> Standing {
-    if !is_any_known(node) {
+    if !has_evidence(node) {
         return Standing::Clear;
     }
     node.quarantine.borrow().standing(UnixMs::from_wall_clock(), outgoing.fingerprint())
@@ -89,7 +89,7 @@
 
 /// Takes it that a target has answered a request.
 pub(crate) fn survived<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
-    if !is_any_known(node) && node.broken_off.borrow().is_empty() {
+    if !has_evidence(node) && node.broken_off.borrow().is_empty() {
         return;
     }
     let fingerprint = outgoing.fingerprint();
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -6,7 +6,7 @@
 //! not: most are of requests that were under way by chance, and a write for each would cost more calls
 //! than all else that a crash of a target brings.
 
-use super::{is_any_known, learn, tell};
+use super::{has_evidence, learn, tell};
 use crate::feed;
 use crate::node::Node;
 use crate::peers;
@@ -62,7 +62,7 @@
         if is_first && !has_recalled {
             has_recalled = recall(&node).await;
         }
-        if !is_any_known(&node) {
+        if !has_evidence(&node) {
             continue;
         }
         save(&node).await;
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -143,7 +143,7 @@
         return;
     }
     // Digests of all candidates at every look would cost more than what they guard against.
-    if crashes::is_any_known(node) && !crashes::is_clear(node, fingerprint(&item, &terms.host)) {
+    if crashes::has_evidence(node) && !crashes::is_clear(node, fingerprint(&item, &terms.host)) {
         return;
     }
     let run_ms = node.expected_run_ms(&item, progress.last_event_id);
