--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -53,13 +53,13 @@
         if ran_ms < SURVIVED_AFTER_MS {
             connection_broke(node, &self.chosen, &self.outgoing);
         } else {
-            super::survived(node, &self.outgoing);
+            super::answer_received(node, &self.outgoing);
         }
     }
 
     /// Takes it that it came to its end.
     pub(crate) fn completed<P: Platform>(&self, node: &Rc<Node<P>>) {
-        super::survived(node, &self.outgoing);
+        super::answer_received(node, &self.outgoing);
     }
 }
 
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -88,7 +88,7 @@
 }
 
 /// Takes it that a target has answered a request.
-pub(crate) fn survived<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
+pub(crate) fn answer_received<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
     if !has_evidence(node) && node.broken_off.borrow().is_empty() {
         return;
     }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -321,7 +321,7 @@
         return Err(AttemptFailure::may_have_run("an answer without a target's signature"));
     }
     if !unsigned {
-        crashes::survived(node, outgoing);
+        crashes::answer_received(node, outgoing);
     }
     strip_hop_by_hop(&mut head.headers);
     Ok(CompleteAnswer { body, headers: head.headers, marks, status: head.status })
