--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -10,7 +10,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use crate::turn::{self, QueuePlace};
+use crate::wait_queue::{self, QueuePlace};
 use bytes::Bytes;
 use catkinmast_dispatch::{Document, Route, RouteKind};
 use catkinmast_model::{UnixMs, Verdict};
@@ -325,7 +325,7 @@
                 tried.push(chosen.id.clone());
                 match forward::attempt(node, &chosen, outgoing).await {
                     Ok(answer) => {
-                        turn::served(node, service, outgoing.workspace.as_deref());
+                        wait_queue::request_served(node, service, outgoing.workspace.as_deref());
                         return Ok(answer);
                     }
                     Err(failure) => failure,
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -34,8 +34,8 @@
 mod store;
 mod tenancy;
 mod trail;
-mod turn;
 mod usage;
+mod wait_queue;
 
 pub use platform::{
     AnswerMarks, BatchCall, CallerTerms, DecodeError, DutyCall, DutyRequest, EngineReport,
--- a/crates/serve/src/turn.rs
+++ b/crates/serve/src/wait_queue.rs
@@ -45,7 +45,7 @@
 }
 
 /// Takes it that a request of a workspace was served.
-pub(crate) fn served<P: Platform>(node: &Node<P>, service: &str, workspace: Option<&str>) {
+pub(crate) fn request_served<P: Platform>(node: &Node<P>, service: &str, workspace: Option<&str>) {
     let mut turns = node.turns.borrow_mut();
     turns.entry(service.to_owned()).or_default().served(clock::now(), workspace);
 }
