--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -10,7 +10,7 @@
 mod ownership;
 mod read;
 mod standby;
-mod succession;
+mod takeover;
 mod write;
 
 pub(crate) use accept::{Acceptance, accept, submit};
@@ -19,7 +19,7 @@
 pub(crate) use ownership::{on_batch_ended, on_owner_reported, verify_ownership_of_all};
 pub(crate) use read::{Lookup, item_body, item_body_owned, read, read_owned};
 pub(crate) use standby::{BatchCopy, accept_copied_outputs, accept_copy};
-pub(crate) use succession::{accept_handover, hand_over_all, on_batch_orphaned, take_over_orphans};
+pub(crate) use takeover::{accept_handover, hand_over_all, on_batch_orphaned, take_over_orphans};
 
 use crate::clock;
 use crate::peers::Owner;
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -14,7 +14,7 @@
 
 use super::accept::{Source, open, reward_attempts, terms};
 use super::keys::Record;
-use super::succession::SKEW_MAX_MS;
+use super::takeover::SKEW_MAX_MS;
 use super::write::SAVE_AFTER_MS;
 use super::{LocalBatch, OPEN_MAX_MS};
 use crate::clock;
