--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -1,14 +1,14 @@
 //! Requests that end targets: what is seen of them, and that they are sent on no more.
 //!
-//! What may be sent is decided by [`Quarantine`](catkinmast_quarantine::Quarantine). `fate` finds out
+//! What may be sent is decided by [`Quarantine`](catkinmast_quarantine::Quarantine). `detection` finds out
 //! whether a target ended with requests of this node under way; `records` keeps the evidence in the store,
 //! and reads it where a whole fleet has started anew. Between nodes evidence travels as membership's facts
 //! do: at once to all, also while the store is away, and to a node that missed it or starts within seconds.
 
-mod fate;
+mod detection;
 mod records;
 
-pub(crate) use fate::{StreamRun, connection_broke, target_changed};
+pub(crate) use detection::{StreamRun, connection_broke, target_changed};
 pub(crate) use records::maintain_records;
 
 use crate::forward::{AttemptFailure, Cause, OutgoingRequest};
