--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -1,6 +1,6 @@
 //! Runs the items of batches: which next, where, what their streams say, and their scores.
 
-mod place;
+mod placement;
 mod score;
 mod second;
 mod stream;
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_dispatch::{ItemResult, NextItem};
-use place::{OwnTargets, choose, move_slow_runs};
+use placement::{OwnTargets, choose, move_slow_runs};
 use score::start_scoring;
 use second::start_second_runs;
 use serde_json::json;
