--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -73,7 +73,7 @@
     match found {
         Lookup::Found(found) => Lookup::Found(change(found)),
         Lookup::Missing => Lookup::Missing,
-        Lookup::Unavailable(why) => Lookup::Unsure(why),
+        Lookup::Unavailable(why) => Lookup::Unavailable(why),
     }
 }
 
