--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -15,7 +15,7 @@
 
 /// What is new of a text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct TextNews {
+pub struct TextUpdate {
     /// The digest of what the receiver must have of the text already; none where it has nothing.
     pub after_digest: Option<u64>,
     /// The item.
@@ -37,11 +37,11 @@
 
 impl Told {
     /// Returns what is new of some texts, and counts it as told.
-    pub fn news(&mut self, texts: &[(String, Progress)]) -> Vec<TextNews> {
+    pub fn news(&mut self, texts: &[(String, Progress)]) -> Vec<TextUpdate> {
         texts.iter().filter_map(|(item, progress)| self.news_of(item, progress)).collect()
     }
 
-    fn news_of(&mut self, item: &str, progress: &Progress) -> Option<TextNews> {
+    fn news_of(&mut self, item: &str, progress: &Progress) -> Option<TextUpdate> {
         let text = &progress.text;
         let told = self.0.get(item).copied();
         let before = told.filter(|told| {
@@ -52,7 +52,7 @@
             return None;
         }
         self.0.insert(item.to_owned(), ToldText { bytes: text.len(), digest: digest(text) });
-        Some(TextNews {
+        Some(TextUpdate {
             after_digest: before.map(|told| told.digest),
             item: item.to_owned(),
             progress: Progress { text: new.to_owned(), ..progress.clone() },
@@ -71,9 +71,9 @@
 
 impl CopiedTexts {
     /// Takes news; returns false when a part before them is missing.
-    pub fn take(&mut self, news: Vec<TextNews>) -> bool {
+    pub fn take(&mut self, news: Vec<TextUpdate>) -> bool {
         let mut whole = true;
-        for TextNews { after_digest, item, progress } in news {
+        for TextUpdate { after_digest, item, progress } in news {
             let held = self.0.entry(item).or_default();
             match after_digest {
                 None => *held = progress,
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -21,7 +21,7 @@
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
-use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, Submission, TextNews, Told};
+use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, Submission, TextUpdate, Told};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -170,7 +170,7 @@
 }
 
 /// Keeps what is new of the texts of a copied batch; returns false when something before is missing.
-pub(crate) fn keep_texts<P: Platform>(node: &Node<P>, batch: &str, texts: Vec<TextNews>) -> bool {
+pub(crate) fn keep_texts<P: Platform>(node: &Node<P>, batch: &str, texts: Vec<TextUpdate>) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
     copies.get_mut(batch).is_some_and(|held| held.texts.take(texts))
 }
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -3,7 +3,7 @@
 use crate::batches::{BatchCopy, Origin, Scope};
 use crate::feed::{Changes, Subject};
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal};
-use catkinmast_dispatch::{ItemResult, Progress, Submission, TextNews};
+use catkinmast_dispatch::{ItemResult, Progress, Submission, TextUpdate};
 use catkinmast_member::Message;
 use catkinmast_model::{Incarnation, Name, UnixMs};
 use catkinmast_usage::{Table, Teller};
@@ -22,7 +22,7 @@
     /// Keeps a copy of a batch for its owner, whom the receiver would follow.
     KeepCopy { batch: String, copy: Box<BatchCopy> },
     /// Keeps what is new of the texts of a batch of which the receiver has a copy.
-    KeepTexts { batch: String, texts: Vec<TextNews> },
+    KeepTexts { batch: String, texts: Vec<TextUpdate> },
     /// Reads the body of an item of a batch that the receiver owns.
     ItemBody { batch: String, item: String, scope: Scope },
     /// Reads results of a batch that the receiver owns.
--- a/tests/all/dispatch/copies.rs
+++ b/tests/all/dispatch/copies.rs
@@ -1,6 +1,6 @@
 //! The texts in progress, as the node that would follow their owner has them.
 
-use catkinmast_dispatch::{CopiedTexts, Progress, TextNews, Told};
+use catkinmast_dispatch::{CopiedTexts, Progress, TextUpdate, Told};
 use proptest::prelude::*;
 
 fn text(item: &str, events: std::ops::RangeInclusive<u64>, run: &str) -> (String, Progress) {
@@ -12,7 +12,7 @@
     (item.to_owned(), progress)
 }
 
-fn bytes(news: &[TextNews]) -> usize {
+fn bytes(news: &[TextUpdate]) -> usize {
     news.iter().map(|news| news.progress.text.len()).sum()
 }
 
