--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -33,9 +33,9 @@
 
 /// What a copy has been told of the texts of a batch.
 #[derive(Clone, Debug, Default)]
-pub struct Told(IndexMap<String, ToldText>);
+pub struct SentTexts(IndexMap<String, ToldText>);
 
-impl Told {
+impl SentTexts {
     /// Returns what is new of some texts, and counts it as told.
     pub fn news(&mut self, texts: &[(String, Progress)]) -> Vec<TextUpdate> {
         texts.iter().filter_map(|(item, progress)| self.news_of(item, progress)).collect()
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -30,7 +30,7 @@
 mod turns;
 
 pub use batch::{Batch, BatchTerms, Chunk, Merge, NextItem, group_of};
-pub use copies::{CopiedTexts, TextUpdate, Told};
+pub use copies::{CopiedTexts, SentTexts, TextUpdate};
 pub use document::{Document, EngineTerms, Limits, PlainTerms, Route, RouteKind, WeightedService};
 pub use freshness::{ChangeBound, Freshness, WATCHERS, Witness};
 pub use lengths::Lengths;
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -21,7 +21,7 @@
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
-use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, Submission, TextUpdate, Told};
+use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, SentTexts, Submission, TextUpdate};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -107,7 +107,7 @@
 /// texts for as long as it is open.
 pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<Held>>) {
     let id = held.borrow().id.clone();
-    let mut told = Told::default();
+    let mut told = SentTexts::default();
     let mut sent_to = None;
     loop {
         if !held.borrow().is_running() {
@@ -138,7 +138,7 @@
     node: &Node<P>,
     held: &RefCell<Held>,
     to: &Owner,
-    told: &mut Told,
+    told: &mut SentTexts,
 ) -> bool {
     let texts = told.news(&held.borrow().texts(SAVE_AFTER_MS));
     if texts.is_empty() {
--- a/tests/all/dispatch/copies.rs
+++ b/tests/all/dispatch/copies.rs
@@ -1,6 +1,6 @@
 //! The texts in progress, as the node that would follow their owner has them.
 
-use catkinmast_dispatch::{CopiedTexts, Progress, TextUpdate, Told};
+use catkinmast_dispatch::{CopiedTexts, Progress, SentTexts, TextUpdate};
 use proptest::prelude::*;
 
 fn text(item: &str, events: std::ops::RangeInclusive<u64>, run: &str) -> (String, Progress) {
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_copy_follows_texts_that_grow_and_each_byte_is_sent_once() {
-    let (mut told, mut copy) = (Told::default(), CopiedTexts::default());
+    let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
     let mut sent_bytes = 0;
 
     for events in [3, 8, 8, 20] {
@@ -37,7 +37,7 @@
 // Cause: what is new is told by its length alone.
 #[test]
 fn a_text_that_begins_anew_replaces_the_former_one() {
-    let (mut told, mut copy) = (Told::default(), CopiedTexts::default());
+    let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
     assert!(copy.take(told.news(&[text("a", 1..=5, "first")])));
 
     assert!(copy.take(told.news(&[text("a", 1..=9, "other")])));
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_copy_that_missed_a_part_says_so_and_is_told_all() {
-    let (mut told, mut copy) = (Told::default(), CopiedTexts::default());
+    let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
     assert!(copy.take(told.news(&[text("a", 1..=2, "r")])));
     let _lost = told.news(&[text("a", 1..=4, "r")]);
 
@@ -64,7 +64,7 @@
     fn a_copy_never_joins_texts_of_two_runs(
         steps in prop::collection::vec((1..30_u64, any::<bool>(), any::<bool>()), 1..20),
     ) {
-        let (mut told, mut copy) = (Told::default(), CopiedTexts::default());
+        let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
         let mut run = 0;
         for (events, begins_anew, is_lost) in steps {
             run += u64::from(begins_anew);
