--- a/crates/dispatch/src/batch/mod.rs
+++ b/crates/dispatch/src/batch/mod.rs
@@ -49,7 +49,7 @@
 
 /// The terms on which a batch runs.
 #[derive(Clone, Copy, Debug)]
-pub struct BatchTerms {
+pub struct BatchPolicy {
     /// Answers of failure after which an item is given up.
     pub attempts: u32,
     /// When all results are due.
@@ -140,13 +140,17 @@
     order: Vec<usize>,
     places: Vec<Place>,
     submission: Submission,
-    terms: BatchTerms,
+    terms: BatchPolicy,
 }
 
 impl Batch {
     /// Opens a batch of which nothing has run; `carried` tells of groups that an earlier batch
     /// left incomplete.
-    pub fn open(submission: Submission, terms: BatchTerms, carried: impl Fn(&str) -> bool) -> Self {
+    pub fn open(
+        submission: Submission,
+        terms: BatchPolicy,
+        carried: impl Fn(&str) -> bool,
+    ) -> Self {
         let waiting = Place::Waiting { from: UnixMs(0), progress: Progress::default() };
         let index =
             submission.items.iter().enumerate().map(|(at, item)| (item.id.clone(), at)).collect();
@@ -172,7 +176,7 @@
     }
 
     /// Returns the terms.
-    pub const fn terms(&self) -> &BatchTerms {
+    pub const fn terms(&self) -> &BatchPolicy {
         &self.terms
     }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -29,7 +29,7 @@
 mod targets;
 mod turns;
 
-pub use batch::{Batch, BatchTerms, Chunk, Merge, NextItem, group_of};
+pub use batch::{Batch, BatchPolicy, Chunk, Merge, NextItem, group_of};
 pub use copies::{CopiedTexts, SentTexts, TextUpdate};
 pub use document::{Document, EngineTerms, Limits, PlainTerms, Route, RouteKind, WeightedService};
 pub use freshness::{ChangeBound, Freshness, WATCHERS, Witness};
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -11,7 +11,7 @@
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoreRefusal, StoredItem};
-use catkinmast_dispatch::{Batch, BatchTerms, Chunk, ItemResult, Progress, Route, Submission};
+use catkinmast_dispatch::{Batch, BatchPolicy, Chunk, ItemResult, Progress, Route, Submission};
 use catkinmast_model::{UnixMs, Verdict};
 use indexmap::IndexMap;
 use serde_json::json;
@@ -45,7 +45,7 @@
     reward_attempts: u32,
     accepted_at: UnixMs,
     slack_ms: u64,
-) -> BatchTerms {
+) -> BatchPolicy {
     // Without a bound of the operator's, a batch is kept running for an hour.
     const UNBOUNDED_MS: u64 = 3_600_000;
     // An item that is not done after half of the time is one of the long ones: the mean takes a
@@ -53,7 +53,7 @@
     const LONG_PARTS: u64 = 2;
     let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
-    BatchTerms {
+    BatchPolicy {
         attempts: route.attempts.max(reward_attempts).max(1),
         due_at: accepted_at.plus(due_ms),
         give_up_at: accepted_at.plus(give_up_ms + slack_ms),
@@ -313,7 +313,7 @@
     id: &str,
     source: Source,
     accepted_at: UnixMs,
-    terms: BatchTerms,
+    terms: BatchPolicy,
     chunks: &[Chunk],
 ) -> (Held, usize) {
     let Source { record, record_revision, results, submission, texts } = source;
@@ -346,7 +346,7 @@
     node: &Node<P>,
     workspace: Option<&str>,
     submission: Submission,
-    terms: BatchTerms,
+    terms: BatchPolicy,
     chunks: &[Chunk],
     texts: Vec<(String, Progress)>,
 ) -> (Batch, usize) {
--- a/tests/all/dispatch/batch.rs
+++ b/tests/all/dispatch/batch.rs
@@ -1,7 +1,7 @@
 //! Items, texts and positions of a batch.
 
 use catkinmast_dispatch::{
-    Batch, BatchTerms, Chunk, Item, ItemResult, ItemState, Merge, Progress, Submission,
+    Batch, BatchPolicy, Chunk, Item, ItemResult, ItemState, Merge, Progress, Submission,
 };
 use catkinmast_model::UnixMs;
 use proptest::prelude::*;
@@ -33,8 +33,8 @@
     }
 }
 
-fn terms() -> BatchTerms {
-    BatchTerms {
+fn terms() -> BatchPolicy {
+    BatchPolicy {
         attempts: 2,
         due_at: UnixMs(7_500),
         give_up_at: UnixMs(40_000),
