--- a/crates/dispatch/src/document.rs
+++ b/crates/dispatch/src/document.rs
@@ -84,7 +84,7 @@
 
 /// What a service's model engines are.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct EngineTerms {
+pub struct EngineConfig {
     /// The models that they serve.
     pub models: Vec<String>,
     /// Requests that one engine runs at once.
@@ -97,7 +97,7 @@
     /// Connections that one target accepts from all of us.
     pub connections_max: Option<u32>,
     /// Set where its targets are model engines.
-    pub engine: Option<EngineTerms>,
+    pub engine: Option<EngineConfig>,
     /// Set where the number of its targets is ordered.
     pub scaling: Option<ScalingTerms>,
 }
@@ -151,7 +151,7 @@
     }
 
     /// Tells whether a service's targets are model engines.
-    pub fn engine(&self, service: &str) -> Option<&EngineTerms> {
+    pub fn engine(&self, service: &str) -> Option<&EngineConfig> {
         self.services.get(service).and_then(|terms| terms.engine.as_ref())
     }
 }
