--- a/crates/dispatch/src/document.rs
+++ b/crates/dispatch/src/document.rs
@@ -93,7 +93,7 @@
 
 /// A service's terms.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct PlainTerms {
+pub struct ServiceConfig {
     /// Connections that one target accepts from all of us.
     pub connections_max: Option<u32>,
     /// Set where its targets are model engines.
@@ -123,7 +123,7 @@
     /// The routes.
     pub routes: Vec<Route>,
     /// The services by name.
-    pub services: IndexMap<String, PlainTerms>,
+    pub services: IndexMap<String, ServiceConfig>,
     /// Its version; a higher one replaces it.
     pub version: u64,
     /// The workspaces of callers; none where no keys are asked for.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -31,7 +31,9 @@
 
 pub use batch::{Batch, BatchPolicy, Chunk, Merge, NextItem, group_of};
 pub use copies::{CopiedTexts, SentTexts, TextUpdate};
-pub use document::{Document, EngineConfig, Limits, PlainTerms, Route, RouteKind, WeightedService};
+pub use document::{
+    Document, EngineConfig, Limits, Route, RouteKind, ServiceConfig, WeightedService,
+};
 pub use freshness::{ChangeBound, Freshness, WATCHERS, Witness};
 pub use lengths::Lengths;
 pub use load::{Load, LoadSettings, Outcome, Pick};
