--- a/crates/dispatch/src/document.rs
+++ b/crates/dispatch/src/document.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration as the request path reads it.
 
 use catkinmast_access::Workspaces;
-use catkinmast_scaling::ScalingTerms;
+use catkinmast_scaling::ScalingConfig;
 use indexmap::IndexMap;
 
 /// What may be repeated of a route's requests, and how they are run.
@@ -99,7 +99,7 @@
     /// Set where its targets are model engines.
     pub engine: Option<EngineConfig>,
     /// Set where the number of its targets is ordered.
-    pub scaling: Option<ScalingTerms>,
+    pub scaling: Option<ScalingConfig>,
 }
 
 /// Bounds on what a caller may send.
--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -12,7 +12,7 @@
 mod terms;
 
 pub use plan::{OrderOutcome, Scaling, Wanted};
-pub use terms::{ScalingError, ScalingTerms};
+pub use terms::{ScalingConfig, ScalingError};
 
 /// A kind of target in a data centre; each is ordered by itself.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/crates/scaling/src/plan.rs
+++ b/crates/scaling/src/plan.rs
@@ -1,6 +1,6 @@
 //! Which orders are due.
 
-use crate::{Pool, ScalingTerms, TargetOrder};
+use crate::{Pool, ScalingConfig, TargetOrder};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 
@@ -61,7 +61,12 @@
 
     /// Returns the orders that are due under the terms in force, given how many targets of each pool
     /// serve.
-    pub fn plan(&mut self, now: UnixMs, terms: ScalingTerms, serving: &Wanted) -> Vec<TargetOrder> {
+    pub fn plan(
+        &mut self,
+        now: UnixMs,
+        terms: ScalingConfig,
+        serving: &Wanted,
+    ) -> Vec<TargetOrder> {
         if self.wanted.is_none() {
             self.learn(now, serving);
         }
--- a/crates/scaling/src/terms.rs
+++ b/crates/scaling/src/terms.rs
@@ -4,7 +4,7 @@
 
 /// What the operators allow for a service's targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ScalingTerms {
+pub struct ScalingConfig {
     /// How long a new target takes until it serves.
     pub boot_ms: u64,
     /// The most targets in a data centre, of both kinds together.
@@ -24,7 +24,7 @@
 
 impl std::error::Error for ScalingError {}
 
-impl ScalingTerms {
+impl ScalingConfig {
     /// Checks the terms.
     ///
     /// # Errors
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -9,7 +9,7 @@
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall};
 use crate::tenancy::Tenancy;
-use catkinmast_scaling::{OrderOutcome, Pool, Scaling, ScalingTerms, TargetOrder, Wanted};
+use catkinmast_scaling::{OrderOutcome, Pool, Scaling, ScalingConfig, TargetOrder, Wanted};
 use http::StatusCode;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -55,7 +55,7 @@
 }
 
 /// Returns the services whose targets are ordered.
-fn scaled<P: Platform>(node: &Node<P>) -> Vec<(String, ScalingTerms)> {
+fn scaled<P: Platform>(node: &Node<P>) -> Vec<(String, ScalingConfig)> {
     let Some(document) = node.document() else { return Vec::new() };
     let scaled = document.services.iter().filter_map(|(name, terms)| {
         let scaling = terms.scaling?;
@@ -100,7 +100,7 @@
         tenancy: &Tenancy,
         duties: &DutySettings,
         name: &str,
-        terms: ScalingTerms,
+        terms: ScalingConfig,
     ) {
         let serving = serving(node, name);
         let orders = self.scaling.plan(clock::now(), terms, &serving);
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -2,11 +2,11 @@
 
 use catkinmast_model::UnixMs;
 use catkinmast_scaling::{
-    OrderOutcome, Pool, Scaling, ScalingError, ScalingTerms, TargetOrder, Wanted,
+    OrderOutcome, Pool, Scaling, ScalingConfig, ScalingError, TargetOrder, Wanted,
 };
 use proptest::prelude::*;
 
-const TERMS: ScalingTerms = ScalingTerms { boot_ms: 4_000, max: 30, min: 1 };
+const TERMS: ScalingConfig = ScalingConfig { boot_ms: 4_000, max: 30, min: 1 };
 const TICK_MS: u64 = 250;
 
 fn pool(data_centre: &str) -> Pool {
@@ -119,7 +119,7 @@
 #[test]
 fn a_bound_that_the_operators_change_counts_at_once() {
     let mut scaling = settled(&[("a", 15)]);
-    let lower = ScalingTerms { max: 10, ..TERMS };
+    let lower = ScalingConfig { max: 10, ..TERMS };
 
     let orders: Vec<TargetOrder> = (4_000..8_000)
         .step_by(TICK_MS as usize)
@@ -131,7 +131,7 @@
 
 #[test]
 fn terms_that_allow_no_number_are_an_error_that_names_both() {
-    let error = ScalingTerms { min: 5, max: 4, ..TERMS }.checked().expect_err("unfit");
+    let error = ScalingConfig { min: 5, max: 4, ..TERMS }.checked().expect_err("unfit");
 
     assert_eq!(error, ScalingError { min: 5, max: 4 });
     assert_eq!(error.to_string(), "scaling has min 5 over max 4");
