--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -15,4 +15,4 @@
 pub use admit::{Admission, ViewAge, admit};
 pub use credential::{CredentialError, credential};
 pub use digest::{KeyDigest, ParseDigestError};
-pub use workspaces::{Workspace, WorkspaceError, WorkspaceTerms, Workspaces};
+pub use workspaces::{Workspace, WorkspaceConfig, WorkspaceError, Workspaces};
--- a/crates/access/src/workspaces.rs
+++ b/crates/access/src/workspaces.rs
@@ -15,7 +15,7 @@
 
 /// A workspace as the operators configure it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct WorkspaceTerms {
+pub struct WorkspaceConfig {
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
     /// Its name.
@@ -65,7 +65,7 @@
     /// # Errors
     /// When a name is unfit or stands twice, or a key stands in two workspaces: nobody could tell whose
     /// request it is.
-    pub fn open(terms: impl IntoIterator<Item = WorkspaceTerms>) -> Result<Self, WorkspaceError> {
+    pub fn open(terms: impl IntoIterator<Item = WorkspaceConfig>) -> Result<Self, WorkspaceError> {
         let mut all = Self::default();
         for terms in terms {
             all.add(terms)?;
@@ -73,8 +73,8 @@
         Ok(all)
     }
 
-    fn add(&mut self, terms: WorkspaceTerms) -> Result<(), WorkspaceError> {
-        let WorkspaceTerms { keys, name, priority } = terms;
+    fn add(&mut self, terms: WorkspaceConfig) -> Result<(), WorkspaceError> {
+        let WorkspaceConfig { keys, name, priority } = terms;
         let index = self.list.len();
         if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(WorkspaceError::BadName { index, name });
--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -1,7 +1,7 @@
 //! Keys of callers: read strictly, kept as digests, never quoted.
 
 use catkinmast_access::{
-    Admission, CredentialError, KeyDigest, ViewAge, WorkspaceError, WorkspaceTerms, Workspaces,
+    Admission, CredentialError, KeyDigest, ViewAge, WorkspaceConfig, WorkspaceError, Workspaces,
     admit, credential,
 };
 use catkinmast_adapter::UsersPlatform;
@@ -12,9 +12,9 @@
 const KEY: &str = "42q492cqf75rjvz48wua";
 const BOUND_MS: u64 = 3_000;
 
-fn terms(name: &str, keys: &[&str]) -> WorkspaceTerms {
+fn terms(name: &str, keys: &[&str]) -> WorkspaceConfig {
     let keys = keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect();
-    WorkspaceTerms { keys, name: name.to_owned(), priority: None }
+    WorkspaceConfig { keys, name: name.to_owned(), priority: None }
 }
 
 fn workspaces() -> Workspaces {
