--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -56,7 +56,7 @@
 
 /// Who told of an answer of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Witness {
+pub enum ConfirmationSource {
     /// This node's own call was answered.
     Own,
     /// Another node that comes before this one in rank.
@@ -83,12 +83,12 @@
 
 impl Freshness {
     /// Takes it that the view was complete at a moment.
-    pub fn confirm(&mut self, at: UnixMs, by: Witness) {
+    pub fn confirm(&mut self, at: UnixMs, by: ConfirmationSource) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
         match by {
-            Witness::Own => self.own_at = self.own_at.max(Some(at)),
-            Witness::Senior => self.senior_at = self.senior_at.max(Some(at)),
-            Witness::Junior => {}
+            ConfirmationSource::Own => self.own_at = self.own_at.max(Some(at)),
+            ConfirmationSource::Senior => self.senior_at = self.senior_at.max(Some(at)),
+            ConfirmationSource::Junior => {}
         }
     }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -34,7 +34,7 @@
 pub use document::{
     Document, EngineConfig, Limits, Route, RouteKind, ServiceConfig, WeightedService,
 };
-pub use freshness::{ChangeBound, Freshness, WATCHERS, Witness};
+pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 pub use lengths::Lengths;
 pub use load::{Load, LoadSettings, Outcome, Pick};
 pub use lookahead::Lookahead;
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -25,7 +25,7 @@
 use crate::platform::Platform;
 use crate::store::{StoreAnswer, StoreCall, StoreEvent, StoreRefusal, StoredItem};
 use apply::{take_operator_item, take_target_events};
-use catkinmast_dispatch::{WATCHERS, Witness};
+use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
 use known::{Known, News, Teller, datagrams};
 use serde_json::json;
@@ -294,11 +294,11 @@
     }
 }
 
-fn witness<P: Platform>(node: &Node<P>, teller: Teller) -> Witness {
+fn witness<P: Platform>(node: &Node<P>, teller: Teller) -> ConfirmationSource {
     match teller {
-        Teller::Store => Witness::Own,
-        Teller::Peer(peer) if peers::comes_before(node, peer, DUTY) => Witness::Senior,
-        Teller::Peer(_) => Witness::Junior,
+        Teller::Store => ConfirmationSource::Own,
+        Teller::Peer(peer) if peers::comes_before(node, peer, DUTY) => ConfirmationSource::Senior,
+        Teller::Peer(_) => ConfirmationSource::Junior,
     }
 }
 
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -1,6 +1,6 @@
 //! The age of a view of the store, and a fleet that keeps it young, in virtual time.
 
-use catkinmast_dispatch::{ChangeBound, Freshness, WATCHERS, Witness};
+use catkinmast_dispatch::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 use catkinmast_model::UnixMs;
 use yare::parameterized;
 
@@ -32,7 +32,7 @@
 impl Fleet {
     fn open(size: usize) -> Self {
         let mut node = Node { reaches_store: true, ..Node::default() };
-        node.freshness.confirm(UnixMs(0), Witness::Junior);
+        node.freshness.confirm(UnixMs(0), ConfirmationSource::Junior);
         Self { nodes: vec![node; size], now: UnixMs(0), stored: 0 }
     }
 
@@ -69,10 +69,11 @@
         let began_at = UnixMs(now.since_ms(UnixMs(CALL_MS)));
         let teller = &mut self.nodes[rank];
         teller.known = teller.known.max(read);
-        teller.freshness.confirm(began_at, Witness::Own);
+        teller.freshness.confirm(began_at, ConfirmationSource::Own);
         let Some(age_ms) = teller.freshness.told_age_ms(now, BOUND) else { return };
         for (other, node) in self.nodes.iter_mut().enumerate().filter(|(other, _)| *other != rank) {
-            let witness = if rank < other { Witness::Senior } else { Witness::Junior };
+            let witness =
+                if rank < other { ConfirmationSource::Senior } else { ConfirmationSource::Junior };
             node.freshness.confirm(UnixMs(now.since_ms(UnixMs(age_ms))), witness);
             node.known = node.known.max(read);
         }
@@ -144,15 +145,15 @@
 #[test]
 fn two_nodes_that_hear_each_other_do_not_keep_each_other_young() {
     let mut views = [Freshness::default(); 2];
-    views[0].confirm(UnixMs(0), Witness::Own);
-    views[1].confirm(UnixMs(0), Witness::Own);
+    views[0].confirm(UnixMs(0), ConfirmationSource::Own);
+    views[1].confirm(UnixMs(0), ConfirmationSource::Own);
 
     for now in (100..5_000).step_by(100).map(UnixMs) {
         for (teller, hearer) in [(0, 1), (1, 0)] {
             if let Some(age_ms) = views[teller].told_age_ms(now, BOUND) {
                 // A datagram takes a while, and seems to be of when it comes.
                 let at = UnixMs(now.plus(10).since_ms(UnixMs(age_ms)));
-                views[hearer].confirm(at, Witness::Senior);
+                views[hearer].confirm(at, ConfirmationSource::Senior);
             }
         }
     }
@@ -166,11 +167,11 @@
 #[test]
 fn a_node_in_a_watchers_place_goes_on_until_one_that_comes_before_it_is_answered() {
     let mut view = Freshness::default();
-    view.confirm(UnixMs(1_000), Witness::Own);
-    view.confirm(UnixMs(1_000), Witness::Junior);
+    view.confirm(UnixMs(1_000), ConfirmationSource::Own);
+    view.confirm(UnixMs(1_000), ConfirmationSource::Junior);
     assert!(view.watches(UnixMs(1_100), 2, BOUND));
 
-    view.confirm(UnixMs(1_200), Witness::Senior);
+    view.confirm(UnixMs(1_200), ConfirmationSource::Senior);
 
     assert!(!view.watches(UnixMs(1_300), 2, BOUND));
     assert!(view.watches(UnixMs(1_200 + BOUND.stale_ms()), 2, BOUND));
@@ -180,7 +181,7 @@
 #[test]
 fn a_view_that_lacks_something_is_looked_after_at_once() {
     let mut view = Freshness::default();
-    view.confirm(UnixMs(1_000), Witness::Senior);
+    view.confirm(UnixMs(1_000), ConfirmationSource::Senior);
 
     view.doubt();
 
@@ -191,7 +192,7 @@
 #[test]
 fn a_wait_ends_before_the_view_is_old() {
     let mut view = Freshness::default();
-    view.confirm(UnixMs(1_000), Witness::Own);
+    view.confirm(UnixMs(1_000), ConfirmationSource::Own);
 
     assert_eq!(view.next_wait_ms(UnixMs(1_000), BOUND), BOUND.wait_ms());
     assert_eq!(view.next_wait_ms(UnixMs(1_400), BOUND), BOUND.wait_ms() - 400);
