--- a/crates/dispatch/src/lengths.rs
+++ b/crates/dispatch/src/lengths.rs
@@ -6,12 +6,12 @@
 
 /// How long runs take by their callers' estimates of their lengths.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lengths {
+pub struct RunTimeEstimator {
     run_ms: u64,
     tokens: u64,
 }
 
-impl Lengths {
+impl RunTimeEstimator {
     /// Takes a run that began at the start of its text and came to its end.
     pub fn finished(&mut self, estimated_tokens: u64, run_ms: u64) {
         self.run_ms += run_ms;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`Turns`]: whose request is tried next while all targets refuse for load.
 //! - [`Batch`]: a batch submission, its items, and the results in their fixed positions.
 //! - [`Freshness`]: how old a node's view of the store is, and when it looks for itself.
-//! - [`Lengths`]: how long items run.
+//! - [`RunTimeEstimator`]: how long items run.
 //! - [`Lookahead`]: which weights a later batch of the same items will accept.
 //! - [`Rollout`]: which target is brought to which weight version, and when.
 //! - [`Demand`]: how many targets each model gets.
@@ -35,7 +35,7 @@
     Document, EngineConfig, Limits, Route, RouteKind, ServiceConfig, WeightedService,
 };
 pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
-pub use lengths::Lengths;
+pub use lengths::RunTimeEstimator;
 pub use load::{Load, LoadSettings, Outcome, Pick};
 pub use lookahead::Lookahead;
 pub use rollout::{LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget};
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -15,7 +15,8 @@
 use crate::usage::Usage;
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    Demand, Document, Item, Lengths, Load, LoadSettings, Pick, TargetChange, TargetTable, Turns,
+    Demand, Document, Item, Load, LoadSettings, Pick, RunTimeEstimator, TargetChange, TargetTable,
+    Turns,
 };
 use catkinmast_member::{Membership, NodeState};
 use catkinmast_model::{Incarnation, Name, UnixMs, Verdict};
@@ -71,7 +72,7 @@
     pub joined_at: Cell<Option<UnixMs>>,
     pub key: SharedKey,
     pub leaving: Cell<bool>,
-    pub lengths: RefCell<Lengths>,
+    pub lengths: RefCell<RunTimeEstimator>,
     pub load: RefCell<Load>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
@@ -121,7 +122,7 @@
             // The platform gives no secret to share; the tag still refuses what is not a frame.
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
-            lengths: RefCell::new(Lengths::default()),
+            lengths: RefCell::new(RunTimeEstimator::default()),
             load: RefCell::new(Load::open(LoadSettings::default())),
             members: RefCell::new(None),
             metrics,
