--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -45,7 +45,7 @@
 
 /// Bounds of the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadSettings {
+pub struct LoadBalancerSettings {
     /// How long a target rests after its first failure; doubled with each in a row.
     pub rest_ms: u64,
     /// The longest rest.
@@ -57,7 +57,7 @@
     pub loading_rest_ms: u64,
 }
 
-impl Default for LoadSettings {
+impl Default for LoadBalancerSettings {
     /// 400 ms: two consumers' attempts at most hit the same dead target; 3,200 ms: about the time
     /// that the registry takes to notice by itself; 60 ms: a full target frees a slot in about
     /// one request's time; 250 ms: a load takes about a second, and asking fifteen times meanwhile
@@ -96,12 +96,12 @@
 pub struct Load {
     runs: u64,
     seen: IndexMap<String, Seen>,
-    settings: LoadSettings,
+    settings: LoadBalancerSettings,
 }
 
 impl Load {
     /// Opens an empty table.
-    pub fn open(settings: LoadSettings) -> Self {
+    pub fn open(settings: LoadBalancerSettings) -> Self {
         Self { runs: 0, seen: IndexMap::new(), settings }
     }
 
@@ -318,7 +318,7 @@
         };
     }
 
-    fn failed(&mut self, now: UnixMs, settings: LoadSettings) {
+    fn failed(&mut self, now: UnixMs, settings: LoadBalancerSettings) {
         let doublings = self.failures_in_row.min(6);
         let rest_ms = (settings.rest_ms << doublings).min(settings.rest_max_ms);
         self.failures_in_row += 1;
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -15,8 +15,8 @@
 use crate::usage::Usage;
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    Demand, Document, Item, Load, LoadSettings, Pick, RunTimeEstimator, TargetChange, TargetTable,
-    Turns,
+    Demand, Document, Item, Load, LoadBalancerSettings, Pick, RunTimeEstimator, TargetChange,
+    TargetTable, Turns,
 };
 use catkinmast_member::{Membership, NodeState};
 use catkinmast_model::{Incarnation, Name, UnixMs, Verdict};
@@ -123,7 +123,7 @@
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
             lengths: RefCell::new(RunTimeEstimator::default()),
-            load: RefCell::new(Load::open(LoadSettings::default())),
+            load: RefCell::new(Load::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
             opened: RefCell::new(IndexMap::new()),
