--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`Document`]: the operators' routes and services, and which route a request takes.
 //! - [`TargetTable`]: which targets may receive work, from a registry that lags and has outages.
-//! - [`Load`]: what this process sees of each target by its own calls, and the choice among them.
+//! - [`LoadBalancer`]: what this process sees of each target by its own calls, and the choice among them.
 //! - [`Turns`]: whose request is tried next while all targets refuse for load.
 //! - [`Batch`]: a batch submission, its items, and the results in their fixed positions.
 //! - [`Freshness`]: how old a node's view of the store is, and when it looks for itself.
@@ -36,7 +36,7 @@
 };
 pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 pub use lengths::RunTimeEstimator;
-pub use load::{Load, LoadBalancerSettings, Outcome, Pick};
+pub use load::{LoadBalancer, LoadBalancerSettings, Outcome, Pick};
 pub use lookahead::Lookahead;
 pub use rollout::{LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget};
 pub use shares::{Demand, deal};
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -93,13 +93,13 @@
 
 /// The load of all targets as this process sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Load {
+pub struct LoadBalancer {
     runs: u64,
     seen: IndexMap<String, Seen>,
     settings: LoadBalancerSettings,
 }
 
-impl Load {
+impl LoadBalancer {
     /// Opens an empty table.
     pub fn open(settings: LoadBalancerSettings) -> Self {
         Self { runs: 0, seen: IndexMap::new(), settings }
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -15,8 +15,8 @@
 use crate::usage::Usage;
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    Demand, Document, Item, Load, LoadBalancerSettings, Pick, RunTimeEstimator, TargetChange,
-    TargetTable, Turns,
+    Demand, Document, Item, LoadBalancer, LoadBalancerSettings, Pick, RunTimeEstimator,
+    TargetChange, TargetTable, Turns,
 };
 use catkinmast_member::{Membership, NodeState};
 use catkinmast_model::{Incarnation, Name, UnixMs, Verdict};
@@ -73,7 +73,7 @@
     pub key: SharedKey,
     pub leaving: Cell<bool>,
     pub lengths: RefCell<RunTimeEstimator>,
-    pub load: RefCell<Load>,
+    pub load: RefCell<LoadBalancer>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
     /// When the last batch of each model was opened.
@@ -123,7 +123,7 @@
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
             lengths: RefCell::new(RunTimeEstimator::default()),
-            load: RefCell::new(Load::open(LoadBalancerSettings::default())),
+            load: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
             opened: RefCell::new(IndexMap::new()),
@@ -231,7 +231,7 @@
         &self,
         service: &str,
         fits: impl Fn(&catkinmast_dispatch::TargetEntry) -> bool,
-        choose: impl FnOnce(&Load, UnixMs, &[Pick<'_>]) -> Option<String>,
+        choose: impl FnOnce(&LoadBalancer, UnixMs, &[Pick<'_>]) -> Option<String>,
     ) -> Option<(String, SocketAddr)> {
         let now = clock::now();
         let settings = self.settings();
--- a/crates/serve/src/runs/place.rs
+++ b/crates/serve/src/runs/place.rs
@@ -7,7 +7,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{Load, NextItem, Pick, Submission, TargetEntry};
+use catkinmast_dispatch::{LoadBalancer, NextItem, Pick, Submission, TargetEntry};
 use indexmap::{IndexMap, IndexSet};
 use serde_json::json;
 use std::cell::RefCell;
@@ -52,7 +52,7 @@
     }
 
     /// Returns the recent latency of the fastest of those that were asked for; 0 where none was.
-    fn fastest_ms(&self, load: &Load) -> u64 {
+    fn fastest_ms(&self, load: &LoadBalancer) -> u64 {
         load.fastest_ms(self.0.values().flatten().flatten().map(String::as_str))
     }
 }
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -1,20 +1,20 @@
 //! The choice among targets by the load that this process sees.
 
-use catkinmast_dispatch::{Load, LoadBalancerSettings, Outcome, Pick};
+use catkinmast_dispatch::{LoadBalancer, LoadBalancerSettings, Outcome, Pick};
 use catkinmast_model::UnixMs;
 
 fn picks() -> [Pick<'static>; 3] {
     ["a", "b", "c"].map(|id| Pick { connected: true, id, near: true, slots: 4 })
 }
 
-fn answered(load: &mut Load, id: &str, latency_ms: u64) {
+fn answered(load: &mut LoadBalancer, id: &str, latency_ms: u64) {
     load.sent(id);
     load.finished(UnixMs(0), id, 4, Outcome::Answered { latency_ms });
 }
 
 #[test]
 fn the_emptiest_target_is_chosen() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     load.sent("a");
     load.sent("b");
 
@@ -28,7 +28,7 @@
 // Cause: equal targets are chosen in turn, whether a connection to them is there or not.
 #[test]
 fn a_connected_target_is_chosen_until_it_has_a_call_more() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     let mut picks = picks();
     picks[0].connected = false;
     picks[2].connected = false;
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_target_that_was_tried_is_chosen_only_where_there_is_no_other() {
-    let load = Load::open(LoadBalancerSettings::default());
+    let load = LoadBalancer::open(LoadBalancerSettings::default());
     let tried = ["a".to_owned(), "b".to_owned()];
 
     assert_eq!(load.choose(UnixMs(0), &picks(), &tried, 0).map(|pick| pick.id), Some("c"));
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_target_that_fails_rests_ever_longer_and_returns() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     load.sent("a");
     load.finished(UnixMs(1_000), "a", 4, Outcome::Failed);
 
@@ -66,7 +66,7 @@
 
 #[test]
 fn where_all_rest_all_may_be_chosen() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["a", "b", "c"] {
         load.sent(id);
         load.finished(UnixMs(0), id, 4, Outcome::Failed);
@@ -80,10 +80,10 @@
 // Cause: it is asked again every 60 ms, as one whose slots are full.
 #[test]
 fn a_target_that_refuses_with_free_slots_rests_longer_than_a_full_one() {
-    let mut loading = Load::open(LoadBalancerSettings::default());
+    let mut loading = LoadBalancer::open(LoadBalancerSettings::default());
     loading.sent("a");
     loading.finished(UnixMs(0), "a", 4, Outcome::Full);
-    let mut full = Load::open(LoadBalancerSettings::default());
+    let mut full = LoadBalancer::open(LoadBalancerSettings::default());
     for _ in 0..4 {
         full.sent("a");
     }
@@ -95,7 +95,7 @@
 
 #[test]
 fn items_go_to_the_fastest_target_with_a_free_slot() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     answered(&mut load, "a", 200);
     answered(&mut load, "b", 50);
     answered(&mut load, "c", 50);
@@ -110,7 +110,7 @@
 
 #[test]
 fn no_item_goes_to_a_target_without_a_free_slot() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for pick in picks() {
         for _ in 0..4 {
             load.sent(pick.id);
@@ -126,7 +126,7 @@
 // Cause: only the node that orders a load knows of it; the others learn of it by refusals.
 #[test]
 fn a_target_that_loads_takes_no_item_until_it_is_expected_to_have_loaded() {
-    let mut load = Load::open(LoadBalancerSettings::default());
+    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["b", "c"] {
         load.sent(id);
     }
