--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -29,7 +29,7 @@
 
 /// How a call at a target ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// It was answered after so long.
     Answered {
         /// From sending to the answer's head, or for each event of a stream.
@@ -211,7 +211,7 @@
     }
 
     /// Counts the end of a call at a target that runs `slots` requests at once.
-    pub fn finished(&mut self, now: UnixMs, id: &str, slots: u32, outcome: Outcome) {
+    pub fn finished(&mut self, now: UnixMs, id: &str, slots: u32, outcome: CallOutcome) {
         let settings = self.settings;
         let seen = self.entry(id);
         seen.in_flight = seen.in_flight.saturating_sub(1);
@@ -221,10 +221,10 @@
             settings.full_rest_ms
         };
         match outcome {
-            Outcome::Answered { latency_ms } => seen.answered(latency_ms),
-            Outcome::Cancelled => {}
-            Outcome::Full => seen.rests_until = now.plus(full_rest_ms),
-            Outcome::Failed => seen.failed(now, settings),
+            CallOutcome::Answered { latency_ms } => seen.answered(latency_ms),
+            CallOutcome::Cancelled => {}
+            CallOutcome::Full => seen.rests_until = now.plus(full_rest_ms),
+            CallOutcome::Failed => seen.failed(now, settings),
         }
     }
 
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -9,7 +9,7 @@
 use crate::pool::{CallError, Connection, read_whole};
 use crate::usage::Counted;
 use bytes::Bytes;
-use catkinmast_dispatch::Outcome;
+use catkinmast_dispatch::CallOutcome;
 use catkinmast_model::{UnixMs, Verdict};
 use catkinmast_quarantine::Fingerprint;
 use http::{HeaderMap, HeaderName, Method, Request, Response, StatusCode};
@@ -138,11 +138,11 @@
     }
 
     /// What it says of its target.
-    pub(crate) const fn outcome(&self) -> Outcome {
+    pub(crate) const fn outcome(&self) -> CallOutcome {
         match self.cause {
-            Cause::Barred { .. } => Outcome::Cancelled,
-            Cause::Full => Outcome::Full,
-            Cause::Other => Outcome::Failed,
+            Cause::Barred { .. } => CallOutcome::Cancelled,
+            Cause::Full => CallOutcome::Full,
+            Cause::Other => CallOutcome::Failed,
         }
     }
 }
@@ -169,12 +169,12 @@
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: Some(run) }
     }
 
-    pub(crate) fn end(mut self, outcome: Outcome) {
+    pub(crate) fn end(mut self, outcome: CallOutcome) {
         self.ended = true;
         self.finish(outcome);
     }
 
-    fn finish(&self, outcome: Outcome) {
+    fn finish(&self, outcome: CallOutcome) {
         let slots = self.node.targets.borrow().entry(&self.id).map_or(1, |entry| entry.slots);
         if let Some(run) = self.run {
             self.node.load.borrow_mut().run_ended(&self.id, run);
@@ -186,7 +186,7 @@
 impl<P: Platform> Drop for InFlight<P> {
     fn drop(&mut self) {
         if !self.ended {
-            self.finish(Outcome::Cancelled);
+            self.finish(CallOutcome::Cancelled);
         }
         self.node.work.notify_one();
     }
@@ -263,7 +263,7 @@
         Err(_) => Err(AttemptFailure::may_have_run("no whole answer within the caller's time")),
     };
     let outcome = match &result {
-        Ok(_) => Outcome::Answered { latency_ms: clock::now().since_ms(began_at) },
+        Ok(_) => CallOutcome::Answered { latency_ms: clock::now().since_ms(began_at) },
         Err(failure) => failure.outcome(),
     };
     in_flight.end(outcome);
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -11,7 +11,7 @@
 use crate::pool::{Connection, read_whole};
 use crate::usage::Counted;
 use bytes::Bytes;
-use catkinmast_dispatch::{Outcome, Route};
+use catkinmast_dispatch::{CallOutcome, Route};
 use catkinmast_model::Verdict;
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{Either, Full};
@@ -73,8 +73,8 @@
             counted.not_run();
         }
         if let Some(in_flight) = self.in_flight.take() {
-            let answered = Outcome::Answered { latency_ms };
-            in_flight.end(if whole { answered } else { Outcome::Failed });
+            let answered = CallOutcome::Answered { latency_ms };
+            in_flight.end(if whole { answered } else { CallOutcome::Failed });
         }
         if whole {
             self.run.ended_whole(&self.node);
@@ -149,11 +149,11 @@
     let latency_ms = clock::now().since_ms(began_at);
     let (mut head, body) = response.into_parts();
     if let Some(refusal) = forward::refusal(head.status, &marks) {
-        in_flight.end(Outcome::Full);
+        in_flight.end(CallOutcome::Full);
         return Err(refusal);
     }
     if head.status.is_success() && marks.signature.is_none() {
-        in_flight.end(Outcome::Failed);
+        in_flight.end(CallOutcome::Failed);
         return Err(AttemptFailure::may_have_run("an answer without a target's signature"));
     }
     let kept = head.headers.clone();
@@ -171,7 +171,7 @@
         };
         return Ok(Response::from_parts(head, Either::Right(relay)));
     }
-    in_flight.end(Outcome::Answered { latency_ms });
+    in_flight.end(CallOutcome::Answered { latency_ms });
     let body = read_whole(body, forward::HELD_MAX_BYTES).await.unwrap_or_default();
     node.pool.keep(connection, &kept);
     let answer = WholeAnswer { body, headers: head.headers, marks, status: head.status };
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -11,7 +11,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{Outcome, Pick, Progress, TargetEntry, group_of};
+use catkinmast_dispatch::{CallOutcome, Pick, Progress, TargetEntry, group_of};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -168,7 +168,7 @@
         let end = run(&node_too, &terms, &item, &progress_too, &chosen, &gap).await;
         let (outcome, why) = match &end {
             RunEnd::Broken { outcome, why } => (*outcome, why.as_str()),
-            _ => (Outcome::Cancelled, ""),
+            _ => (CallOutcome::Cancelled, ""),
         };
         in_flight.end(outcome);
         running_too.set(false);
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -9,7 +9,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{EventReader, Item, ItemResult, Outcome, Progress};
+use catkinmast_dispatch::{CallOutcome, EventReader, Item, ItemResult, Progress};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::Fingerprint;
 use http::header::{AUTHORIZATION, HOST};
@@ -71,7 +71,7 @@
     /// The item can never be done.
     Impossible,
     /// It broke off; another target can go on from the text so far.
-    Broken { outcome: Outcome, why: String },
+    Broken { outcome: CallOutcome, why: String },
     /// The text is whole.
     Whole,
 }
@@ -93,7 +93,7 @@
     let text = progress.borrow().clone();
     let outcome = match &end {
         RunEnd::Barred { .. } | RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
-            Outcome::Cancelled
+            CallOutcome::Cancelled
         }
         RunEnd::Broken { outcome, .. } => *outcome,
     };
@@ -133,7 +133,8 @@
             held.borrow_mut().batch.put_back(index, from, text);
         }
         RunEnd::Broken { outcome, .. } => {
-            let pause_ms = if outcome == Outcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
+            let pause_ms =
+                if outcome == CallOutcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
             let from = clock::now().plus(pause_ms);
             held.borrow_mut().batch.put_back(index, from, text);
         }
@@ -201,8 +202,8 @@
     let opened = match timeout(FIRST_EVENT_MAX, forward::open(node, chosen, &request)).await {
         Ok(Ok(opened)) => opened,
         Ok(Err(failure)) if failure.is_barred() => return RunEnd::Barred { why: failure.message },
-        Ok(Err(failure)) => return broken(&failure.message, Outcome::Failed),
-        Err(_) => return broken("no head in time", Outcome::Failed),
+        Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
+        Err(_) => return broken("no head in time", CallOutcome::Failed),
     };
     let (response, connection, marks) = opened;
     let (parts, body) = response.into_parts();
@@ -214,7 +215,7 @@
         if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
             node.pool.keep(connection, &parts.headers);
         }
-        return broken(&refusal.message, Outcome::Full);
+        return broken(&refusal.message, CallOutcome::Full);
     }
     match parts.status {
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
@@ -225,12 +226,12 @@
             return RunEnd::Failed;
         }
         status if !status.is_success() => {
-            return broken(&format!("answered {status}"), Outcome::Failed);
+            return broken(&format!("answered {status}"), CallOutcome::Failed);
         }
         _ => {}
     }
     if marks.signature.is_none() || marks.request_id.is_none() {
-        return broken("an answer without a target's signature", Outcome::Failed);
+        return broken("an answer without a target's signature", CallOutcome::Failed);
     }
     let progress = Rc::clone(progress);
     let mut stream = TokenStream {
@@ -252,9 +253,9 @@
         }
         Err(ReadEnd::BrokeOff(why)) => {
             sent.broke_off(node);
-            broken(&why, Outcome::Failed)
+            broken(&why, CallOutcome::Failed)
         }
-        Err(ReadEnd::Other(why)) => broken(&why, Outcome::Failed),
+        Err(ReadEnd::Other(why)) => broken(&why, CallOutcome::Failed),
     }
 }
 
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -1,6 +1,6 @@
 //! The choice among targets by the load that this process sees.
 
-use catkinmast_dispatch::{LoadBalancer, LoadBalancerSettings, Outcome, Pick};
+use catkinmast_dispatch::{CallOutcome, LoadBalancer, LoadBalancerSettings, Pick};
 use catkinmast_model::UnixMs;
 
 fn picks() -> [Pick<'static>; 3] {
@@ -9,7 +9,7 @@
 
 fn answered(load: &mut LoadBalancer, id: &str, latency_ms: u64) {
     load.sent(id);
-    load.finished(UnixMs(0), id, 4, Outcome::Answered { latency_ms });
+    load.finished(UnixMs(0), id, 4, CallOutcome::Answered { latency_ms });
 }
 
 #[test]
@@ -54,12 +54,12 @@
 fn a_target_that_fails_rests_ever_longer_and_returns() {
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     load.sent("a");
-    load.finished(UnixMs(1_000), "a", 4, Outcome::Failed);
+    load.finished(UnixMs(1_000), "a", 4, CallOutcome::Failed);
 
     assert!(load.rests(UnixMs(1_399), "a"));
     assert!(!load.rests(UnixMs(1_400), "a"));
     load.sent("a");
-    load.finished(UnixMs(2_000), "a", 4, Outcome::Failed);
+    load.finished(UnixMs(2_000), "a", 4, CallOutcome::Failed);
     assert!(load.rests(UnixMs(2_799), "a"));
     assert!(!load.rests(UnixMs(2_800), "a"));
 }
@@ -69,7 +69,7 @@
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["a", "b", "c"] {
         load.sent(id);
-        load.finished(UnixMs(0), id, 4, Outcome::Failed);
+        load.finished(UnixMs(0), id, 4, CallOutcome::Failed);
     }
 
     assert!(load.choose(UnixMs(1), &picks(), &[], 0).is_some());
@@ -82,12 +82,12 @@
 fn a_target_that_refuses_with_free_slots_rests_longer_than_a_full_one() {
     let mut loading = LoadBalancer::open(LoadBalancerSettings::default());
     loading.sent("a");
-    loading.finished(UnixMs(0), "a", 4, Outcome::Full);
+    loading.finished(UnixMs(0), "a", 4, CallOutcome::Full);
     let mut full = LoadBalancer::open(LoadBalancerSettings::default());
     for _ in 0..4 {
         full.sent("a");
     }
-    full.finished(UnixMs(0), "a", 4, Outcome::Full);
+    full.finished(UnixMs(0), "a", 4, CallOutcome::Full);
 
     assert!(loading.rests(UnixMs(249), "a"));
     assert!(!full.rests(UnixMs(60), "a"));
