--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -36,7 +36,7 @@
 };
 pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 pub use lengths::RunTimeEstimator;
-pub use load::{CallOutcome, LoadBalancer, LoadBalancerSettings, Pick};
+pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
 pub use rollout::{LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget};
 pub use shares::{Demand, deal};
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -80,7 +80,7 @@
 
 /// A candidate of a choice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Pick<'a> {
+pub struct Candidate<'a> {
     /// The target's id.
     pub id: &'a str,
     /// Whether it stands in our data centre.
@@ -109,16 +109,16 @@
     pub fn choose<'a>(
         &self,
         now: UnixMs,
-        candidates: &[Pick<'a>],
+        candidates: &[Candidate<'a>],
         tried: &[String],
         draw: u64,
-    ) -> Option<Pick<'a>> {
-        let fresh: Vec<&Pick<'a>> =
+    ) -> Option<Candidate<'a>> {
+        let fresh: Vec<&Candidate<'a>> =
             candidates.iter().filter(|pick| !tried.iter().any(|id| id == pick.id)).collect();
         let pool = if fresh.is_empty() { candidates.iter().collect() } else { fresh };
-        let rested: Vec<&&Pick<'a>> =
+        let rested: Vec<&&Candidate<'a>> =
             pool.iter().filter(|pick| self.rests_until(pick.id) <= now).collect();
-        let from: Vec<&Pick<'a>> =
+        let from: Vec<&Candidate<'a>> =
             if rested.is_empty() { pool.clone() } else { rested.into_iter().copied().collect() };
         let fastest_us = self.fastest_us(candidates);
         let count = from.len() as u64;
@@ -142,13 +142,13 @@
     pub fn choose_free<'a>(
         &self,
         now: UnixMs,
-        candidates: &[Pick<'a>],
+        candidates: &[Candidate<'a>],
         preferred: Option<&str>,
         run_ms: u64,
         draw: u64,
-    ) -> Option<Pick<'a>> {
+    ) -> Option<Candidate<'a>> {
         let fastest_us = self.fastest_us(candidates);
-        let free: Vec<&Pick<'a>> = candidates
+        let free: Vec<&Candidate<'a>> = candidates
             .iter()
             .filter(|pick| self.in_flight(pick.id) < pick.slots)
             .filter(|pick| self.rests_until(pick.id) <= now)
@@ -273,7 +273,7 @@
         self.seen.get(id).map_or(UnixMs(0), |seen| seen.rests_until.max(seen.loads_until))
     }
 
-    fn fastest_us(&self, candidates: &[Pick<'_>]) -> u64 {
+    fn fastest_us(&self, candidates: &[Candidate<'_>]) -> u64 {
         candidates
             .iter()
             .filter_map(|pick| self.seen.get(pick.id))
@@ -295,7 +295,7 @@
 
     /// The expected work of one more call, in hundredths. A hop between data centres counts as
     /// [`FAR_COST`] and a new connection as [`CONNECT_COST`].
-    fn cost(&self, pick: &Pick<'_>, fastest_us: u64) -> u64 {
+    fn cost(&self, pick: &Candidate<'_>, fastest_us: u64) -> u64 {
         let in_flight = u64::from(self.in_flight(pick.id));
         let load = (in_flight + 1) * 100 / u64::from(pick.slots.max(1));
         load * self.slowness(pick.id, fastest_us) / SLOWNESS_UNIT
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -15,7 +15,7 @@
 use crate::usage::Usage;
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    Demand, Document, Item, LoadBalancer, LoadBalancerSettings, Pick, RunTimeEstimator,
+    Candidate, Demand, Document, Item, LoadBalancer, LoadBalancerSettings, RunTimeEstimator,
     TargetChange, TargetTable, Turns,
 };
 use catkinmast_member::{Membership, NodeState};
@@ -231,15 +231,15 @@
         &self,
         service: &str,
         fits: impl Fn(&catkinmast_dispatch::TargetEntry) -> bool,
-        choose: impl FnOnce(&LoadBalancer, UnixMs, &[Pick<'_>]) -> Option<String>,
+        choose: impl FnOnce(&LoadBalancer, UnixMs, &[Candidate<'_>]) -> Option<String>,
     ) -> Option<(String, SocketAddr)> {
         let now = clock::now();
         let settings = self.settings();
         let targets = self.targets.borrow();
-        let picks: Vec<Pick<'_>> = targets
+        let picks: Vec<Candidate<'_>> = targets
             .usable(service)
             .filter(|entry| fits(entry))
-            .map(|entry| Pick {
+            .map(|entry| Candidate {
                 connected: self.pool.has_idle(entry.address),
                 id: &entry.id,
                 near: entry.data_centre == settings.data_centre,
--- a/crates/serve/src/runs/place.rs
+++ b/crates/serve/src/runs/place.rs
@@ -7,7 +7,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{LoadBalancer, NextItem, Pick, Submission, TargetEntry};
+use catkinmast_dispatch::{Candidate, LoadBalancer, NextItem, Submission, TargetEntry};
 use indexmap::{IndexMap, IndexSet};
 use serde_json::json;
 use std::cell::RefCell;
@@ -173,8 +173,8 @@
         submission.model.as_ref().is_none_or(|model| entry.serves(model, oldest))
     };
     node.pick(service, fits, |load, now, picks| {
-        let is_own = |pick: &&Pick<'_>| own.is_none_or(|ids| ids.contains(pick.id));
-        let own_picks: Vec<Pick<'_>> = picks.iter().filter(is_own).copied().collect();
+        let is_own = |pick: &&Candidate<'_>| own.is_none_or(|ids| ids.contains(pick.id));
+        let own_picks: Vec<Candidate<'_>> = picks.iter().filter(is_own).copied().collect();
         // Where all of its own fail or refuse, the others serve rather than none.
         let all_rest = own_picks.iter().all(|pick| load.rests(now, pick.id));
         let from = if all_rest { picks } else { &own_picks };
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -11,7 +11,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{CallOutcome, Pick, Progress, TargetEntry, group_of};
+use catkinmast_dispatch::{CallOutcome, Candidate, Progress, TargetEntry, group_of};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -197,8 +197,8 @@
 }
 
 /// Leaves a part of a target's slots to the runs that trainers wait for now.
-fn leave_room<'a>(pick: &Pick<'a>) -> Pick<'a> {
-    Pick { slots: pick.slots * SECOND_SLOTS_PERCENT / 100, ..*pick }
+fn leave_room<'a>(pick: &Candidate<'a>) -> Candidate<'a> {
+    Candidate { slots: pick.slots * SECOND_SLOTS_PERCENT / 100, ..*pick }
 }
 
 /// Chooses a free target whose weights the next batch accepts, other than the first run's.
@@ -219,7 +219,7 @@
     };
     let draw = node.draw();
     let picked = node.pick(service, fits, |load, now, picks| {
-        let others: Vec<Pick<'_>> =
+        let others: Vec<Candidate<'_>> =
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
         load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -1,10 +1,10 @@
 //! The choice among targets by the load that this process sees.
 
-use catkinmast_dispatch::{CallOutcome, LoadBalancer, LoadBalancerSettings, Pick};
+use catkinmast_dispatch::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 use catkinmast_model::UnixMs;
 
-fn picks() -> [Pick<'static>; 3] {
-    ["a", "b", "c"].map(|id| Pick { connected: true, id, near: true, slots: 4 })
+fn picks() -> [Candidate<'static>; 3] {
+    ["a", "b", "c"].map(|id| Candidate { connected: true, id, near: true, slots: 4 })
 }
 
 fn answered(load: &mut LoadBalancer, id: &str, latency_ms: u64) {
