--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -43,4 +43,4 @@
 pub use stream::{EventReader, StreamEvent};
 pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
-pub use turns::{TurnId, Turns};
+pub use turns::{Turns, WaiterId};
--- a/crates/dispatch/src/turns.rs
+++ b/crates/dispatch/src/turns.rs
@@ -25,11 +25,11 @@
 
 /// Names a request that waits.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct TurnId(u64);
+pub struct WaiterId(u64);
 
 #[derive(Clone, Debug)]
 struct Waiting {
-    id: TurnId,
+    id: WaiterId,
     priority: u32,
     since: UnixMs,
     workspace: Option<String>,
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Turns {
     dealt_at: Option<UnixMs>,
-    due: IndexSet<TurnId>,
+    due: IndexSet<WaiterId>,
     next: u64,
     shares: IndexMap<Option<String>, Share>,
     waiting: Vec<Waiting>,
@@ -61,8 +61,8 @@
 
 impl Turns {
     /// Takes a request that waits, and came `since`.
-    pub fn wait(&mut self, since: UnixMs, workspace: Option<&str>, priority: u32) -> TurnId {
-        let id = TurnId(self.next);
+    pub fn wait(&mut self, since: UnixMs, workspace: Option<&str>, priority: u32) -> WaiterId {
+        let id = WaiterId(self.next);
         self.next += 1;
         let workspace = workspace.map(str::to_owned);
         self.waiting.push(Waiting { id, priority, since, workspace });
@@ -70,7 +70,7 @@
     }
 
     /// Takes a request out that waits no longer.
-    pub fn leave(&mut self, id: TurnId) {
+    pub fn leave(&mut self, id: WaiterId) {
         self.waiting.retain(|waiting| waiting.id != id);
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Tells whether it is a request's turn to be tried.
-    pub fn is_due(&mut self, now: UnixMs, id: TurnId) -> bool {
+    pub fn is_due(&mut self, now: UnixMs, id: WaiterId) -> bool {
         if self.dealt_at.is_none_or(|at| now.since_ms(at) >= DEAL_EVERY_MS) {
             self.deal(now);
         }
@@ -94,7 +94,7 @@
     fn deal(&mut self, now: UnixMs) {
         self.dealt_at = Some(now);
         let place = |waiting: &Waiting| (self.weight(now, waiting), waiting.since, waiting.id);
-        let mut places: Vec<(f64, UnixMs, TurnId)> = self.waiting.iter().map(place).collect();
+        let mut places: Vec<(f64, UnixMs, WaiterId)> = self.waiting.iter().map(place).collect();
         places.sort_unstable_by(|one, other| {
             one.0.total_cmp(&other.0).then_with(|| (one.1, one.2).cmp(&(other.1, other.2)))
         });
--- a/crates/serve/src/turn.rs
+++ b/crates/serve/src/turn.rs
@@ -3,14 +3,14 @@
 use crate::clock;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::TurnId;
+use catkinmast_dispatch::WaiterId;
 use catkinmast_model::UnixMs;
 use std::rc::Rc;
 
 /// A request that waits; it leaves when this is dropped.
 #[derive(Debug)]
 pub(crate) struct Turn<P: Platform> {
-    id: TurnId,
+    id: WaiterId,
     node: Rc<Node<P>>,
     service: String,
 }
--- a/tests/all/dispatch/turns.rs
+++ b/tests/all/dispatch/turns.rs
@@ -1,6 +1,6 @@
 //! Whose request is tried next while all targets refuse for load.
 
-use catkinmast_dispatch::{TurnId, Turns};
+use catkinmast_dispatch::{Turns, WaiterId};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use proptest::prelude::*;
@@ -30,7 +30,7 @@
 }
 
 struct Request {
-    id: TurnId,
+    id: WaiterId,
     since: u64,
     workspace: usize,
 }
@@ -53,7 +53,7 @@
             }
         }
         let mut is_due = |request: &Request| !in_turn || turns.is_due(now, request.id);
-        let mut due: Vec<TurnId> =
+        let mut due: Vec<WaiterId> =
             waiting.iter().filter(|request| is_due(request)).map(|request| request.id).collect();
         for place in (1..due.len()).rev() {
             seed = seed
@@ -152,7 +152,7 @@
         waits in prop::collection::vec((0_u8..5, 0_u32..12, 0_u64..100, any::<bool>()), 1..30),
     ) {
         let mut turns = Turns::default();
-        let mut held: IndexMap<TurnId, ()> = IndexMap::new();
+        let mut held: IndexMap<WaiterId, ()> = IndexMap::new();
         for (workspace, priority, since, leaves) in waits {
             let name = format!("w{workspace}");
             let id = turns.wait(UnixMs(since), Some(&name), priority);
