--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`Document`]: the operators' routes and services, and which route a request takes.
 //! - [`TargetTable`]: which targets may receive work, from a registry that lags and has outages.
 //! - [`LoadBalancer`]: what this process sees of each target by its own calls, and the choice among them.
-//! - [`Turns`]: whose request is tried next while all targets refuse for load.
+//! - [`WaitQueue`]: whose request is tried next while all targets refuse for load.
 //! - [`Batch`]: a batch submission, its items, and the results in their fixed positions.
 //! - [`Freshness`]: how old a node's view of the store is, and when it looks for itself.
 //! - [`RunTimeEstimator`]: how long items run.
@@ -43,4 +43,4 @@
 pub use stream::{EventReader, StreamEvent};
 pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
-pub use turns::{Turns, WaiterId};
+pub use turns::{WaitQueue, WaiterId};
--- a/crates/dispatch/src/turns.rs
+++ b/crates/dispatch/src/turns.rs
@@ -51,7 +51,7 @@
 
 /// The requests that wait for the targets of one service.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct WaitQueue {
     dealt_at: Option<UnixMs>,
     due: IndexSet<WaiterId>,
     next: u64,
@@ -59,7 +59,7 @@
     waiting: Vec<Waiting>,
 }
 
-impl Turns {
+impl WaitQueue {
     /// Takes a request that waits, and came `since`.
     pub fn wait(&mut self, since: UnixMs, workspace: Option<&str>, priority: u32) -> WaiterId {
         let id = WaiterId(self.next);
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use catkinmast_dispatch::{
     Candidate, Demand, Document, Item, LoadBalancer, LoadBalancerSettings, RunTimeEstimator,
-    TargetChange, TargetTable, Turns,
+    TargetChange, TargetTable, WaitQueue,
 };
 use catkinmast_member::{Membership, NodeState};
 use catkinmast_model::{Incarnation, Name, UnixMs, Verdict};
@@ -91,7 +91,7 @@
     pub targets: RefCell<TargetTable>,
     pub trail: Trail,
     /// The requests that wait because all targets of their service refuse for load, by service.
-    pub turns: RefCell<IndexMap<String, Turns>>,
+    pub turns: RefCell<IndexMap<String, WaitQueue>>,
     /// The requests of which the store does not have this node's evidence yet.
     pub unsaved_crashes: RefCell<IndexSet<Fingerprint>>,
     /// The requests of workspaces, here and as other nodes told.
--- a/tests/all/dispatch/turns.rs
+++ b/tests/all/dispatch/turns.rs
@@ -1,6 +1,6 @@
 //! Whose request is tried next while all targets refuse for load.
 
-use catkinmast_dispatch::{Turns, WaiterId};
+use catkinmast_dispatch::{WaitQueue, WaiterId};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
 /// Plays a node whose targets have `slots_per_turn` free slots each turn; `in_turn` is whether requests
 /// keep to their turns. Requests that are due take what is free in an order that the seed draws.
 fn play(senders: &[Sender], slots_per_turn: usize, in_turn: bool) -> Vec<Served> {
-    let mut turns = Turns::default();
+    let mut turns = WaitQueue::default();
     let mut waiting: Vec<Request> = Vec::new();
     let mut results: Vec<Served> = senders.iter().map(|_| Served::default()).collect();
     let mut seed = 7_u64;
@@ -140,7 +140,7 @@
 
 #[test]
 fn one_that_waits_alone_is_due_at_once() {
-    let mut turns = Turns::default();
+    let mut turns = WaitQueue::default();
     let id = turns.wait(UnixMs(5), None, 9);
 
     assert!(turns.is_due(UnixMs(5), id));
@@ -151,7 +151,7 @@
     fn somebody_is_due_whoever_waits(
         waits in prop::collection::vec((0_u8..5, 0_u32..12, 0_u64..100, any::<bool>()), 1..30),
     ) {
-        let mut turns = Turns::default();
+        let mut turns = WaitQueue::default();
         let mut held: IndexMap<WaiterId, ()> = IndexMap::new();
         for (workspace, priority, since, leaves) in waits {
             let name = format!("w{workspace}");
