--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -38,7 +38,7 @@
 pub use lengths::RunTimeEstimator;
 pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
-pub use rollout::{LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget};
+pub use rollout::{LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget};
 pub use shares::{Demand, deal};
 pub use stream::{EventReader, StreamEvent};
 pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -75,7 +75,7 @@
 
 /// How an order went.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderOutcome {
+pub enum LoadOutcome {
     /// The target has the version.
     Done,
     /// It could not be carried out, or nothing is known of it.
@@ -181,9 +181,9 @@
     }
 
     /// Takes the outcome of an order.
-    pub fn outcome(&mut self, now: UnixMs, target: &str, outcome: OrderOutcome) {
+    pub fn outcome(&mut self, now: UnixMs, target: &str, outcome: LoadOutcome) {
         self.loading.swap_remove(target);
-        if outcome == OrderOutcome::Failed {
+        if outcome == LoadOutcome::Failed {
             self.rests_until.insert(target.to_owned(), now.plus(self.settings.retry_ms));
         }
     }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -17,7 +17,7 @@
 use crate::tenancy::Tenancy;
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
+    LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
 };
 use catkinmast_model::Verdict;
 use http::{Request, StatusCode};
@@ -147,7 +147,7 @@
             let service = service.clone();
             tokio::task::spawn_local(async move {
                 let outcome = carry_out(&node, &holder, &order, runs_continue).await;
-                let label = if outcome == OrderOutcome::Done { "done" } else { "failed" };
+                let label = if outcome == LoadOutcome::Done { "done" } else { "failed" };
                 count(&node.metrics.orders, label);
                 if let Some(rollout) = holder.rollouts.borrow_mut().get_mut(&service) {
                     rollout.outcome(clock::now(), &order.target, outcome);
@@ -173,29 +173,29 @@
     holder: &Rc<Holder>,
     order: &LoadOrder,
     runs_continue: bool,
-) -> OrderOutcome {
+) -> LoadOutcome {
     let entry = node.targets.borrow().entry(&order.target).cloned();
-    let Some(entry) = entry else { return OrderOutcome::Failed };
+    let Some(entry) = entry else { return LoadOutcome::Failed };
     let born_at_unix_ms = entry.born_at_unix_ms;
     let known = holder.accepted(&entry);
     let chosen = Chosen { address: entry.address, id: entry.id };
     let expected_orders = match known {
         Some(accepted) => accepted,
         None => match report(node, &chosen).await {
-            Ok(report) if report.busy => return OrderOutcome::Failed,
+            Ok(report) if report.busy => return LoadOutcome::Failed,
             Ok(report) => {
                 take_report(node, holder, &chosen, &report);
                 if has_version(&report, order) {
-                    return OrderOutcome::Done;
+                    return LoadOutcome::Done;
                 }
                 report.orders_accepted
             }
-            Err(_) => return OrderOutcome::Failed,
+            Err(_) => return LoadOutcome::Failed,
         },
     };
     // Asked right before the order: a pause since the plan must not let it out under a lapsed lease.
     let fence = holder.tenancy.order_fence(clock::now());
-    let Some(fence) = fence else { return OrderOutcome::Failed };
+    let Some(fence) = fence else { return LoadOutcome::Failed };
     let settings = node.settings();
     let call = OrderCall {
         expected_orders,
@@ -226,15 +226,15 @@
         Ok((StatusCode::OK, _)) => {
             holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders);
             node.targets.borrow_mut().version_seen(&chosen.id, &order.model, order.version);
-            return OrderOutcome::Done;
+            return LoadOutcome::Done;
         }
-        Ok(_) => return OrderOutcome::Failed,
-        Err(error) if error.verdict == Verdict::NotRun => return OrderOutcome::Failed,
+        Ok(_) => return LoadOutcome::Failed,
+        Err(error) if error.verdict == Verdict::NotRun => return LoadOutcome::Failed,
         Err(_) => {
             sleep(REPORT_LAG).await;
             match report(node, &chosen).await {
                 Ok(report) if report.busy || has_version(&report, order) => {}
-                _ => return OrderOutcome::Failed,
+                _ => return LoadOutcome::Failed,
             }
         }
     }
@@ -246,29 +246,29 @@
     holder: &Rc<Holder>,
     chosen: &Chosen,
     order: &LoadOrder,
-) -> OrderOutcome {
+) -> LoadOutcome {
     for _ in 0..LOOKS_MAX {
         let known = node.targets.borrow().entry(&chosen.id).is_some_and(|entry| {
             entry.models.iter().any(|(model, held)| *model == order.model && *held >= order.version)
         });
         if known {
-            return OrderOutcome::Done;
+            return LoadOutcome::Done;
         }
         match report(node, chosen).await {
             Ok(report) => {
                 take_report(node, holder, chosen, &report);
                 if has_version(&report, order) {
-                    return OrderOutcome::Done;
+                    return LoadOutcome::Done;
                 }
                 if !report.busy {
-                    return OrderOutcome::Failed;
+                    return LoadOutcome::Failed;
                 }
             }
-            Err(_) => return OrderOutcome::Failed,
+            Err(_) => return LoadOutcome::Failed,
         }
         sleep(NEXT_LOOK).await;
     }
-    OrderOutcome::Failed
+    LoadOutcome::Failed
 }
 
 fn has_version(report: &EngineReport, order: &LoadOrder) -> bool {
--- a/tests/all/dispatch/rollout.rs
+++ b/tests/all/dispatch/rollout.rs
@@ -1,7 +1,7 @@
 //! Loads of weights: split, paced, the most needed first.
 
 use catkinmast_dispatch::{
-    Demand, LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget,
+    Demand, LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget,
 };
 use catkinmast_model::UnixMs;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
         }
         for order in &orders {
             loaded(targets, order);
-            rollout.outcome(now, &order.target, OrderOutcome::Done);
+            rollout.outcome(now, &order.target, LoadOutcome::Done);
         }
         all.extend(orders);
     }
@@ -127,7 +127,7 @@
     rollout.named("x", 2);
     let targets = targets(1);
     let first = rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
-    rollout.outcome(UnixMs(10), "t0", OrderOutcome::Failed);
+    rollout.outcome(UnixMs(10), "t0", LoadOutcome::Failed);
 
     assert_eq!(first.len(), 1);
     assert!(rollout.plan(UnixMs(400), &targets, &models(), &Demand::default()).is_empty());
@@ -166,7 +166,7 @@
     let first = rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
     for order in &first {
         loaded(&mut targets, order);
-        rollout.outcome(UnixMs(1_000), &order.target, OrderOutcome::Done);
+        rollout.outcome(UnixMs(1_000), &order.target, LoadOutcome::Done);
     }
     rollout.named("y", 2);
 
