--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -11,7 +11,7 @@
 mod plan;
 mod terms;
 
-pub use plan::{OrderOutcome, Scaling, Wanted};
+pub use plan::{DesiredCounts, OrderOutcome, Scaling};
 pub use terms::{ScalingConfig, ScalingError};
 
 /// A kind of target in a data centre; each is ordered by itself.
--- a/crates/scaling/src/plan.rs
+++ b/crates/scaling/src/plan.rs
@@ -15,7 +15,7 @@
 const REFUSED_PAUSE_MS: u64 = 2_000;
 
 /// How many targets each pool is to have.
-pub type Wanted = IndexMap<Pool, u32>;
+pub type DesiredCounts = IndexMap<Pool, u32>;
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,21 +41,21 @@
 /// The targets of one service.
 #[derive(Clone, Debug)]
 pub struct Scaling {
-    seen: (Wanted, UnixMs),
+    seen: (DesiredCounts, UnixMs),
     states: IndexMap<Pool, State>,
     /// What the service is to have; none until it is known.
-    wanted: Option<Wanted>,
+    wanted: Option<DesiredCounts>,
 }
 
 impl Scaling {
     /// Opens the scaling of a service; `wanted` is what it is to have, where that was found before.
-    pub fn open(wanted: Option<Wanted>) -> Self {
-        let seen = (Wanted::new(), UnixMs(0));
+    pub fn open(wanted: Option<DesiredCounts>) -> Self {
+        let seen = (DesiredCounts::new(), UnixMs(0));
         Self { seen, states: IndexMap::new(), wanted }
     }
 
     /// Returns what the service is to have, once that is known.
-    pub const fn wanted(&self) -> Option<&Wanted> {
+    pub const fn wanted(&self) -> Option<&DesiredCounts> {
         self.wanted.as_ref()
     }
 
@@ -65,7 +65,7 @@
         &mut self,
         now: UnixMs,
         terms: ScalingConfig,
-        serving: &Wanted,
+        serving: &DesiredCounts,
     ) -> Vec<TargetOrder> {
         if self.wanted.is_none() {
             self.learn(now, serving);
@@ -110,7 +110,7 @@
     }
 
     /// Lets pools of other data centres stand in for what is not to be had, evenly.
-    fn stand_in(&mut self, wanted: &Wanted) {
+    fn stand_in(&mut self, wanted: &DesiredCounts) {
         let refused = |state: &&State| state.refused_short > 0;
         let short: u32 = self.states.values().map(|state| state.refused_short).sum();
         let others = wanted.len() - self.states.values().filter(refused).count();
@@ -123,7 +123,7 @@
 
     /// Takes the targets that serve for what the service began with, once they have not changed for a
     /// while.
-    fn learn(&mut self, now: UnixMs, serving: &Wanted) {
+    fn learn(&mut self, now: UnixMs, serving: &DesiredCounts) {
         if self.seen.0 != *serving {
             self.seen = (serving.clone(), now);
         }
