--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -9,7 +9,7 @@
 use crate::peers::{self, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use catkinmast_model::UnixMs;
-use catkinmast_usage::{Counts, Ledger, Table, Teller, Ticket, TrueTime, Window, Windows};
+use catkinmast_usage::{Counts, Ledger, Teller, Ticket, TrueTime, Window, WindowCounts, Windows};
 use indexmap::IndexMap;
 use serde_json::json;
 use std::cell::RefCell;
@@ -106,7 +106,7 @@
 }
 
 /// Takes what another node has counted.
-pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &Teller, tables: Vec<Table>) {
+pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &Teller, tables: Vec<WindowCounts>) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
         ledger.told(teller, table);
@@ -115,11 +115,11 @@
 
 /// What a node has confirmed that it was told.
 #[derive(Debug, Default)]
-struct Confirmed(BTreeMap<Window, Table>);
+struct Confirmed(BTreeMap<Window, WindowCounts>);
 
 impl Confirmed {
     /// Returns what it was not told yet.
-    fn news(&self, tables: &[Table]) -> Vec<Table> {
+    fn news(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
         let news = tables.iter().filter_map(|table| {
             let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
             let is_new =
@@ -131,7 +131,7 @@
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
             let is_news = !counts.is_empty() || table.complete != held.complete;
-            is_news.then(|| Table { counts, ..table.clone() })
+            is_news.then(|| WindowCounts { counts, ..table.clone() })
         });
         news.collect()
     }
@@ -176,7 +176,7 @@
     node: &Node<P>,
     to: Owner,
     teller: Teller,
-    tables: Vec<Table>,
+    tables: Vec<WindowCounts>,
 ) -> Option<Owner> {
     let call = PeerCall::Usage { tables, teller };
     match node.ask_peer(to.address, &call, TELL_MAX).await {
--- a/crates/usage/src/counts.rs
+++ b/crates/usage/src/counts.rs
@@ -1,6 +1,6 @@
 //! What this node's own requests add to the windows.
 
-use crate::{Table, Window, Windows};
+use crate::{Window, WindowCounts, Windows};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use std::collections::BTreeMap;
@@ -62,7 +62,7 @@
     }
 
     /// Returns what there is to tell of the windows that are not too old, the open one among them.
-    pub fn tables(&mut self, now: UnixMs) -> Vec<Table> {
+    pub fn tables(&mut self, now: UnixMs) -> Vec<WindowCounts> {
         self.settle(now);
         let current = self.windows.at(now);
         let oldest = Window(current.0.saturating_sub(KEPT_WINDOWS));
@@ -71,7 +71,7 @@
             .map(|number| {
                 let window = Window(number);
                 let counts = self.tables.get(&window).cloned().unwrap_or_default();
-                Table { complete: self.is_complete(window, now), counts, window }
+                WindowCounts { complete: self.is_complete(window, now), counts, window }
             })
             .filter(|table| table.complete || !table.counts.is_empty())
             .collect()
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -17,7 +17,7 @@
 
 /// All that a node's life has counted in a window so far.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Table {
+pub struct WindowCounts {
     /// Whether nothing will be added.
     pub complete: bool,
     /// Requests by workspace.
@@ -43,7 +43,7 @@
 
 impl Ledger {
     /// Takes a node's table.
-    pub fn told(&mut self, teller: &Teller, table: Table) {
+    pub fn told(&mut self, teller: &Teller, table: WindowCounts) {
         let window = self.windows.entry(table.window).or_default();
         let told = window.entry(teller.clone()).or_default();
         told.complete |= table.complete;
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -1,7 +1,7 @@
 //! Usage of workspaces: windows of true time, counted once, whoever dies.
 
 use catkinmast_model::{Incarnation, UnixMs};
-use catkinmast_usage::{Counts, Ledger, Table, Teller, TrueTime, Window, Windows};
+use catkinmast_usage::{Counts, Ledger, Teller, TrueTime, Window, WindowCounts, Windows};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,9 +23,9 @@
     Teller { incarnation: Incarnation(life), node: node.parse().expect("a name") }
 }
 
-fn table(window: u64, complete: bool, counts: &[(&str, u64)]) -> Table {
+fn table(window: u64, complete: bool, counts: &[(&str, u64)]) -> WindowCounts {
     let counts = counts.iter().map(|(name, count)| ((*name).to_owned(), *count)).collect();
-    Table { complete, counts, window: Window(window) }
+    WindowCounts { complete, counts, window: Window(window) }
 }
 
 fn totals(pairs: &[(&str, u64)]) -> BTreeMap<String, u64> {
