--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -17,7 +17,7 @@
 use crate::tenancy::Tenancy;
 use crate::usage;
 use catkinmast_model::{Fence, UnixMs};
-use catkinmast_usage::{Teller, Window, Windows};
+use catkinmast_usage::{UsageSource, Window, Windows};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use serde_json::json;
@@ -179,7 +179,7 @@
     let (counts, missing, tellers) = {
         let ledger = node.usage.ledger.borrow();
         let missing = ledger.missing(window, &alive);
-        let missing: Vec<Teller> = missing.into_iter().cloned().collect();
+        let missing: Vec<UsageSource> = missing.into_iter().cloned().collect();
         (ledger.totals(window), missing, ledger.tellers(window))
     };
     if may_wait && !missing.is_empty() {
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -6,7 +6,7 @@
 use catkinmast_dispatch::{ItemResult, Progress, Submission, TextUpdate};
 use catkinmast_member::Message;
 use catkinmast_model::{Incarnation, Name, UnixMs};
-use catkinmast_usage::{Teller, WindowCounts};
+use catkinmast_usage::{UsageSource, WindowCounts};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -28,7 +28,7 @@
     /// Reads results of a batch that the receiver owns.
     Read { after: usize, batch: String, scope: Scope, wait_ms: u64 },
     /// Tells what the sender has counted of the requests of workspaces.
-    Usage { tables: Vec<WindowCounts>, teller: Teller },
+    Usage { tables: Vec<WindowCounts>, teller: UsageSource },
     /// Makes a call of the store for a node that the store turns away.
     Store(StoreCall),
     /// Hands a submission to the owner of its model's batches.
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -5,7 +5,7 @@
 use crate::platform::Platform;
 use catkinmast_member::{DutyRank, Fact, NodeFact, NodeState, OwnerFact};
 use catkinmast_model::Name;
-use catkinmast_usage::Teller;
+use catkinmast_usage::UsageSource;
 use std::net::SocketAddr;
 
 /// Returns this node's rank for a duty among those that live; none before it has joined.
@@ -68,11 +68,13 @@
 }
 
 /// Returns the lives that may serve callers now.
-pub(crate) fn tellers<P: Platform>(node: &Node<P>) -> Vec<Teller> {
+pub(crate) fn tellers<P: Platform>(node: &Node<P>) -> Vec<UsageSource> {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
     let serving = members.nodes().filter(|peer| peer.state != NodeState::Gone);
-    serving.map(|peer| Teller { incarnation: peer.incarnation, node: peer.name.clone() }).collect()
+    serving
+        .map(|peer| UsageSource { incarnation: peer.incarnation, node: peer.name.clone() })
+        .collect()
 }
 
 /// Returns the holder of a duty that all are told of, if it lives.
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -9,7 +9,9 @@
 use crate::peers::{self, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use catkinmast_model::UnixMs;
-use catkinmast_usage::{Counts, Ledger, Teller, Ticket, TrueTime, Window, WindowCounts, Windows};
+use catkinmast_usage::{
+    Counts, Ledger, Ticket, TrueTime, UsageSource, Window, WindowCounts, Windows,
+};
 use indexmap::IndexMap;
 use serde_json::json;
 use std::cell::RefCell;
@@ -106,7 +108,7 @@
 }
 
 /// Takes what another node has counted.
-pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &Teller, tables: Vec<WindowCounts>) {
+pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &UsageSource, tables: Vec<WindowCounts>) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
         ledger.told(teller, table);
@@ -140,7 +142,7 @@
 /// Tells what this node counts until the process ends.
 pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
     let Some(me) = peers::me(&node) else { return };
-    let teller = Teller { incarnation: me.incarnation, node: me.node.clone() };
+    let teller = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
     let mut confirmed: IndexMap<Owner, Confirmed> = IndexMap::new();
     loop {
         sleep(pause(&node)).await;
@@ -175,7 +177,7 @@
 async fn tell_one<P: Platform>(
     node: &Node<P>,
     to: Owner,
-    teller: Teller,
+    teller: UsageSource,
     tables: Vec<WindowCounts>,
 ) -> Option<Owner> {
     let call = PeerCall::Usage { tables, teller };
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -8,7 +8,7 @@
 
 /// A life of a node that tells of its counts.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Teller {
+pub struct UsageSource {
     /// The life.
     pub incarnation: Incarnation,
     /// The node.
@@ -38,12 +38,12 @@
 /// node's next life tells anew, beside what its former one has told.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    windows: BTreeMap<Window, IndexMap<Teller, Told>>,
+    windows: BTreeMap<Window, IndexMap<UsageSource, Told>>,
 }
 
 impl Ledger {
     /// Takes a node's table.
-    pub fn told(&mut self, teller: &Teller, table: WindowCounts) {
+    pub fn told(&mut self, teller: &UsageSource, table: WindowCounts) {
         let window = self.windows.entry(table.window).or_default();
         let told = window.entry(teller.clone()).or_default();
         told.complete |= table.complete;
@@ -62,10 +62,10 @@
     pub fn missing<'a>(
         &self,
         window: Window,
-        alive: impl IntoIterator<Item = &'a Teller>,
-    ) -> Vec<&'a Teller> {
+        alive: impl IntoIterator<Item = &'a UsageSource>,
+    ) -> Vec<&'a UsageSource> {
         let told = self.windows.get(&window);
-        let is_complete = |teller: &&Teller| {
+        let is_complete = |teller: &&UsageSource| {
             told.and_then(|told| told.get(*teller)).is_some_and(|told| told.complete)
         };
         alive.into_iter().filter(|teller| !is_complete(teller)).collect()
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -13,6 +13,6 @@
 mod window;
 
 pub use counts::{Counts, Ticket};
-pub use ledger::{Ledger, Teller, WindowCounts};
+pub use ledger::{Ledger, UsageSource, WindowCounts};
 pub use time::TrueTime;
 pub use window::{Window, Windows};
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -1,7 +1,7 @@
 //! Usage of workspaces: windows of true time, counted once, whoever dies.
 
 use catkinmast_model::{Incarnation, UnixMs};
-use catkinmast_usage::{Counts, Ledger, Teller, TrueTime, Window, WindowCounts, Windows};
+use catkinmast_usage::{Counts, Ledger, TrueTime, UsageSource, Window, WindowCounts, Windows};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
     SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16))
 }
 
-fn teller(node: &str, life: u64) -> Teller {
-    Teller { incarnation: Incarnation(life), node: node.parse().expect("a name") }
+fn teller(node: &str, life: u64) -> UsageSource {
+    UsageSource { incarnation: Incarnation(life), node: node.parse().expect("a name") }
 }
 
 fn table(window: u64, complete: bool, counts: &[(&str, u64)]) -> WindowCounts {
