--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -10,7 +10,7 @@
 use crate::platform::Platform;
 use catkinmast_model::UnixMs;
 use catkinmast_usage::{
-    Counts, Ledger, Ticket, TrueTime, UsageSource, Window, WindowCounts, Windows,
+    Counts, Ledger, OpenRequestId, TrueTime, UsageSource, Window, WindowCounts, Windows,
 };
 use indexmap::IndexMap;
 use serde_json::json;
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(crate) struct Counted<P: Platform> {
     node: Rc<Node<P>>,
-    ticket: Option<Ticket>,
+    ticket: Option<OpenRequestId>,
 }
 
 impl<P: Platform> Counted<P> {
@@ -87,7 +87,7 @@
         self.settle(Counts::not_run);
     }
 
-    fn settle(&mut self, settle: impl FnOnce(&mut Counts, Ticket)) {
+    fn settle(&mut self, settle: impl FnOnce(&mut Counts, OpenRequestId)) {
         let Some(ticket) = self.ticket.take() else { return };
         if let Some(counts) = self.node.usage.counts.borrow_mut().as_mut() {
             settle(counts, ticket);
--- a/crates/usage/src/counts.rs
+++ b/crates/usage/src/counts.rs
@@ -13,7 +13,7 @@
 
 /// Names a request that is at a target.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Ticket(u64);
+pub struct OpenRequestId(u64);
 
 #[derive(Clone, Debug)]
 struct Open {
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Counts {
     next: u64,
-    open: IndexMap<Ticket, Open>,
+    open: IndexMap<OpenRequestId, Open>,
     tables: BTreeMap<Window, BTreeMap<String, u64>>,
     windows: Windows,
 }
@@ -37,22 +37,22 @@
     }
 
     /// Takes it that a request is handed to a target at a moment of true time.
-    pub fn sent(&mut self, at: UnixMs, workspace: &str) -> Ticket {
-        let ticket = Ticket(self.next);
+    pub fn sent(&mut self, at: UnixMs, workspace: &str) -> OpenRequestId {
+        let ticket = OpenRequestId(self.next);
         self.next += 1;
         self.open.insert(ticket, Open { began_at: at, workspace: workspace.to_owned() });
         ticket
     }
 
     /// Takes it that a target began a request, at a later moment than it was sent if one is given.
-    pub fn began(&mut self, ticket: Ticket, at: Option<UnixMs>) {
+    pub fn began(&mut self, ticket: OpenRequestId, at: Option<UnixMs>) {
         if let Some(open) = self.open.swap_remove(&ticket) {
             self.count(at.unwrap_or(open.began_at), open.workspace);
         }
     }
 
     /// Takes it that a target did not run a request.
-    pub fn not_run(&mut self, ticket: Ticket) {
+    pub fn not_run(&mut self, ticket: OpenRequestId) {
         self.open.swap_remove(&ticket);
     }
 
@@ -82,7 +82,7 @@
         let windows = self.windows;
         let is_late =
             |open: &Open| now.since_ms(windows.end(windows.at(open.began_at))) > ANSWER_MAX_MS;
-        let late: Vec<Ticket> =
+        let late: Vec<OpenRequestId> =
             self.open.iter().filter(|(_, open)| is_late(open)).map(|(ticket, _)| *ticket).collect();
         for ticket in late {
             self.began(ticket, None);
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -12,7 +12,7 @@
 mod time;
 mod window;
 
-pub use counts::{Counts, Ticket};
+pub use counts::{Counts, OpenRequestId};
 pub use ledger::{Ledger, UsageSource, WindowCounts};
 pub use time::TrueTime;
 pub use window::{Window, Windows};
