--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -10,7 +10,7 @@
 use crate::platform::Platform;
 use catkinmast_model::UnixMs;
 use catkinmast_usage::{
-    Counts, Ledger, OpenRequestId, TrueTime, UsageSource, Window, WindowCounts, Windows,
+    Counts, FleetClock, Ledger, OpenRequestId, UsageSource, Window, WindowCounts, Windows,
 };
 use indexmap::IndexMap;
 use serde_json::json;
@@ -38,7 +38,7 @@
     counts: RefCell<Option<Counts>>,
     /// What nodes have told this one, itself among them.
     pub ledger: RefCell<Ledger>,
-    time: RefCell<TrueTime>,
+    time: RefCell<FleetClock>,
 }
 
 impl Usage {
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,6 +1,6 @@
 //! How much of the service each workspace uses, by windows of true time.
 //!
-//! - [`TrueTime`]: the time of day as most clocks of the fleet have it.
+//! - [`FleetClock`]: the time of day as most clocks of the fleet have it.
 //! - [`Windows`]: the windows into which it is divided.
 //! - [`Counts`]: what this node's own requests add to the windows.
 //! - [`Ledger`]: what all nodes have told of theirs, and when a window can be closed.
@@ -14,5 +14,5 @@
 
 pub use counts::{Counts, OpenRequestId};
 pub use ledger::{Ledger, UsageSource, WindowCounts};
-pub use time::TrueTime;
+pub use time::FleetClock;
 pub use window::{Window, Windows};
--- a/crates/usage/src/time.rs
+++ b/crates/usage/src/time.rs
@@ -22,13 +22,13 @@
 
 /// An estimate of the time of day, by this process's steady clock.
 #[derive(Clone, Debug, Default)]
-pub struct TrueTime {
+pub struct FleetClock {
     ahead_ms: i64,
     readings: IndexMap<SocketAddr, Reading>,
     refreshed_at: Option<UnixMs>,
 }
 
-impl TrueTime {
+impl FleetClock {
     /// Takes it that a node's clock showed `wall` when this process's steady clock showed `steady`.
     pub fn read(&mut self, node: SocketAddr, wall: UnixMs, steady: UnixMs) {
         let ahead_ms = wall.0 as i64 - steady.0 as i64;
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -1,7 +1,7 @@
 //! Usage of workspaces: windows of true time, counted once, whoever dies.
 
 use catkinmast_model::{Incarnation, UnixMs};
-use catkinmast_usage::{Counts, Ledger, TrueTime, UsageSource, Window, WindowCounts, Windows};
+use catkinmast_usage::{Counts, FleetClock, Ledger, UsageSource, Window, WindowCounts, Windows};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
         let mut off_ms: Vec<i64> = honest_off_ms.iter().chain(&lies_ms[..liars]).copied().collect();
         let places = turn.index(off_ms.len());
         off_ms.rotate_left(places);
-        let mut time = TrueTime::default();
+        let mut time = FleetClock::default();
 
         let mut steady = STEADY;
         for (number, off_ms) in off_ms.iter().enumerate() {
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_clock_that_jumps_and_jumps_back_moves_nothing() {
-    let mut time = TrueTime::default();
+    let mut time = FleetClock::default();
     for round in 0..40 {
         let steady = STEADY.plus(round * 300);
         for node in 0..50 {
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_node_that_hears_nobody_goes_by_its_own_clock() {
-    let mut time = TrueTime::default();
+    let mut time = FleetClock::default();
     assert_eq!(time.at(STEADY), None);
 
     time.read(address(0), UnixMs(WALL_MS as u64), STEADY);
