--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -1,4 +1,4 @@
-//! Counts the requests of workspaces, and tells what was counted to the nodes that may report it.
+//! UsageCounts the requests of workspaces, and tells what was counted to the nodes that may report it.
 //!
 //! A node that dies takes with it only what it has not told yet, so counts are told as they change, and
 //! to several nodes: the holder of the duty and those that would follow it.
@@ -10,7 +10,7 @@
 use crate::platform::Platform;
 use catkinmast_model::UnixMs;
 use catkinmast_usage::{
-    Counts, FleetClock, Ledger, OpenRequestId, UsageSource, Window, WindowCounts, Windows,
+    FleetClock, Ledger, OpenRequestId, UsageCounts, UsageSource, Window, WindowCounts, Windows,
 };
 use indexmap::IndexMap;
 use serde_json::json;
@@ -35,7 +35,7 @@
 /// What this node knows of the use of workspaces.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
-    counts: RefCell<Option<Counts>>,
+    counts: RefCell<Option<UsageCounts>>,
     /// What nodes have told this one, itself among them.
     pub ledger: RefCell<Ledger>,
     time: RefCell<FleetClock>,
@@ -71,7 +71,7 @@
         let windows = windows(node)?;
         let at = node.usage.now();
         let mut counts = node.usage.counts.borrow_mut();
-        let counts = counts.get_or_insert_with(|| Counts::open(windows));
+        let counts = counts.get_or_insert_with(|| UsageCounts::open(windows));
         let ticket = Some(counts.sent(at, workspace?));
         Some(Self { node: Rc::clone(node), ticket })
     }
@@ -84,10 +84,10 @@
 
     /// Takes it that no target began it.
     pub(crate) fn not_run(mut self) {
-        self.settle(Counts::not_run);
+        self.settle(UsageCounts::not_run);
     }
 
-    fn settle(&mut self, settle: impl FnOnce(&mut Counts, OpenRequestId)) {
+    fn settle(&mut self, settle: impl FnOnce(&mut UsageCounts, OpenRequestId)) {
         let Some(ticket) = self.ticket.take() else { return };
         if let Some(counts) = self.node.usage.counts.borrow_mut().as_mut() {
             settle(counts, ticket);
@@ -150,7 +150,7 @@
         let now = node.usage.now();
         let tables = {
             let mut counts = node.usage.counts.borrow_mut();
-            counts.get_or_insert_with(|| Counts::open(windows)).tables(now)
+            counts.get_or_insert_with(|| UsageCounts::open(windows)).tables(now)
         };
         told(&node, &teller, tables.clone());
         let followers: Vec<Owner> =
--- a/crates/usage/src/counts.rs
+++ b/crates/usage/src/counts.rs
@@ -23,14 +23,14 @@
 
 /// The requests of this node that targets began, by window and workspace.
 #[derive(Clone, Debug)]
-pub struct Counts {
+pub struct UsageCounts {
     next: u64,
     open: IndexMap<OpenRequestId, Open>,
     tables: BTreeMap<Window, BTreeMap<String, u64>>,
     windows: Windows,
 }
 
-impl Counts {
+impl UsageCounts {
     /// Opens empty counts.
     pub fn open(windows: Windows) -> Self {
         Self { next: 0, open: IndexMap::new(), tables: BTreeMap::new(), windows }
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// Counts requests that have been unanswered for too long as begun.
+    /// UsageCounts requests that have been unanswered for too long as begun.
     fn settle(&mut self, now: UnixMs) {
         let windows = self.windows;
         let is_late =
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`FleetClock`]: the time of day as most clocks of the fleet have it.
 //! - [`Windows`]: the windows into which it is divided.
-//! - [`Counts`]: what this node's own requests add to the windows.
+//! - [`UsageCounts`]: what this node's own requests add to the windows.
 //! - [`Ledger`]: what all nodes have told of theirs, and when a window can be closed.
 //!
 //! Nothing here owns a socket or a clock.
@@ -12,7 +12,7 @@
 mod time;
 mod window;
 
-pub use counts::{Counts, OpenRequestId};
+pub use counts::{OpenRequestId, UsageCounts};
 pub use ledger::{Ledger, UsageSource, WindowCounts};
 pub use time::FleetClock;
 pub use window::{Window, Windows};
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -1,7 +1,9 @@
 //! Usage of workspaces: windows of true time, counted once, whoever dies.
 
 use catkinmast_model::{Incarnation, UnixMs};
-use catkinmast_usage::{Counts, FleetClock, Ledger, UsageSource, Window, WindowCounts, Windows};
+use catkinmast_usage::{
+    FleetClock, Ledger, UsageCounts, UsageSource, Window, WindowCounts, Windows,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -114,7 +116,7 @@
 
 #[test]
 fn a_request_counts_in_the_window_in_which_a_target_began_it() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let early = counts.sent(UnixMs(4_990), "a");
     let queued = counts.sent(UnixMs(4_995), "a");
     let refused = counts.sent(UnixMs(4_996), "b");
@@ -129,7 +131,7 @@
 
 #[test]
 fn a_window_is_complete_when_nothing_that_was_sent_in_it_is_open() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let open = counts.sent(UnixMs(4_900), "a");
 
     assert_eq!(counts.tables(UnixMs(5_100)), []);
@@ -142,7 +144,7 @@
 // Sequence: a target falls silent with a request, and the request stays open for long.
 #[test]
 fn a_request_that_stays_unanswered_counts_as_begun() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let _open = counts.sent(UnixMs(4_900), "a");
 
     let tables = counts.tables(UnixMs(8_100));
@@ -152,7 +154,7 @@
 
 #[test]
 fn windows_that_are_over_for_long_are_forgotten() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let sent = counts.sent(UnixMs(100), "a");
     counts.began(sent, None);
 
