--- a/tests/all/site/duties.rs
+++ b/tests/all/site/duties.rs
@@ -1,7 +1,7 @@
 //! Duties towards the provider: usage reported once a window, whoever dies or is cut off.
 
 use super::harness::{HOST, Site, document, until};
-use super::provider::ProviderDoor;
+use super::provider::ProviderMode;
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -113,7 +113,7 @@
 async fn a_holder_that_dies_between_writing_and_sending_leaves_its_very_report() {
     let site = site(3).await;
     let holder = holder(&site).await;
-    site.provider.set_door(holder, ProviderDoor::Mute);
+    site.provider.set_mode(holder, ProviderMode::Unresponsive);
     assert_eq!(call(&site, (holder + 1) % 3, KEY_A, "q1").await, 200);
     until("a report without an answer", || async {
         (site.provider.reported("a") == 1).then_some(())
@@ -121,10 +121,10 @@
     .await;
 
     site.nodes[holder].signal("KILL");
-    let reports = site.provider.taken("/usage").len();
+    let reports = site.provider.calls("/usage").len();
 
     until("its successor reports", || async {
-        let taken = site.provider.taken("/usage");
+        let taken = site.provider.calls("/usage");
         taken[reports..].iter().any(|taken| taken.holder != format!("node-{holder}")).then_some(())
     })
     .await;
@@ -139,11 +139,11 @@
     let site = site(3).await;
     let first = holder(&site).await;
 
-    site.provider.set_door(first, ProviderDoor::Down);
-    let before = site.provider.taken("/usage").len();
+    site.provider.set_mode(first, ProviderMode::Down);
+    let before = site.provider.calls("/usage").len();
 
     until("another holder reports", || async {
-        let taken = site.provider.taken("/usage");
+        let taken = site.provider.calls("/usage");
         taken[before..].iter().any(|taken| taken.holder != format!("node-{first}")).then_some(())
     })
     .await;
@@ -157,12 +157,13 @@
 async fn a_report_that_is_refused_for_load_is_made_again_by_the_same_holder() {
     let site = site(2).await;
     let holder = holder(&site).await;
-    site.provider.set_door(holder, ProviderDoor::Busy);
+    site.provider.set_mode(holder, ProviderMode::Busy);
     assert_eq!(call(&site, holder, KEY_A, "q1").await, 200);
-    let before = site.provider.tried(holder);
-    until("refusals", || async { (site.provider.tried(holder) > before + 1).then_some(()) }).await;
+    let before = site.provider.attempts_at(holder);
+    until("refusals", || async { (site.provider.attempts_at(holder) > before + 1).then_some(()) })
+        .await;
 
-    site.provider.set_door(holder, ProviderDoor::Open);
+    site.provider.set_mode(holder, ProviderMode::Normal);
 
     until("it is reported", || async { (site.provider.reported("a") == 1).then_some(()) }).await;
     assert!(site.nodes[holder].lines("duty_resigned").is_empty());
@@ -188,7 +189,7 @@
     let first = holder(&site).await;
 
     site.engines[0].deregister();
-    let orders = || site.provider.taken("/scale");
+    let orders = || site.provider.calls("/scale");
     until("an order", || async { (!orders().is_empty()).then_some(()) }).await;
     site.nodes[first].signal("KILL");
     until("an order of the next holder", || async {
--- a/tests/all/site/harness.rs
+++ b/tests/all/site/harness.rs
@@ -216,7 +216,7 @@
             if options.behind_proxies { store_link.address } else { door_server.address };
         let ip = own_address();
         let folder = Arc::new(tempfile::tempdir().expect("a folder for the settings"));
-        let (_, provider_door) = provider.door().await;
+        let (_, provider_door) = provider.open_endpoint().await;
         let mut text = settings(name, ip, store_at);
         if options.duties {
             text.push_str(&duty_settings(provider_door.address));
--- a/tests/all/site/provider.rs
+++ b/tests/all/site/provider.rs
@@ -20,20 +20,20 @@
 
 /// How a door answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum ProviderDoor {
+pub(crate) enum ProviderMode {
     /// Refuses with 429.
     Busy,
     /// Closes connections without taking anything.
     Down,
     /// Takes calls and does not answer them.
-    Mute,
+    Unresponsive,
     /// As it should.
-    Open,
+    Normal,
 }
 
 /// A call that the provider took.
 #[derive(Clone, Debug)]
-pub(crate) struct Taken {
+pub(crate) struct ReceivedCall {
     pub(crate) at: Instant,
     pub(crate) body: Value,
     pub(crate) fence: u64,
@@ -43,8 +43,8 @@
 
 #[derive(Default)]
 struct State {
-    doors: Vec<Option<ProviderDoor>>,
-    taken: Vec<Taken>,
+    doors: Vec<Option<ProviderMode>>,
+    taken: Vec<ReceivedCall>,
     /// Calls that reached a door, taken or not.
     tried: BTreeMap<usize, u64>,
 }
@@ -59,10 +59,10 @@
     }
 
     /// Opens a door; its server closes with the returned handle.
-    pub(crate) async fn door(&self) -> (usize, Server) {
+    pub(crate) async fn open_endpoint(&self) -> (usize, Server) {
         let index = {
             let mut state = self.state();
-            state.doors.push(Some(ProviderDoor::Open));
+            state.doors.push(Some(ProviderMode::Normal));
             state.doors.len() - 1
         };
         let provider = self.clone();
@@ -74,24 +74,25 @@
     }
 
     /// Changes how a door answers.
-    pub(crate) fn set_door(&self, index: usize, door: ProviderDoor) {
+    pub(crate) fn set_mode(&self, index: usize, door: ProviderMode) {
         self.state().doors[index] = Some(door);
     }
 
     /// Returns the calls taken so far.
-    pub(crate) fn taken(&self, path: &str) -> Vec<Taken> {
+    pub(crate) fn calls(&self, path: &str) -> Vec<ReceivedCall> {
         self.state().taken.iter().filter(|taken| taken.path == path).cloned().collect()
     }
 
     /// Returns how many calls reached a door.
-    pub(crate) fn tried(&self, index: usize) -> u64 {
+    pub(crate) fn attempts_at(&self, index: usize) -> u64 {
         self.state().tried.get(&index).copied().unwrap_or(0)
     }
 
     /// Returns the counts reported for each window, by workspace.
     pub(crate) fn usage(&self) -> BTreeMap<u64, Value> {
-        let taken = self.taken("/usage");
-        let report = |taken: &Taken| Some((taken.body["window"].as_u64()?, taken.body.clone()));
+        let taken = self.calls("/usage");
+        let report =
+            |taken: &ReceivedCall| Some((taken.body["window"].as_u64()?, taken.body.clone()));
         taken
             .iter()
             .filter_map(report)
@@ -108,13 +109,13 @@
     /// and that no two holders took turns within the time of a lease.
     pub(crate) fn check(&self) {
         let mut reports: BTreeMap<u64, Value> = BTreeMap::new();
-        for taken in self.taken("/usage") {
+        for taken in self.calls("/usage") {
             let window = taken.body["window"].as_u64().expect("a window");
             let first = reports.entry(window).or_insert_with(|| taken.body["counts"].clone());
             assert_eq!(*first, taken.body["counts"], "window {window} was reported in two ways");
         }
         for path in ["/usage", "/scale"] {
-            let taken = self.taken(path);
+            let taken = self.calls(path);
             for pair in taken.windows(2) {
                 let (one, next) = (&pair[0], &pair[1]);
                 assert!(one.fence <= next.fence, "{one:?} before {next:?}");
@@ -123,7 +124,7 @@
                     assert!(next.at - one.at >= HANDOVER, "{one:?} right before {next:?}");
                 }
             }
-            let holders: Vec<&[Taken]> =
+            let holders: Vec<&[ReceivedCall]> =
                 taken.chunk_by(|one, next| one.holder == next.holder).collect();
             for turns in holders.windows(3) {
                 let (last, again) = (turns[0].last(), turns[2].first());
@@ -138,7 +139,7 @@
         let (head, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         let text = |name: &str| Some(head.headers.get(name)?.to_str().ok()?.to_owned());
-        let taken = Taken {
+        let taken = ReceivedCall {
             at: Instant::now(),
             body: serde_json::from_slice(&body).ok()?,
             fence: text("x-catkinmast-fence-token")?.parse().ok()?,
@@ -148,17 +149,17 @@
         let door = {
             let mut state = self.state();
             *state.tried.entry(index).or_default() += 1;
-            let door = state.doors[index].unwrap_or(ProviderDoor::Open);
-            if matches!(door, ProviderDoor::Open | ProviderDoor::Mute) {
+            let door = state.doors[index].unwrap_or(ProviderMode::Normal);
+            if matches!(door, ProviderMode::Normal | ProviderMode::Unresponsive) {
                 state.taken.push(taken);
             }
             door
         };
         match door {
-            ProviderDoor::Busy => Some(answer(429, "")),
-            ProviderDoor::Down => None,
-            ProviderDoor::Mute => std::future::pending().await,
-            ProviderDoor::Open => Some(answer(200, "")),
+            ProviderMode::Busy => Some(answer(429, "")),
+            ProviderMode::Down => None,
+            ProviderMode::Unresponsive => std::future::pending().await,
+            ProviderMode::Normal => Some(answer(200, "")),
         }
     }
 }
--- a/tests/all/site/soak_keys.rs
+++ b/tests/all/site/soak_keys.rs
@@ -5,7 +5,7 @@
 //! --nocapture`, and `SOAK_FROM` for fresh ones. Seeds that ever failed stay in [`KEPT`], with their cause.
 
 use super::harness::{HOST, Site, document, signal, until};
-use super::provider::ProviderDoor;
+use super::provider::ProviderMode;
 use super::proxy::Link;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -111,13 +111,13 @@
             });
         }
         5 | 6 => {
-            let door = [ProviderDoor::Busy, ProviderDoor::Down, ProviderDoor::Mute]
+            let door = [ProviderMode::Busy, ProviderMode::Down, ProviderMode::Unresponsive]
                 [rng.random_range(0..3)];
-            site.provider.set_door(index, door);
+            site.provider.set_mode(index, door);
             let provider = site.provider.clone();
             tokio::spawn(async move {
                 sleep(lasts).await;
-                provider.set_door(index, ProviderDoor::Open);
+                provider.set_mode(index, ProviderMode::Normal);
             });
         }
         _ => {
@@ -188,9 +188,9 @@
             .await;
         }
     }
-    let reports = site.provider.taken("/usage").len();
+    let reports = site.provider.calls("/usage").len();
     until("usage is reported again", || async {
-        (site.provider.taken("/usage").len() > reports).then_some(())
+        (site.provider.calls("/usage").len() > reports).then_some(())
     })
     .await;
     if std::env::var("SOAK_STORY").is_ok() {
