--- a/tests/all/site/batches.rs
+++ b/tests/all/site/batches.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{Site, submission, until, whole_text};
 use super::store::Door;
-use super::worker::{Conduct, Worker};
+use super::worker::{Behaviour, Worker};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use catkinmast_dispatch::{Chunk, ItemResult, ItemState};
@@ -366,7 +366,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_targets_texts_go_on_at_another() {
     let site = Site::start(1, 2, 1).await;
-    site.engines[0].set_conduct(Conduct::SilentAfter(2));
+    site.engines[0].set_behaviour(Behaviour::SilentAfter(2));
 
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", ITEMS, 6, 1)).await, 202);
 
--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -11,7 +11,7 @@
 use super::harness::{HOST, Site, submission, until};
 use super::proxy::{Link, Proxy};
 use super::store::Door;
-use super::worker::{CRASHING_BODY, CRASHING_LATE_BODY, Conduct, Worker};
+use super::worker::{Behaviour, CRASHING_BODY, CRASHING_LATE_BODY, Worker};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use catkinmast_quarantine::{Evidence, Fingerprint};
@@ -56,8 +56,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_trail_tells_a_target_that_ended_from_an_answer_that_was_lost() {
     let site = Site::start(1, 0, 2).await;
-    site.plain[0].set_conduct(Conduct::LosesAnswers);
-    site.plain[1].set_conduct(Conduct::LosesAnswers);
+    site.plain[0].set_behaviour(Behaviour::LosesAnswers);
+    site.plain[1].set_behaviour(Behaviour::LosesAnswers);
     let lost = site.call(&site.nodes[0], "/check/a", "c1").await.expect("an answer");
     assert_eq!(lost.status(), 502);
 
@@ -485,7 +485,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_was_answered_between_crashes_is_served() {
     let mut site = Site::start(1, 0, 1).await;
-    site.plain[0].tell_birth(1);
+    site.plain[0].report_start_time(1);
     site.plain[0].set_pace(10, 200);
     for life in 1..=4 {
         let id = format!("q{life}");
@@ -500,7 +500,7 @@
             (site.nodes[0].lines("target_ended").len() == life as usize).then_some(())
         })
         .await;
-        site.plain[0].start_again(life + 1).await;
+        site.plain[0].restart_under_same_id(life + 1).await;
         until("it is back", || async {
             let lives = site.nodes[0].lines("target_reborn");
             lives.iter().any(|line| line["born_at_unix_ms"] == life + 1).then_some(())
--- a/tests/all/site/duties.rs
+++ b/tests/all/site/duties.rs
@@ -74,11 +74,11 @@
     let site = site(1).await;
     assert_eq!(call(&site, 0, "unknown", "q1").await, 401);
     for worker in &site.plain {
-        worker.set_conduct(super::worker::Conduct::Full);
+        worker.set_behaviour(super::worker::Behaviour::Full);
     }
     assert_eq!(call(&site, 0, KEY_A, "q2").await, 503);
     for worker in &site.plain {
-        worker.set_conduct(super::worker::Conduct::Sound);
+        worker.set_behaviour(super::worker::Behaviour::Normal);
     }
     assert_eq!(call(&site, 0, KEY_B, "q3").await, 200);
 
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{Site, until};
 use super::store::Door;
-use super::worker::Conduct;
+use super::worker::Behaviour;
 use serde_json::json;
 use std::time::Duration;
 
@@ -56,7 +56,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_is_carried_out_late_does_nothing_more() {
     let site = Site::start(1, 1, 0).await;
-    site.engines[0].set_conduct(Conduct::OrdersLate);
+    site.engines[0].set_behaviour(Behaviour::CarriesOutOrdersLate);
 
     name_version(&site, 2);
 
@@ -159,14 +159,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_starts_again_under_its_id_gets_orders_by_its_new_count() {
     let mut site = Site::start(1, 1, 0).await;
-    site.engines[0].tell_birth(1_000);
+    site.engines[0].report_start_time(1_000);
     name_version(&site, 2);
     wait_for_version(&site, 2, 1).await;
     site.engines[0].register("draining");
     let node = &site.nodes[0];
     until("the drain", || async { (!node.lines("target_left").is_empty()).then_some(()) }).await;
 
-    site.engines[0].start_again(9_000).await;
+    site.engines[0].restart_under_same_id(9_000).await;
     name_version(&site, 3);
 
     wait_for_version(&site, 3, 1).await;
--- a/tests/all/site/requests.rs
+++ b/tests/all/site/requests.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{HOST, Site, until};
 use super::store::Door;
-use super::worker::Conduct;
+use super::worker::Behaviour;
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -22,13 +22,13 @@
 // Sequence: a target answers without its signature, or with the id of another request.
 // Cause: the answer is taken by its place on the connection.
 #[yare::parameterized(
-    unsigned = { Conduct::Garbled },
-    of_another = { Conduct::WrongId },
+    unsigned = { Behaviour::OmitsStamp },
+    of_another = { Behaviour::WrongId },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn an_answer_that_is_not_the_targets_is_asked_for_elsewhere(conduct: Conduct) {
+async fn an_answer_that_is_not_the_targets_is_asked_for_elsewhere(conduct: Behaviour) {
     let site = Site::start(1, 0, 2).await;
-    site.plain[0].set_conduct(conduct);
+    site.plain[0].set_behaviour(conduct);
 
     for number in 0..6 {
         let id = format!("q{number}");
@@ -46,7 +46,7 @@
 async fn a_call_whose_answer_is_lost_is_not_repeated_and_not_called_unrun() {
     let site = Site::start(1, 0, 2).await;
     for worker in &site.plain {
-        worker.set_conduct(Conduct::LosesAnswers);
+        worker.set_behaviour(Behaviour::LosesAnswers);
     }
 
     for number in 0..4 {
@@ -62,7 +62,7 @@
 async fn an_idempotent_call_whose_answer_is_lost_is_repeated_within_its_attempts() {
     let site = Site::start(1, 0, 4).await;
     for worker in &site.plain {
-        worker.set_conduct(Conduct::LosesAnswers);
+        worker.set_behaviour(Behaviour::LosesAnswers);
     }
 
     let answer = site.call(&site.nodes[0], "/lookup/a", "q1").await.expect("an answer");
@@ -75,7 +75,7 @@
 async fn a_call_that_all_targets_refuse_is_refused_as_not_run_with_a_time_to_come_back() {
     let site = Site::start(1, 0, 2).await;
     for worker in &site.plain {
-        worker.set_conduct(Conduct::Full);
+        worker.set_behaviour(Behaviour::Full);
     }
 
     let answer = site.call(&site.nodes[0], "/check/a", "c1").await.expect("an answer");
@@ -156,7 +156,7 @@
         })
         .await;
     }
-    site.plain[0].register_late();
+    site.plain[0].register_with_old_sequence();
     tokio::time::sleep(Duration::from_millis(700)).await;
     let before = site.plain[0].ran().len();
 
@@ -213,7 +213,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_breaks_off_does_not_look_whole() {
     let site = Site::start(1, 1, 0).await;
-    site.engines[0].set_conduct(Conduct::SilentAfter(2));
+    site.engines[0].set_behaviour(Behaviour::SilentAfter(2));
     let request = site
         .client
         .post(format!("http://{}/stream/a", site.nodes[0].callers))
--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -7,7 +7,7 @@
 
 use super::harness::{Site, document, submission, until, whole_text};
 use super::proxy::Link;
-use super::worker::{CRASHING_BODY, Conduct};
+use super::worker::{Behaviour, CRASHING_BODY};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -128,13 +128,13 @@
         }
         _ => {
             let conduct = [
-                Conduct::Full,
-                Conduct::Garbled,
-                Conduct::LosesAnswers,
-                Conduct::SilentAfter(2),
-                Conduct::WrongId,
+                Behaviour::Full,
+                Behaviour::OmitsStamp,
+                Behaviour::LosesAnswers,
+                Behaviour::SilentAfter(2),
+                Behaviour::WrongId,
             ][rng.random_range(0..5)];
-            worker.trouble(conduct, lasts);
+            worker.set_behaviour_for(conduct, lasts);
         }
     }
 }
@@ -238,7 +238,7 @@
 async fn heal(site: &mut Site) {
     sleep(Duration::from_secs(3)).await;
     for worker in site.engines.iter().chain(&site.plain) {
-        worker.set_conduct(Conduct::Sound);
+        worker.set_behaviour(Behaviour::Normal);
     }
     for node in &mut site.nodes {
         node.store_link.set(Link::Open);
--- a/tests/all/site/worker.rs
+++ b/tests/all/site/worker.rs
@@ -26,17 +26,17 @@
 
 /// How a worker behaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Conduct {
+pub(crate) enum Behaviour {
     /// Refuses everything for load.
     Full,
     /// Answers without its signature.
-    Garbled,
+    OmitsStamp,
     /// Runs requests and closes the connection without an answer.
     LosesAnswers,
     /// Takes orders without an answer and carries them out later.
-    OrdersLate,
+    CarriesOutOrdersLate,
     /// As it should.
-    Sound,
+    Normal,
     /// Answers with the id of another request.
     WrongId,
     /// Falls silent after so many events of each stream.
@@ -83,7 +83,7 @@
     /// When its life began, in milliseconds; none where it does not tell.
     born: Option<u64>,
     busy_until: Option<Instant>,
-    conduct: Conduct,
+    conduct: Behaviour,
     crashes: u64,
     event_ms: u64,
     load_ms: u64,
@@ -140,7 +140,7 @@
             back_after: Duration::from_secs(3),
             born: None,
             busy_until: None,
-            conduct: Conduct::Sound,
+            conduct: Behaviour::Normal,
             crashes: 0,
             event_ms: 10,
             load_ms: 200,
@@ -167,7 +167,7 @@
     }
 
     /// Lets the worker tell when its life began.
-    pub(crate) fn tell_birth(&mut self, born: u64) {
+    pub(crate) fn report_start_time(&mut self, born: u64) {
         self.lock().born = Some(born);
         self.register("ready");
     }
@@ -180,7 +180,7 @@
     }
 
     /// Starts the worker again under its id, at another address; it knows nothing of before.
-    pub(crate) async fn start_again(&mut self, born: u64) {
+    pub(crate) async fn restart_under_same_id(&mut self, born: u64) {
         self.crash();
         self.begin_life(born);
         self.sequence = 0;
@@ -194,7 +194,7 @@
     }
 
     /// Writes an entry as an older heartbeat had it.
-    pub(crate) fn register_late(&mut self) {
+    pub(crate) fn register_with_old_sequence(&mut self) {
         self.sequence -= 1;
         self.register("ready");
     }
@@ -204,17 +204,18 @@
     }
 
     /// Changes how the worker behaves.
-    pub(crate) fn set_conduct(&self, conduct: Conduct) {
+    pub(crate) fn set_behaviour(&self, conduct: Behaviour) {
         self.lock().conduct = conduct;
     }
 
     /// Changes how the worker behaves, for a while.
-    pub(crate) fn trouble(&self, conduct: Conduct, lasts: Duration) {
-        self.set_conduct(conduct);
+    pub(crate) fn set_behaviour_for(&self, conduct: Behaviour, lasts: Duration) {
+        self.set_behaviour(conduct);
         let state = Arc::clone(&self.state);
         tokio::spawn(async move {
             tokio::time::sleep(lasts).await;
-            state.lock().expect("no test panics while it holds a worker").conduct = Conduct::Sound;
+            state.lock().expect("no test panics while it holds a worker").conduct =
+                Behaviour::Normal;
         });
     }
 
@@ -371,7 +372,7 @@
         (state.conduct, state.busy_until.is_some(), state.work_ms, state.event_ms)
     };
     let streams = head.headers.contains_key("x-catkinmast-model");
-    if conduct == Conduct::Full || (busy && streams) {
+    if conduct == Behaviour::Full || (busy && streams) {
         let mut refusal = answer(503, "");
         refusal.headers_mut().insert("x-catkinmast-not-run", "1".parse().ok()?);
         return Some(refusal);
@@ -391,7 +392,7 @@
         end_by_request(state, home, id);
         return None;
     }
-    if conduct == Conduct::LosesAnswers {
+    if conduct == Behaviour::LosesAnswers {
         return None;
     }
     let mut abandon = Abandon { state: Arc::clone(state), whole: false };
@@ -416,9 +417,9 @@
         abandon.whole();
         answer(200, format!("{request} by {id}"))
     };
-    let echoed = if conduct == Conduct::WrongId { "another".to_owned() } else { request.clone() };
+    let echoed = if conduct == Behaviour::WrongId { "another".to_owned() } else { request.clone() };
     response.headers_mut().insert("x-catkinmast-request-id", echoed.parse().ok()?);
-    if conduct != Conduct::Garbled {
+    if conduct != Behaviour::OmitsStamp {
         let stamp = format!("stamp.{id}.{request}");
         response.headers_mut().insert("x-catkinmast-server-stamp", stamp.parse().ok()?);
     }
@@ -440,11 +441,11 @@
     after: u64,
     events: u64,
     event_ms: u64,
-    conduct: Conduct,
+    conduct: Behaviour,
     abandon: Abandon,
 ) -> AnswerBody {
     let request = request.to_owned();
-    let silent_after = if let Conduct::SilentAfter(count) = conduct { count } else { u64::MAX };
+    let silent_after = if let Behaviour::SilentAfter(count) = conduct { count } else { u64::MAX };
     let frames = stream::unfold((after + 1, abandon), move |(number, mut abandon)| {
         let request = request.clone();
         async move {
@@ -488,8 +489,8 @@
     if held.busy_until.is_some() || order["expected"].as_u64() != Some(held.orders) {
         return Some(answer(409, ""));
     }
-    if held.conduct == Conduct::OrdersLate {
-        held.conduct = Conduct::Sound;
+    if held.conduct == Behaviour::CarriesOutOrdersLate {
+        held.conduct = Behaviour::Normal;
         let state = Arc::clone(state);
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(2_500)).await;
