--- a/tests/all/site/batches.rs
+++ b/tests/all/site/batches.rs
@@ -1,6 +1,6 @@
 //! Batch submissions: accepted once, whole texts, fixed positions, whatever dies meanwhile.
 
-use super::harness::{Site, submission, until, whole_text};
+use super::harness::{Site, complete_output, submission, until};
 use super::store::Door;
 use super::worker::{Behaviour, Worker};
 use base64::Engine;
@@ -22,7 +22,7 @@
     for result in results {
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["state"], "completed", "{result}");
-        assert_eq!(result["text"], whole_text(id, events));
+        assert_eq!(result["text"], complete_output(id, events));
         let score = result["score"].as_str().expect("a score");
         assert!(score.starts_with("stamp.plain-"), "the score is the scorer's: {score}");
     }
@@ -52,7 +52,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_submission_whose_write_went_unanswered_is_accepted_once() {
     let site = Site::start(1, 2, 1).await;
-    let door = site.nodes[0].door;
+    let door = site.nodes[0].store_endpoint;
     site.store.set_door(door, Door::LosesAnswers);
     let batch = submission("b1", ITEMS, 3, 1);
     let opened = async {
@@ -276,7 +276,8 @@
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", 6, 80, 1)).await, 202);
     let owner = site.owner_of("b1").await;
     let others: Vec<usize> = (0..3).filter(|number| *number != owner).collect();
-    let set_doors = |door| site.nodes.iter().for_each(|node| site.store.set_door(node.door, door));
+    let set_doors =
+        |door| site.nodes.iter().for_each(|node| site.store.set_door(node.store_endpoint, door));
 
     set_doors(Door::Refuses);
     site.nodes[owner].signal("KILL");
@@ -299,7 +300,7 @@
     })
     .await;
     let taken_ms = taken["at_unix_ms"].as_u64().expect("a time");
-    let story: String = others.iter().map(|number| site.nodes[*number].story()).collect();
+    let story: String = others.iter().map(|number| site.nodes[*number].audit_trail()).collect();
     assert!(taken_ms < opened_ms + TAKEN_WITHIN_MS, "{opened_ms} {taken}\n{story}");
 }
 
@@ -350,7 +351,7 @@
 async fn a_node_that_the_store_turns_away_works_by_way_of_its_peers(door: Door) {
     let site = Site::start(3, 2, 1).await;
     for index in 0..2 {
-        site.store.set_door(site.nodes[index].door, door);
+        site.store.set_door(site.nodes[index].store_endpoint, door);
     }
 
     let status = site.submit(&site.nodes[0], "b1", &submission("b1", ITEMS, 3, 1)).await;
@@ -487,7 +488,7 @@
 
     let all = site.read_all(&site.nodes[0], "b2", 6).await;
     let long = all.iter().find(|result| result["id"] == "xi5").expect("the long item");
-    assert_eq!(long["text"], whole_text("xi5", u64::from(LONG_EVENTS)));
+    assert_eq!(long["text"], complete_output("xi5", u64::from(LONG_EVENTS)));
     assert_eq!(long["versions"], serde_json::json!([2]));
     let last = site.runs.of("xi5").pop().expect("runs of it");
     assert!(last.after > 0, "it goes on from the text of its second run");
@@ -499,10 +500,10 @@
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", 2, 2, 1)).await, 202);
     let owner = site.owner_of("b1").await;
     let other = (owner + 1) % site.nodes.len();
-    site.store.set_door(site.nodes[owner].door, Door::MutesWrites);
+    site.store.set_door(site.nodes[owner].store_endpoint, Door::MutesWrites);
 
     let accepted = site.submit(&site.nodes[other], "b2", &submission("b2", 4, 2, 1)).await;
-    site.store.set_door(site.nodes[owner].door, Door::Open);
+    site.store.set_door(site.nodes[owner].store_endpoint, Door::Open);
 
     assert_eq!(accepted, 202);
     assert_eq!(site.read_all(&site.nodes[other], "b2", 4).await.len(), 4);
--- a/tests/all/site/configuration.rs
+++ b/tests/all/site/configuration.rs
@@ -117,7 +117,7 @@
     // Longer than any wait for changes.
     const LOOK: Duration = Duration::from_millis(2_200);
     let watches = |index: usize| {
-        let calls = site.store.calls_at(site.nodes[index].door);
+        let calls = site.store.calls_at(site.nodes[index].store_endpoint);
         calls.iter().filter(|call| call.starts_with("kv-watch")).count()
     };
     until("two nodes that watch", || async {
@@ -150,7 +150,7 @@
     // The watchers wait for changes again by then.
     tokio::time::sleep(Duration::from_millis(200)).await;
     for index in cut {
-        site.store.set_door(site.nodes[*index].door, Door::Silent);
+        site.store.set_door(site.nodes[*index].store_endpoint, Door::Silent);
     }
 }
 
--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -242,7 +242,7 @@
         node.restart();
     }
 
-    site.wait_until_whole(3).await;
+    site.wait_until_all_listed(3).await;
     for node in &site.nodes {
         until("the node is told", || async {
             (node.lines("request_barred").len() == 2).then_some(())
@@ -259,7 +259,7 @@
 async fn what_is_barred_while_the_store_is_away_is_known_to_all_and_kept_later() {
     let site = site_of_three(0, 6).await;
     for node in &site.nodes {
-        site.store.set_door(node.door, Door::Refuses);
+        site.store.set_door(node.store_endpoint, Door::Refuses);
     }
 
     bar_a_lookup(&site).await;
@@ -267,7 +267,7 @@
     is_refused(&site, 1, "again").await;
     is_refused(&site, 2, "and again").await;
     for node in &site.nodes {
-        site.store.set_door(node.door, Door::Open);
+        site.store.set_door(node.store_endpoint, Door::Open);
     }
     until("the record is kept", || async {
         (kept_ends(&site) == ENDED_BEFORE as usize).then_some(())
--- a/tests/all/site/harness.rs
+++ b/tests/all/site/harness.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take to come about before a test counts as hung.
-pub(crate) const HUNG_AFTER: Duration = Duration::from_mins(1);
+pub(crate) const HANG_TIMEOUT: Duration = Duration::from_mins(1);
 /// The host of all routes.
 pub(crate) const HOST: &str = "site.example";
 
@@ -32,11 +32,11 @@
     pub(crate) callers: SocketAddr,
     child: Arc<Mutex<Process>>,
     pub(crate) directory: SocketAddr,
-    pub(crate) door: usize,
-    _door_server: Server,
+    pub(crate) store_endpoint: usize,
+    _store_server: Server,
     folder: Arc<tempfile::TempDir>,
     log: Arc<Mutex<Vec<Value>>>,
-    _provider_door: Server,
+    _provider_server: Server,
     pub(crate) ready: SocketAddr,
     /// The way to the store; open unless a test changes it.
     pub(crate) store_link: Proxy,
@@ -139,7 +139,7 @@
         if let Some(found) = holds().await {
             return found;
         }
-        assert!(began.elapsed() < HUNG_AFTER, "never came about: {what}");
+        assert!(began.elapsed() < HANG_TIMEOUT, "never came about: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -210,16 +210,16 @@
 
 impl Node {
     async fn start(store: &Store, provider: &Provider, name: &str, options: SiteOptions) -> Self {
-        let (door, door_server) = store.door().await;
-        let store_link = Proxy::start(door_server.address).await;
+        let (store_endpoint, store_server) = store.door().await;
+        let store_link = Proxy::start(store_server.address).await;
         let store_at =
-            if options.behind_proxies { store_link.address } else { door_server.address };
+            if options.behind_proxies { store_link.address } else { store_server.address };
         let ip = own_address();
         let folder = Arc::new(tempfile::tempdir().expect("a folder for the settings"));
-        let (_, provider_door) = provider.open_endpoint().await;
+        let (_, provider_server) = provider.open_endpoint().await;
         let mut text = settings(name, ip, store_at);
         if options.duties {
-            text.push_str(&duty_settings(provider_door.address));
+            text.push_str(&duty_settings(provider_server.address));
         }
         std::fs::write(folder.path().join("settings.toml"), text)
             .expect("the settings are written");
@@ -230,11 +230,11 @@
             callers: at(FRONT_PORT),
             child: Arc::new(Mutex::new(child)),
             directory: at(DIRECTORY_PORT),
-            door,
-            _door_server: door_server,
+            store_endpoint,
+            _store_server: store_server,
             folder,
             log,
-            _provider_door: provider_door,
+            _provider_server: provider_server,
             ready: at(READY_PORT),
             store_link,
         }
@@ -305,7 +305,7 @@
     }
 
     /// Returns the whole audit trail, for the message of a test that fails.
-    pub(crate) fn story(&self) -> String {
+    pub(crate) fn audit_trail(&self) -> String {
         let log = self.log.lock().expect("no test panics while it holds the log");
         log.iter().map(Value::to_string).collect::<Vec<_>>().join("\n")
     }
@@ -369,7 +369,7 @@
         let client = reqwest::Client::builder()
             .no_proxy()
             .pool_max_idle_per_host(0)
-            .timeout(HUNG_AFTER)
+            .timeout(HANG_TIMEOUT)
             .build()
             .expect("a client");
         let mut site = Self {
@@ -394,7 +394,7 @@
             let name = format!("node-{number}");
             site.nodes.push(Node::start(&site.store, &site.provider, &name, options).await);
         }
-        site.wait_until_whole(nodes).await;
+        site.wait_until_all_listed(nodes).await;
         site
     }
 
@@ -405,7 +405,7 @@
     }
 
     /// Waits until `count` nodes are in the directory of each node that answers.
-    pub(crate) async fn wait_until_whole(&self, count: usize) {
+    pub(crate) async fn wait_until_all_listed(&self, count: usize) {
         for node in &self.nodes {
             until("all nodes in the directory", || async {
                 (self.directory(node).await.len() == count).then_some(())
@@ -520,7 +520,7 @@
 }
 
 /// The text that an item of `events` events has when it is whole.
-pub(crate) fn whole_text(item: &str, events: u64) -> String {
+pub(crate) fn complete_output(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|number| format!("{item}-{number}")).collect();
     lines.join("\n")
 }
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -101,7 +101,7 @@
         (!node.duty_lines("duty_gained", "orders").is_empty()).then_some(())
     })
     .await;
-    site.store.set_door(node.door, Door::Refuses);
+    site.store.set_door(node.store_endpoint, Door::Refuses);
     until("the lapse", || async {
         (!node.duty_lines("duty_lost", "orders").is_empty()).then_some(())
     })
@@ -119,7 +119,7 @@
     let node = &site.nodes[0];
     site.store.hold_leases();
 
-    site.store.set_door(node.door, Door::Open);
+    site.store.set_door(node.store_endpoint, Door::Open);
 
     until("the lease again", || async {
         (node.duty_lines("duty_gained", "orders").len() == 2).then_some(())
@@ -135,15 +135,15 @@
     let site = site_whose_holder_lost_the_store().await;
     let node = &site.nodes[0];
     let asks = || {
-        let calls = site.store.calls_at(node.door);
+        let calls = site.store.calls_at(node.store_endpoint);
         calls.iter().filter(|call| *call == "kv-key key=cm/orders").count()
     };
     let asked_before = asks();
     site.store.hold_leases();
-    site.store.set_door(node.door, Door::DropsWrites);
+    site.store.set_door(node.store_endpoint, Door::DropsWrites);
     until("the key is read", || async { (asks() > asked_before).then_some(()) }).await;
 
-    site.store.set_door(node.door, Door::Open);
+    site.store.set_door(node.store_endpoint, Door::Open);
 
     until("the lease again", || async {
         (node.duty_lines("duty_gained", "orders").len() > 1).then_some(())
--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -5,7 +5,7 @@
 //! `SOAK_SEEDS=50 cargo test --release --test all soak -- --nocapture`, and `SOAK_FROM` for fresh
 //! ones. Seeds that ever failed stay in [`KEPT`], each with its cause.
 
-use super::harness::{Site, document, submission, until, whole_text};
+use super::harness::{Site, complete_output, document, submission, until};
 use super::proxy::Link;
 use super::worker::{Behaviour, CRASHING_BODY};
 use rand::rngs::StdRng;
@@ -244,7 +244,7 @@
         node.store_link.set(Link::Open);
         node.revive();
     }
-    site.wait_until_whole(NODES).await;
+    site.wait_until_all_listed(NODES).await;
 }
 
 async fn check(site: &Site, observed: &Seen, seed: u64) {
@@ -260,7 +260,7 @@
         assert_eq!(all[..read.len()], read[..], "seed {seed}: {id} lost what was read");
         for result in &all {
             let item = result["id"].as_str().expect("an id");
-            assert_eq!(result["text"], whole_text(item, u64::from(EVENTS)), "seed {seed}");
+            assert_eq!(result["text"], complete_output(item, u64::from(EVENTS)), "seed {seed}");
         }
         for node in &site.nodes[1..] {
             let same = || async { (site.read(node, id, 0).await? == all).then_some(()) };
--- a/tests/all/site/soak_keys.rs
+++ b/tests/all/site/soak_keys.rs
@@ -163,7 +163,7 @@
         node.store_link.set(Link::Open);
         node.revive();
     }
-    site.wait_until_whole(NODES).await;
+    site.wait_until_all_listed(NODES).await;
 }
 
 async fn check(site: &Site, known: &Known, seed: u64) {
@@ -195,12 +195,12 @@
     .await;
     if std::env::var("SOAK_STORY").is_ok() {
         for node in &site.nodes {
-            println!("{}", node.story());
+            println!("{}", node.audit_trail());
         }
     }
     site.provider.check();
     for node in &site.nodes {
-        let story = node.story();
+        let story = node.audit_trail();
         assert!(
             !story.contains(&newest) && !story.contains(KEY_OF_B),
             "seed {seed}: a key in a trail"
--- a/tests/all/site/standby.rs
+++ b/tests/all/site/standby.rs
@@ -1,6 +1,6 @@
 //! The node that would follow an owner holds copies of its batches, for outages of the store.
 
-use super::harness::{Site, submission, until, whole_text};
+use super::harness::{Site, complete_output, submission, until};
 use super::store::Door;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const COPIED: Duration = Duration::from_millis(500);
 
 fn set_doors(site: &Site, door: Door) {
-    site.nodes.iter().for_each(|node| site.store.set_door(node.door, door));
+    site.nodes.iter().for_each(|node| site.store.set_door(node.store_endpoint, door));
 }
 
 /// Starts three nodes with a batch of six items; returns its owner and the other nodes.
@@ -64,7 +64,7 @@
     let results = site.read_all(&site.nodes[others[0]], "b1", 6).await;
     for result in results {
         let item = result["id"].as_str().expect("an id");
-        assert_eq!(result["text"], whole_text(item, 120));
+        assert_eq!(result["text"], complete_output(item, 120));
     }
     let interim = others.iter().flat_map(|node| site.nodes[*node].lines("batch_run_in_interim"));
     let texts = interim.filter_map(|line| line["resumed"].as_u64()).max();
@@ -138,7 +138,7 @@
 
     let (cut_off, others) = site.nodes.split_last().expect("nodes");
     for node in others {
-        site.store.set_door(node.door, Door::Open);
+        site.store.set_door(node.store_endpoint, Door::Open);
     }
 
     until("the others regain the store", || async {
--- a/tests/all/site/starts.rs
+++ b/tests/all/site/starts.rs
@@ -15,7 +15,7 @@
 
 /// Returns the calls that came through a node's door after the first `seen`.
 fn calls_since(site: &Site, node: usize, seen: usize) -> Vec<String> {
-    site.store.calls_at(site.nodes[node].door).split_off(seen)
+    site.store.calls_at(site.nodes[node].store_endpoint).split_off(seen)
 }
 
 fn count(calls: &[String], part: &str) -> usize {
@@ -26,7 +26,7 @@
 async fn idle_node(site: &Site) -> usize {
     until("a node without calls", || async {
         let seen: Vec<usize> =
-            site.nodes.iter().map(|node| site.store.calls_at(node.door).len()).collect();
+            site.nodes.iter().map(|node| site.store.calls_at(node.store_endpoint).len()).collect();
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         (0..seen.len()).find(|node| calls_since(site, *node, seen[*node]).is_empty())
     })
@@ -45,7 +45,7 @@
 async fn a_start_makes_the_same_few_calls_in_a_fleet_of_any_size(nodes: usize) {
     let site = Site::start(nodes, 2, 2).await;
     let node = idle_node(&site).await;
-    let seen = site.store.calls_at(site.nodes[node].door).len();
+    let seen = site.store.calls_at(site.nodes[node].store_endpoint).len();
 
     site.nodes[node].restart();
 
@@ -70,7 +70,7 @@
     let site = Site::start(7, 1, 1).await;
     let node = idle_node(&site).await;
     let seen: Vec<usize> =
-        site.nodes.iter().map(|node| site.store.calls_at(node.door).len()).collect();
+        site.nodes.iter().map(|node| site.store.calls_at(node.store_endpoint).len()).collect();
 
     site.nodes[node].signal("KILL");
 
--- a/tests/all/site/stops.rs
+++ b/tests/all/site/stops.rs
@@ -1,6 +1,6 @@
 //! Planned stops cut nothing, and the directory names no node that leaves.
 
-use super::harness::{Site, submission, until, whole_text};
+use super::harness::{Site, complete_output, submission, until};
 
 // Symptom: requests are cut when a node is replaced.
 // Sequence: SIGTERM comes while a request is at a target.
@@ -24,7 +24,7 @@
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.headers()["connection"], "close");
     assert!(!site.is_ready(&leaving).await);
-    site.wait_until_whole(2).await;
+    site.wait_until_all_listed(2).await;
     let status = loop {
         if let Some(status) = leaving.exit_status() {
             break status;
@@ -49,7 +49,7 @@
     let all = site.read_all(&site.nodes[(owner + 1) % 3], "b1", 20).await;
     for result in &all {
         let id = result["id"].as_str().expect("an id");
-        assert_eq!(result["text"], whole_text(id, 20));
+        assert_eq!(result["text"], complete_output(id, 20));
     }
 }
 
