--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -5,9 +5,9 @@
 //! `SOAK_SEEDS=50 cargo test --release --test all soak -- --nocapture`, and `SOAK_FROM` for fresh
 //! ones. Seeds that ever failed stay in [`KEPT`], each with its cause.
 
-use super::harness::{Site, document, submission, until, whole_text};
+use super::harness::{Site, complete_output, document, submission, until};
 use super::proxy::Link;
-use super::worker::{CRASHING_BODY, Conduct};
+use super::worker::{Behaviour, CRASHING_BODY};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -128,13 +128,13 @@
         }
         _ => {
             let conduct = [
-                Conduct::Full,
-                Conduct::Garbled,
-                Conduct::LosesAnswers,
-                Conduct::SilentAfter(2),
-                Conduct::WrongId,
+                Behaviour::Full,
+                Behaviour::OmitsStamp,
+                Behaviour::LosesAnswers,
+                Behaviour::SilentAfter(2),
+                Behaviour::WrongId,
             ][rng.random_range(0..5)];
-            worker.trouble(conduct, lasts);
+            worker.set_behaviour_for(conduct, lasts);
         }
     }
 }
@@ -238,13 +238,13 @@
 async fn heal(site: &mut Site) {
     sleep(Duration::from_secs(3)).await;
     for worker in site.engines.iter().chain(&site.plain) {
-        worker.set_conduct(Conduct::Sound);
+        worker.set_behaviour(Behaviour::Normal);
     }
     for node in &mut site.nodes {
         node.store_link.set(Link::Open);
         node.revive();
     }
-    site.wait_until_whole(NODES).await;
+    site.wait_until_all_listed(NODES).await;
 }
 
 async fn check(site: &Site, observed: &Seen, seed: u64) {
@@ -260,7 +260,7 @@
         assert_eq!(all[..read.len()], read[..], "seed {seed}: {id} lost what was read");
         for result in &all {
             let item = result["id"].as_str().expect("an id");
-            assert_eq!(result["text"], whole_text(item, u64::from(EVENTS)), "seed {seed}");
+            assert_eq!(result["text"], complete_output(item, u64::from(EVENTS)), "seed {seed}");
         }
         for node in &site.nodes[1..] {
             let same = || async { (site.read(node, id, 0).await? == all).then_some(()) };
