--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -21,7 +21,7 @@
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
-use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, Submission, TextNews, Told};
+use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, SentTexts, Submission, TextUpdate};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -107,7 +107,7 @@
 /// texts for as long as it is open.
 pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
     let id = held.borrow().id.clone();
-    let mut told = Told::default();
+    let mut told = SentTexts::default();
     let mut sent_to = None;
     loop {
         if !held.borrow().is_running() {
@@ -138,7 +138,7 @@
     node: &Node<P>,
     held: &RefCell<LocalBatch>,
     to: &Owner,
-    told: &mut Told,
+    told: &mut SentTexts,
 ) -> bool {
     let texts = told.news(&held.borrow().texts(SAVE_AFTER_MS));
     if texts.is_empty() {
@@ -173,7 +173,7 @@
 pub(crate) fn accept_copied_outputs<P: Platform>(
     node: &Node<P>,
     batch: &str,
-    texts: Vec<TextNews>,
+    texts: Vec<TextUpdate>,
 ) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
     copies.get_mut(batch).is_some_and(|held| held.texts.take(texts))
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -11,7 +11,7 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{Outcome, Pick, Progress, TargetEntry, group_of};
+use catkinmast_dispatch::{CallOutcome, Candidate, Progress, TargetEntry, group_of};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -173,7 +173,7 @@
         let end = run(&node_too, &terms, &item, &progress_too, &chosen, &gap).await;
         let (outcome, why) = match &end {
             RunEnd::Broken { outcome, why } => (*outcome, why.as_str()),
-            _ => (Outcome::Cancelled, ""),
+            _ => (CallOutcome::Cancelled, ""),
         };
         in_flight.end(outcome);
         running_too.set(false);
@@ -202,8 +202,8 @@
 }
 
 /// Leaves a part of a target's slots to the runs that trainers wait for now.
-fn leave_room<'a>(pick: &Pick<'a>) -> Pick<'a> {
-    Pick { slots: pick.slots * SECOND_SLOTS_PERCENT / 100, ..*pick }
+fn leave_room<'a>(pick: &Candidate<'a>) -> Candidate<'a> {
+    Candidate { slots: pick.slots * SECOND_SLOTS_PERCENT / 100, ..*pick }
 }
 
 /// Chooses a free target whose weights the next batch accepts, other than the first run's.
@@ -224,7 +224,7 @@
     };
     let draw = node.draw();
     let picked = node.pick(service, fits, |load, now, picks| {
-        let others: Vec<Pick<'_>> =
+        let others: Vec<Candidate<'_>> =
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
         load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{Site, until};
 use super::store::Door;
-use super::worker::Conduct;
+use super::worker::Behaviour;
 use serde_json::json;
 use std::time::Duration;
 
@@ -56,7 +56,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_is_carried_out_late_does_nothing_more() {
     let site = Site::start(1, 1, 0).await;
-    site.engines[0].set_conduct(Conduct::OrdersLate);
+    site.engines[0].set_behaviour(Behaviour::CarriesOutOrdersLate);
 
     name_version(&site, 2);
 
@@ -101,7 +101,7 @@
         (!node.duty_lines("duty_gained", "orders").is_empty()).then_some(())
     })
     .await;
-    site.store.set_door(node.door, Door::Refuses);
+    site.store.set_door(node.store_endpoint, Door::Refuses);
     until("the lapse", || async {
         (!node.duty_lines("duty_lost", "orders").is_empty()).then_some(())
     })
@@ -119,7 +119,7 @@
     let node = &site.nodes[0];
     site.store.hold_leases();
 
-    site.store.set_door(node.door, Door::Open);
+    site.store.set_door(node.store_endpoint, Door::Open);
 
     until("the lease again", || async {
         (node.duty_lines("duty_gained", "orders").len() == 2).then_some(())
@@ -135,15 +135,15 @@
     let site = site_whose_holder_lost_the_store().await;
     let node = &site.nodes[0];
     let asks = || {
-        let calls = site.store.calls_at(node.door);
+        let calls = site.store.calls_at(node.store_endpoint);
         calls.iter().filter(|call| *call == "kv-key key=cm/orders").count()
     };
     let asked_before = asks();
     site.store.hold_leases();
-    site.store.set_door(node.door, Door::DropsWrites);
+    site.store.set_door(node.store_endpoint, Door::DropsWrites);
     until("the key is read", || async { (asks() > asked_before).then_some(()) }).await;
 
-    site.store.set_door(node.door, Door::Open);
+    site.store.set_door(node.store_endpoint, Door::Open);
 
     until("the lease again", || async {
         (node.duty_lines("duty_gained", "orders").len() > 1).then_some(())
@@ -159,14 +159,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_starts_again_under_its_id_gets_orders_by_its_new_count() {
     let mut site = Site::start(1, 1, 0).await;
-    site.engines[0].tell_birth(1_000);
+    site.engines[0].report_start_time(1_000);
     name_version(&site, 2);
     wait_for_version(&site, 2, 1).await;
     site.engines[0].register("draining");
     let node = &site.nodes[0];
     until("the drain", || async { (!node.lines("target_left").is_empty()).then_some(()) }).await;
 
-    site.engines[0].start_again(9_000).await;
+    site.engines[0].restart_under_same_id(9_000).await;
     name_version(&site, 3);
 
     wait_for_version(&site, 3, 1).await;
