--- a/crates/dispatch/src/document.rs
+++ b/crates/dispatch/src/document.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration as the request path reads it.
 
 use catkinmast_access::Workspaces;
-use catkinmast_scaling::ScalingTerms;
+use catkinmast_scaling::ScalingConfig;
 use indexmap::IndexMap;
 
 /// What may be repeated of a route's requests, and how they are run.
@@ -84,7 +84,7 @@
 
 /// What a service's model engines are.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct EngineTerms {
+pub struct EngineConfig {
     /// The models that they serve.
     pub models: Vec<String>,
     /// Requests that one engine runs at once.
@@ -93,13 +93,13 @@
 
 /// A service's terms.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct PlainTerms {
+pub struct ServiceConfig {
     /// Connections that one target accepts from all of us.
     pub connections_max: Option<u32>,
     /// Set where its targets are model engines.
-    pub engine: Option<EngineTerms>,
+    pub engine: Option<EngineConfig>,
     /// Set where the number of its targets is ordered.
-    pub scaling: Option<ScalingTerms>,
+    pub scaling: Option<ScalingConfig>,
 }
 
 /// Bounds on what a caller may send.
@@ -123,7 +123,7 @@
     /// The routes.
     pub routes: Vec<Route>,
     /// The services by name.
-    pub services: IndexMap<String, PlainTerms>,
+    pub services: IndexMap<String, ServiceConfig>,
     /// Its version; a higher one replaces it.
     pub version: u64,
     /// The workspaces of callers; none where no keys are asked for.
@@ -151,7 +151,7 @@
     }
 
     /// Tells whether a service's targets are model engines.
-    pub fn engine(&self, service: &str) -> Option<&EngineTerms> {
+    pub fn engine(&self, service: &str) -> Option<&EngineConfig> {
         self.services.get(service).and_then(|terms| terms.engine.as_ref())
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,11 +5,11 @@
 //!
 //! - [`Document`]: the operators' routes and services, and which route a request takes.
 //! - [`TargetTable`]: which targets may receive work, from a registry that lags and has outages.
-//! - [`Load`]: what this process sees of each target by its own calls, and the choice among them.
-//! - [`Turns`]: whose request is tried next while all targets refuse for load.
+//! - [`LoadBalancer`]: what this process sees of each target by its own calls, and the choice among them.
+//! - [`WaitQueue`]: whose request is tried next while all targets refuse for load.
 //! - [`Batch`]: a batch submission, its items, and the results in their fixed positions.
 //! - [`Freshness`]: how old a node's view of the store is, and when it looks for itself.
-//! - [`Lengths`]: how long items run.
+//! - [`RunTimeEstimator`]: how long items run.
 //! - [`Lookahead`]: which weights a later batch of the same items will accept.
 //! - [`Rollout`]: which target is brought to which weight version, and when.
 //! - [`Demand`]: how many targets each model gets.
@@ -29,16 +29,18 @@
 mod targets;
 mod turns;
 
-pub use batch::{Batch, BatchTerms, Chunk, Merge, NextItem, group_of};
-pub use copies::{CopiedTexts, TextNews, Told};
-pub use document::{Document, EngineTerms, Limits, PlainTerms, Route, RouteKind, WeightedService};
-pub use freshness::{ChangeBound, Freshness, WATCHERS, Witness};
-pub use lengths::Lengths;
-pub use load::{Load, LoadSettings, Outcome, Pick};
+pub use batch::{Batch, BatchPolicy, Chunk, Merge, NextItem, group_of};
+pub use copies::{CopiedTexts, SentTexts, TextUpdate};
+pub use document::{
+    Document, EngineConfig, Limits, Route, RouteKind, ServiceConfig, WeightedService,
+};
+pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
+pub use lengths::RunTimeEstimator;
+pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
-pub use rollout::{LoadOrder, OrderOutcome, Rollout, RolloutSettings, RolloutTarget};
+pub use rollout::{LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget};
 pub use shares::{Demand, deal};
 pub use stream::{EventReader, StreamEvent};
 pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
-pub use turns::{TurnId, Turns};
+pub use turns::{WaitQueue, WaiterId};
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -29,7 +29,7 @@
 
 /// How a call at a target ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// It was answered after so long.
     Answered {
         /// From sending to the answer's head, or for each event of a stream.
@@ -45,7 +45,7 @@
 
 /// Bounds of the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadSettings {
+pub struct LoadBalancerSettings {
     /// How long a target rests after its first failure; doubled with each in a row.
     pub rest_ms: u64,
     /// The longest rest.
@@ -57,7 +57,7 @@
     pub loading_rest_ms: u64,
 }
 
-impl Default for LoadSettings {
+impl Default for LoadBalancerSettings {
     /// 400 ms: two consumers' attempts at most hit the same dead target; 3,200 ms: about the time
     /// that the registry takes to notice by itself; 60 ms: a full target frees a slot in about
     /// one request's time; 250 ms: a load takes about a second, and asking fifteen times meanwhile
@@ -80,7 +80,7 @@
 
 /// A candidate of a choice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Pick<'a> {
+pub struct Candidate<'a> {
     /// The target's id.
     pub id: &'a str,
     /// Whether it stands in our data centre.
@@ -93,15 +93,15 @@
 
 /// The load of all targets as this process sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Load {
+pub struct LoadBalancer {
     runs: u64,
     seen: IndexMap<String, Seen>,
-    settings: LoadSettings,
+    settings: LoadBalancerSettings,
 }
 
-impl Load {
+impl LoadBalancer {
     /// Opens an empty table.
-    pub fn open(settings: LoadSettings) -> Self {
+    pub fn open(settings: LoadBalancerSettings) -> Self {
         Self { runs: 0, seen: IndexMap::new(), settings }
     }
 
@@ -109,16 +109,16 @@
     pub fn choose<'a>(
         &self,
         now: UnixMs,
-        candidates: &[Pick<'a>],
+        candidates: &[Candidate<'a>],
         tried: &[String],
         draw: u64,
-    ) -> Option<Pick<'a>> {
-        let fresh: Vec<&Pick<'a>> =
+    ) -> Option<Candidate<'a>> {
+        let fresh: Vec<&Candidate<'a>> =
             candidates.iter().filter(|pick| !tried.iter().any(|id| id == pick.id)).collect();
         let pool = if fresh.is_empty() { candidates.iter().collect() } else { fresh };
-        let rested: Vec<&&Pick<'a>> =
+        let rested: Vec<&&Candidate<'a>> =
             pool.iter().filter(|pick| self.rests_until(pick.id) <= now).collect();
-        let from: Vec<&Pick<'a>> =
+        let from: Vec<&Candidate<'a>> =
             if rested.is_empty() { pool.clone() } else { rested.into_iter().copied().collect() };
         let fastest_us = self.fastest_us(candidates);
         let count = from.len() as u64;
@@ -142,13 +142,13 @@
     pub fn choose_free<'a>(
         &self,
         now: UnixMs,
-        candidates: &[Pick<'a>],
+        candidates: &[Candidate<'a>],
         preferred: Option<&str>,
         run_ms: u64,
         draw: u64,
-    ) -> Option<Pick<'a>> {
+    ) -> Option<Candidate<'a>> {
         let fastest_us = self.fastest_us(candidates);
-        let free: Vec<&Pick<'a>> = candidates
+        let free: Vec<&Candidate<'a>> = candidates
             .iter()
             .filter(|pick| self.in_flight(pick.id) < pick.slots)
             .filter(|pick| self.rests_until(pick.id) <= now)
@@ -211,7 +211,7 @@
     }
 
     /// Counts the end of a call at a target that runs `slots` requests at once.
-    pub fn finished(&mut self, now: UnixMs, id: &str, slots: u32, outcome: Outcome) {
+    pub fn finished(&mut self, now: UnixMs, id: &str, slots: u32, outcome: CallOutcome) {
         let settings = self.settings;
         let seen = self.entry(id);
         seen.in_flight = seen.in_flight.saturating_sub(1);
@@ -221,10 +221,10 @@
             settings.full_rest_ms
         };
         match outcome {
-            Outcome::Answered { latency_ms } => seen.answered(latency_ms),
-            Outcome::Cancelled => {}
-            Outcome::Full => seen.rests_until = now.plus(full_rest_ms),
-            Outcome::Failed => seen.failed(now, settings),
+            CallOutcome::Answered { latency_ms } => seen.answered(latency_ms),
+            CallOutcome::Cancelled => {}
+            CallOutcome::Full => seen.rests_until = now.plus(full_rest_ms),
+            CallOutcome::Failed => seen.failed(now, settings),
         }
     }
 
@@ -273,7 +273,7 @@
         self.seen.get(id).map_or(UnixMs(0), |seen| seen.rests_until.max(seen.loads_until))
     }
 
-    fn fastest_us(&self, candidates: &[Pick<'_>]) -> u64 {
+    fn fastest_us(&self, candidates: &[Candidate<'_>]) -> u64 {
         candidates
             .iter()
             .filter_map(|pick| self.seen.get(pick.id))
@@ -295,7 +295,7 @@
 
     /// The expected work of one more call, in hundredths. A hop between data centres counts as
     /// [`FAR_COST`] and a new connection as [`CONNECT_COST`].
-    fn cost(&self, pick: &Pick<'_>, fastest_us: u64) -> u64 {
+    fn cost(&self, pick: &Candidate<'_>, fastest_us: u64) -> u64 {
         let in_flight = u64::from(self.in_flight(pick.id));
         let load = (in_flight + 1) * 100 / u64::from(pick.slots.max(1));
         load * self.slowness(pick.id, fastest_us) / SLOWNESS_UNIT
@@ -318,7 +318,7 @@
         };
     }
 
-    fn failed(&mut self, now: UnixMs, settings: LoadSettings) {
+    fn failed(&mut self, now: UnixMs, settings: LoadBalancerSettings) {
         let doublings = self.failures_in_row.min(6);
         let rest_ms = (settings.rest_ms << doublings).min(settings.rest_max_ms);
         self.failures_in_row += 1;
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -5,13 +5,13 @@
 };
 use super::standby::send_copies;
 use super::write::{RETRY, save_texts, write_results};
-use super::{Held, LEFTOVER_KEPT_MS};
+use super::{LEFTOVER_KEPT_MS, LocalBatch};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoreRefusal, StoredItem};
-use catkinmast_dispatch::{Batch, BatchTerms, Chunk, ItemResult, Progress, Route, Submission};
+use catkinmast_dispatch::{Batch, BatchPolicy, Chunk, ItemResult, Progress, Route, Submission};
 use catkinmast_model::{UnixMs, Verdict};
 use indexmap::IndexMap;
 use serde_json::json;
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Acceptance {
     /// It is kept.
-    Kept,
+    Accepted,
     /// Its id is that of another workspace's batch.
-    Taken,
+    IdConflict,
     /// The store could not be reached; the verdict says whether it may be kept.
     Unknown(StoreRefusal),
 }
@@ -45,7 +45,7 @@
     reward_attempts: u32,
     accepted_at: UnixMs,
     slack_ms: u64,
-) -> BatchTerms {
+) -> BatchPolicy {
     // Without a bound of the operator's, a batch is kept running for an hour.
     const UNBOUNDED_MS: u64 = 3_600_000;
     // An item that is not done after half of the time is one of the long ones: the mean takes a
@@ -53,7 +53,7 @@
     const LONG_PARTS: u64 = 2;
     let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
-    BatchTerms {
+    BatchPolicy {
         attempts: route.attempts.max(reward_attempts).max(1),
         due_at: accepted_at.plus(due_ms),
         give_up_at: accepted_at.plus(give_up_ms + slack_ms),
@@ -89,8 +89,8 @@
     let call = PeerCall::Submit { batch: id.to_owned(), origin, submission: Box::new(submission) };
     let answer = node.ask_peer(owner, &call, SUBMIT_MAX).await;
     match answer {
-        Ok(PeerAnswer::Accepted) => return Acceptance::Kept,
-        Ok(PeerAnswer::NoBatch) => return Acceptance::Taken,
+        Ok(PeerAnswer::Accepted) => return Acceptance::Accepted,
+        Ok(PeerAnswer::NoBatch) => return Acceptance::IdConflict,
         _ => {}
     }
     // The batch is created once, whoever does it; so this node may try whatever became of the call.
@@ -126,7 +126,7 @@
 ) -> Acceptance {
     if let Some(held) = node.batches.get(id) {
         let same = held.borrow().record.origin.workspace == origin.workspace;
-        return if same { Acceptance::Kept } else { Acceptance::Taken };
+        return if same { Acceptance::Accepted } else { Acceptance::IdConflict };
     }
     let Some(owner) = peers::me(node) else {
         return Acceptance::Unknown(StoreRefusal {
@@ -158,7 +158,7 @@
                     texts: Vec::new(),
                 };
                 own(node, id, source, accepted_at, 0, &[]);
-                return Acceptance::Kept;
+                return Acceptance::Accepted;
             }
             Ok(StoreAnswer::Conflict { items }) => {
                 return known_already(node, id, &record, submission, accepted_at, &items);
@@ -210,7 +210,7 @@
     let stored = found.and_then(|item| postcard::from_bytes::<Record>(&item.value).ok());
     if let (Some(stored), Some(item)) = (stored, found) {
         if stored.origin.workspace != record.origin.workspace {
-            return Acceptance::Taken;
+            return Acceptance::IdConflict;
         }
         if stored == *record && node.batches.get(id).is_none() {
             let source = Source {
@@ -228,7 +228,7 @@
             node.batches.note_owner(id, stored.owner);
         }
     }
-    Acceptance::Kept
+    Acceptance::Accepted
 }
 
 /// Tells the owner that the store names of its batch: it may not know that its own call was done.
@@ -313,20 +313,20 @@
     id: &str,
     source: Source,
     accepted_at: UnixMs,
-    terms: BatchTerms,
+    terms: BatchPolicy,
     chunks: &[Chunk],
-) -> (Held, usize) {
+) -> (LocalBatch, usize) {
     let Source { record, record_revision, results, submission, texts } = source;
     let workspace = record.origin.workspace.as_deref();
     let (mut batch, resumed) = open_batch(node, workspace, submission, terms, chunks, texts);
     for result in results {
         batch.finished(clock::now(), result);
     }
-    let held = Held {
+    let held = LocalBatch {
         accepted_at,
         batch,
         changed: Rc::new(Notify::new()),
-        doubted: false,
+        unverified: false,
         finished: Rc::new(Notify::new()),
         group_targets: IndexMap::new(),
         record,
@@ -346,7 +346,7 @@
     node: &Node<P>,
     workspace: Option<&str>,
     submission: Submission,
-    terms: BatchTerms,
+    terms: BatchPolicy,
     chunks: &[Chunk],
     texts: Vec<(String, Progress)>,
 ) -> (Batch, usize) {
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -10,16 +10,16 @@
 mod ownership;
 mod read;
 mod standby;
-mod succession;
+mod takeover;
 mod write;
 
 pub(crate) use accept::{Acceptance, accept, submit};
 pub(crate) use end::{end, end_owned};
 pub(crate) use keys::{Origin, Scope};
-pub(crate) use ownership::{doubt_all, told_ended, told_owner};
+pub(crate) use ownership::{on_batch_ended, on_owner_reported, verify_ownership_of_all};
 pub(crate) use read::{Lookup, item_body, item_body_owned, read, read_owned};
-pub(crate) use standby::{BatchCopy, keep_copy, keep_texts};
-pub(crate) use succession::{adopt, adopt_orphans, hand_over_all, told_orphaned};
+pub(crate) use standby::{BatchCopy, accept_copied_outputs, accept_copy};
+pub(crate) use takeover::{accept_handover, hand_over_all, on_batch_orphaned, take_over_orphans};
 
 use crate::clock;
 use crate::peers::Owner;
@@ -45,7 +45,7 @@
 
 /// A batch that this node owns.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct LocalBatch {
     /// When it was accepted, by our clock.
     pub accepted_at: UnixMs,
     /// The items and results.
@@ -62,7 +62,7 @@
     pub id: String,
     /// Whether another may have taken it meanwhile; until the store was asked, nothing is said of
     /// it. A paused owner would otherwise show fewer results than its successor has listed.
-    doubted: bool,
+    unverified: bool,
     /// Whether this node still owns it.
     pub owned: bool,
     /// The runs in progress, by the item's index.
@@ -72,7 +72,7 @@
     taken_over: bool,
 }
 
-impl Held {
+impl LocalBatch {
     /// Returns by which request it was submitted, and for whom.
     pub(crate) const fn origin(&self) -> &Origin {
         &self.record.origin
@@ -169,7 +169,7 @@
 pub(crate) struct Batches {
     leftovers: RefCell<Leftovers>,
     pub lookahead: RefCell<Lookahead>,
-    owned: RefCell<IndexMap<String, Rc<RefCell<Held>>>>,
+    owned: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
     owners: RefCell<IndexMap<String, ToldOwner>>,
     /// Runs of items for batches to come.
     pub second_runs: SecondRuns,
@@ -246,7 +246,7 @@
 
     /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
     pub(crate) fn stop_runs_at(&self, target: &str) {
-        let owned: Vec<Rc<RefCell<Held>>> = self.owned.borrow().values().cloned().collect();
+        let owned: Vec<Rc<RefCell<LocalBatch>>> = self.owned.borrow().values().cloned().collect();
         for held in owned.into_iter().chain(self.standby.interim()) {
             let mut held = held.borrow_mut();
             let at_target =
@@ -259,13 +259,13 @@
         self.second_runs.stop_where(|second| second.target == target);
     }
 
-    pub(crate) fn get(&self, batch: &str) -> Option<Rc<RefCell<Held>>> {
+    pub(crate) fn get(&self, batch: &str) -> Option<Rc<RefCell<LocalBatch>>> {
         self.owned.borrow().get(batch).cloned()
     }
 
     /// Returns the owned batches that have something left to run, the most urgent first.
-    pub(crate) fn open(&self) -> Vec<Rc<RefCell<Held>>> {
-        let mut open: Vec<Rc<RefCell<Held>>> = self
+    pub(crate) fn open(&self) -> Vec<Rc<RefCell<LocalBatch>>> {
+        let mut open: Vec<Rc<RefCell<LocalBatch>>> = self
             .owned
             .borrow()
             .values()
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -14,14 +14,14 @@
 
 use super::accept::{Source, open, reward_attempts, terms};
 use super::keys::Record;
-use super::succession::SKEW_MAX_MS;
+use super::takeover::SKEW_MAX_MS;
 use super::write::SAVE_AFTER_MS;
-use super::{Held, OPEN_MAX_MS};
+use super::{LocalBatch, OPEN_MAX_MS};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
-use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, Submission, TextNews, Told};
+use catkinmast_dispatch::{CopiedTexts, ItemResult, Progress, SentTexts, Submission, TextUpdate};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -65,12 +65,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Standby {
     copies: RefCell<IndexMap<String, HeldCopy>>,
-    interim: RefCell<IndexMap<String, Rc<RefCell<Held>>>>,
+    interim: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
 }
 
 impl Standby {
     /// Returns the batches of which items run here until they have an owner.
-    pub(crate) fn interim(&self) -> Vec<Rc<RefCell<Held>>> {
+    pub(crate) fn interim(&self) -> Vec<Rc<RefCell<LocalBatch>>> {
         self.interim.borrow().values().cloned().collect()
     }
 
@@ -105,9 +105,9 @@
 
 /// Sends a copy of a batch to the node that would follow this one as its owner, and what is new of its
 /// texts for as long as it is open.
-pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<Held>>) {
+pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
     let id = held.borrow().id.clone();
-    let mut told = Told::default();
+    let mut told = SentTexts::default();
     let mut sent_to = None;
     loop {
         if !held.borrow().is_running() {
@@ -125,7 +125,7 @@
     }
 }
 
-async fn send_copy<P: Platform>(node: &Node<P>, held: &RefCell<Held>, to: &Owner) -> bool {
+async fn send_copy<P: Platform>(node: &Node<P>, held: &RefCell<LocalBatch>, to: &Owner) -> bool {
     let (batch, copy) = {
         let held = held.borrow();
         let submission = held.batch.submission().clone();
@@ -136,9 +136,9 @@
 
 async fn send_texts<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     to: &Owner,
-    told: &mut Told,
+    told: &mut SentTexts,
 ) -> bool {
     let texts = told.news(&held.borrow().texts(SAVE_AFTER_MS));
     if texts.is_empty() {
@@ -161,7 +161,7 @@
 }
 
 /// Keeps a copy for the owner of a batch, unless the word of its end came first.
-pub(crate) fn keep_copy<P: Platform>(node: &Node<P>, batch: String, copy: BatchCopy) {
+pub(crate) fn accept_copy<P: Platform>(node: &Node<P>, batch: String, copy: BatchCopy) {
     if node.batches.is_ended(&batch) {
         return;
     }
@@ -170,7 +170,11 @@
 }
 
 /// Keeps what is new of the texts of a copied batch; returns false when something before is missing.
-pub(crate) fn keep_texts<P: Platform>(node: &Node<P>, batch: &str, texts: Vec<TextNews>) -> bool {
+pub(crate) fn accept_copied_outputs<P: Platform>(
+    node: &Node<P>,
+    batch: &str,
+    texts: Vec<TextUpdate>,
+) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
     copies.get_mut(batch).is_some_and(|held| held.texts.take(texts))
 }
--- a/crates/serve/src/batches/succession.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -1,6 +1,6 @@
 //! Batches whose owner died or leaves: who takes them, and when.
 
-use super::Held;
+use super::LocalBatch;
 use super::accept::{Source, duty_of, own};
 use super::end::forget_old;
 use super::keys::{
@@ -62,7 +62,7 @@
 ///
 /// All nodes are told of batches and their owners, so most deaths need no look at the store: the
 /// first in rank takes what it was told of. [`SEARCHERS`] look for the rest, and tell whom it falls to.
-pub(crate) async fn adopt_orphans<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn take_over_orphans<P: Platform>(node: Rc<Node<P>>) {
     node.batches.started_at.set(clock::now());
     sweep(&node, Search::FormerLife).await;
     sleep(Duration::from_millis(peers::SETTLE_MS)).await;
@@ -121,7 +121,7 @@
 }
 
 /// Takes the word of a searching node that a batch's owner is dead and that it falls to this node.
-pub(crate) fn told_orphaned<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
+pub(crate) fn on_batch_orphaned<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     let is_dead = is_dead(node, &owner);
     node.batches.note_owner(batch, owner);
     if is_dead && node.batches.get(batch).is_none() {
@@ -293,7 +293,7 @@
     }
 }
 
-pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     let texts = {
         let mut held = held.borrow_mut();
         let texts = held.texts(0);
@@ -331,7 +331,7 @@
 }
 
 /// Takes a batch that its owner gives to this node.
-pub(crate) fn adopt<P: Platform>(
+pub(crate) fn accept_handover<P: Platform>(
     node: &Rc<Node<P>>,
     batch: String,
     texts: Vec<(String, Progress)>,
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -1,17 +1,17 @@
 //! Requests that end targets: what is seen of them, and that they are sent on no more.
 //!
-//! What may be sent is decided by [`Quarantine`](catkinmast_quarantine::Quarantine). `fate` finds out
+//! What may be sent is decided by [`Quarantine`](catkinmast_quarantine::Quarantine). `detection` finds out
 //! whether a target ended with requests of this node under way; `records` keeps the evidence in the store,
 //! and reads it where a whole fleet has started anew. Between nodes evidence travels as membership's facts
 //! do: at once to all, also while the store is away, and to a node that missed it or starts within seconds.
 
-mod fate;
+mod detection;
 mod records;
 
-pub(crate) use fate::{StreamRun, broke_off, target_changed};
-pub(crate) use records::keep;
+pub(crate) use detection::{StreamRun, connection_broke, target_changed};
+pub(crate) use records::maintain_records;
 
-use crate::forward::{AttemptFailure, Cause, Outgoing};
+use crate::forward::{AttemptFailure, Cause, OutgoingRequest};
 use crate::node::Node;
 use crate::peers;
 use crate::platform::Platform;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 
 /// Tells whether there is evidence against any request.
-pub(crate) fn is_any_known<P: Platform>(node: &Node<P>) -> bool {
+pub(crate) fn has_evidence<P: Platform>(node: &Node<P>) -> bool {
     !node.quarantine.borrow().is_empty()
 }
 
@@ -35,7 +35,7 @@
 /// Tells whether a request is sent to no target, before one is chosen or waited for.
 pub(crate) fn check<P: Platform>(
     node: &Node<P>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
         Standing::Barred { until } => Err(barred(until)),
@@ -46,7 +46,7 @@
 /// Admits a request to a target, or says why it is not sent.
 pub(crate) async fn admit<P: Platform>(
     node: &Rc<Node<P>>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
         Standing::Clear => Ok(()),
@@ -55,8 +55,8 @@
     }
 }
 
-fn standing<P: Platform>(node: &Node<P>, outgoing: &Outgoing) -> Standing {
-    if !is_any_known(node) {
+fn standing<P: Platform>(node: &Node<P>, outgoing: &OutgoingRequest) -> Standing {
+    if !has_evidence(node) {
         return Standing::Clear;
     }
     node.quarantine.borrow().standing(UnixMs::from_wall_clock(), outgoing.fingerprint())
@@ -64,7 +64,7 @@
 
 async fn admit_to_trial<P: Platform>(
     node: &Rc<Node<P>>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     number: usize,
 ) -> Result<(), AttemptFailure> {
     let fingerprint = outgoing.fingerprint();
@@ -82,14 +82,14 @@
 }
 
 fn barred(until: UnixMs) -> AttemptFailure {
-    let come_back_ms = until.since_ms(UnixMs::from_wall_clock());
+    let retry_after_ms = until.since_ms(UnixMs::from_wall_clock());
     let message = "targets have ended while they ran this request";
-    AttemptFailure::not_run(Cause::Barred { come_back_ms }, message)
+    AttemptFailure::not_run(Cause::Blocked { retry_after_ms }, message)
 }
 
 /// Takes it that a target has answered a request.
-pub(crate) fn survived<P: Platform>(node: &Rc<Node<P>>, outgoing: &Outgoing) {
-    if !is_any_known(node) && node.broken_off.borrow().is_empty() {
+pub(crate) fn answer_received<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
+    if !has_evidence(node) && node.broken_off.borrow().is_empty() {
         return;
     }
     let fingerprint = outgoing.fingerprint();
@@ -111,7 +111,7 @@
 }
 
 /// Takes what another node tells.
-pub(crate) fn told<P: Platform>(node: &Node<P>, crash: &CrashFact) {
+pub(crate) fn on_evidence_received<P: Platform>(node: &Node<P>, crash: &CrashFact) {
     learn(node, crash.fingerprint, &crash.evidence, "a peer");
 }
 
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -6,7 +6,7 @@
 //! not: most are of requests that were under way by chance, and a write for each would cost more calls
 //! than all else that a crash of a target brings.
 
-use super::{is_any_known, learn, tell};
+use super::{has_evidence, learn, tell};
 use crate::feed;
 use crate::node::Node;
 use crate::peers;
@@ -52,7 +52,7 @@
 
 /// Keeps the evidence until the process ends: writes what is new, reads what an earlier fleet has left,
 /// forgets what is old.
-pub(crate) async fn keep<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn maintain_records<P: Platform>(node: Rc<Node<P>>) {
     let mut has_recalled = false;
     loop {
         if timeout(LOOK_EVERY, node.crashes_changed.notified()).await.is_ok() {
@@ -62,7 +62,7 @@
         if is_first && !has_recalled {
             has_recalled = recall(&node).await;
         }
-        if !is_any_known(&node) {
+        if !has_evidence(&node) {
             continue;
         }
         save(&node).await;
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -10,14 +10,14 @@
 use crate::node::Node;
 use crate::peers;
 use crate::platform::{DutyCall, Platform};
-use crate::pool::{CallError, read_whole};
+use crate::pool::{CallError, read_body};
 use crate::scaling;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoredItem};
 use crate::tenancy::Tenancy;
 use crate::usage;
 use catkinmast_model::{Fence, UnixMs};
-use catkinmast_usage::{Teller, Window, Windows};
+use catkinmast_usage::{UsageSource, Window, Windows};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use serde_json::json;
@@ -179,7 +179,7 @@
     let (counts, missing, tellers) = {
         let ledger = node.usage.ledger.borrow();
         let missing = ledger.missing(window, &alive);
-        let missing: Vec<Teller> = missing.into_iter().cloned().collect();
+        let missing: Vec<UsageSource> = missing.into_iter().cloned().collect();
         (ledger.totals(window), missing, ledger.tellers(window))
     };
     if may_wait && !missing.is_empty() {
@@ -256,8 +256,8 @@
     let exchange = async {
         let (response, connection) = node.pool.send(duties.address, request).await?;
         let (head, body) = response.into_parts();
-        read_whole(body, ANSWER_MAX_BYTES).await?;
-        node.pool.keep(connection, &head.headers);
+        read_body(body, ANSWER_MAX_BYTES).await?;
+        node.pool.release(connection, &head.headers);
         Ok(head.status)
     };
     let answer = timeout(CALL_MAX, exchange).await;
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -6,10 +6,10 @@
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::{AnswerMarks, Platform, RequestMarks};
-use crate::pool::{CallError, Connection, read_whole};
+use crate::pool::{CallError, Connection, read_body};
 use crate::usage::Counted;
 use bytes::Bytes;
-use catkinmast_dispatch::Outcome;
+use catkinmast_dispatch::CallOutcome;
 use catkinmast_model::{UnixMs, Verdict};
 use catkinmast_quarantine::Fingerprint;
 use http::{HeaderMap, HeaderName, Method, Request, Response, StatusCode};
@@ -23,7 +23,7 @@
 
 /// Answers up to this size are read whole before any of them is passed on, so that one that is
 /// cut can be asked for again; a usual answer is a thousandth of it.
-pub(crate) const HELD_MAX_BYTES: usize = 1 << 20;
+pub(crate) const BUFFERED_ANSWER_MAX_BYTES: usize = 1 << 20;
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [HeaderName; 7] = [
@@ -52,7 +52,7 @@
 
 /// A request as it goes to a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub body: Bytes,
     /// When the caller stops waiting.
     pub deadline_at: UnixMs,
@@ -67,7 +67,7 @@
     pub workspace: Option<String>,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Names what it asks, whatever its id.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let host = self.headers.get(http::header::HOST).and_then(|host| host.to_str().ok());
@@ -83,14 +83,14 @@
 
 /// A target that was chosen.
 #[derive(Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenTarget {
     pub address: SocketAddr,
     pub id: String,
 }
 
 /// A target's answer, whole.
 #[derive(Clone, Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteAnswer {
     pub body: Bytes,
     pub headers: HeaderMap,
     pub marks: AnswerMarks,
@@ -101,9 +101,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Cause {
     /// It was not sent: targets have ended under the same request.
-    Barred {
+    Blocked {
         /// After how long it may be tried again.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// The target refused for load.
     Full,
@@ -133,16 +133,16 @@
     }
 
     /// Whether it was not sent because targets have ended under the same request.
-    pub(crate) const fn is_barred(&self) -> bool {
-        matches!(self.cause, Cause::Barred { .. })
+    pub(crate) const fn is_blocked(&self) -> bool {
+        matches!(self.cause, Cause::Blocked { .. })
     }
 
     /// What it says of its target.
-    pub(crate) const fn outcome(&self) -> Outcome {
+    pub(crate) const fn outcome(&self) -> CallOutcome {
         match self.cause {
-            Cause::Barred { .. } => Outcome::Cancelled,
-            Cause::Full => Outcome::Full,
-            Cause::Other => Outcome::Failed,
+            Cause::Blocked { .. } => CallOutcome::Cancelled,
+            Cause::Full => CallOutcome::Full,
+            Cause::Other => CallOutcome::Failed,
         }
     }
 }
@@ -169,12 +169,12 @@
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: Some(run) }
     }
 
-    pub(crate) fn end(mut self, outcome: Outcome) {
+    pub(crate) fn end(mut self, outcome: CallOutcome) {
         self.ended = true;
         self.finish(outcome);
     }
 
-    fn finish(&self, outcome: Outcome) {
+    fn finish(&self, outcome: CallOutcome) {
         let slots = self.node.targets.borrow().entry(&self.id).map_or(1, |entry| entry.slots);
         if let Some(run) = self.run {
             self.node.load.borrow_mut().run_ended(&self.id, run);
@@ -186,7 +186,7 @@
 impl<P: Platform> Drop for InFlight<P> {
     fn drop(&mut self) {
         if !self.ended {
-            self.finish(Outcome::Cancelled);
+            self.finish(CallOutcome::Cancelled);
         }
         self.node.work.notify_one();
     }
@@ -198,8 +198,8 @@
 /// calls, also those of a batch that was taken over. So a request that ends targets is stopped here.
 pub(crate) async fn open<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
-    outgoing: &Outgoing,
+    chosen: &ChosenTarget,
+    outgoing: &OutgoingRequest,
 ) -> Result<(Response<Incoming>, Connection, AnswerMarks), AttemptFailure> {
     crashes::admit(node, outgoing).await?;
     let request = written::<P>(chosen, outgoing)
@@ -207,7 +207,7 @@
     let sent = node.pool.send(chosen.address, request).await;
     let (response, connection) = sent.map_err(|error| {
         if error.verdict.may_have_run() {
-            crashes::broke_off(node, chosen, outgoing);
+            crashes::connection_broke(node, chosen, outgoing);
         }
         AttemptFailure::of(error)
     })?;
@@ -220,8 +220,8 @@
 }
 
 fn written<P: Platform>(
-    chosen: &Chosen,
-    outgoing: &Outgoing,
+    chosen: &ChosenTarget,
+    outgoing: &OutgoingRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let mut request = Request::builder()
         .method(outgoing.method.clone())
@@ -250,9 +250,9 @@
 /// Sends a request and reads its answer whole, within the caller's time.
 pub(crate) async fn attempt<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
-    outgoing: &Outgoing,
-) -> Result<WholeAnswer, AttemptFailure> {
+    chosen: &ChosenTarget,
+    outgoing: &OutgoingRequest,
+) -> Result<CompleteAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
     let counted = Counted::sent(node, outgoing.workspace.as_deref());
     let began_at = clock::now();
@@ -263,7 +263,7 @@
         Err(_) => Err(AttemptFailure::may_have_run("no whole answer within the caller's time")),
     };
     let outcome = match &result {
-        Ok(_) => Outcome::Answered { latency_ms: clock::now().since_ms(began_at) },
+        Ok(_) => CallOutcome::Answered { latency_ms: clock::now().since_ms(began_at) },
         Err(failure) => failure.outcome(),
     };
     in_flight.end(outcome);
@@ -274,7 +274,7 @@
     }
     let label = match &result {
         Ok(_) => "answered",
-        Err(failure) if failure.is_barred() => "barred",
+        Err(failure) if failure.is_blocked() => "barred",
         Err(failure) if failure.cause == Cause::Full => "full",
         Err(failure) if failure.verdict == Verdict::NotRun => "not_run",
         Err(_) => "failed",
@@ -297,20 +297,20 @@
 
 async fn exchange<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
-    outgoing: &Outgoing,
-) -> Result<WholeAnswer, AttemptFailure> {
+    chosen: &ChosenTarget,
+    outgoing: &OutgoingRequest,
+) -> Result<CompleteAnswer, AttemptFailure> {
     let (response, connection, marks) = open(node, chosen, outgoing).await?;
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         let change = node.targets.borrow_mut().refused(&chosen.id);
         node.target_changed(&change, "another target answered at its address");
     }
-    let body = read_whole(body, HELD_MAX_BYTES).await.map_err(|error| {
-        crashes::broke_off(node, chosen, outgoing);
+    let body = read_body(body, BUFFERED_ANSWER_MAX_BYTES).await.map_err(|error| {
+        crashes::connection_broke(node, chosen, outgoing);
         AttemptFailure::of(error)
     })?;
-    node.pool.keep(connection, &head.headers);
+    node.pool.release(connection, &head.headers);
     if let Some(refusal) = refusal(head.status, &marks) {
         return Err(refusal);
     }
@@ -321,8 +321,8 @@
         return Err(AttemptFailure::may_have_run("an answer without a target's signature"));
     }
     if !unsigned {
-        crashes::survived(node, outgoing);
+        crashes::answer_received(node, outgoing);
     }
     strip_hop_by_hop(&mut head.headers);
-    Ok(WholeAnswer { body, headers: head.headers, marks, status: head.status })
+    Ok(CompleteAnswer { body, headers: head.headers, marks, status: head.status })
 }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -115,7 +115,7 @@
                 with_members(&node, Membership::tick);
                 node.usage.clock_shows(node.settings().peer, UnixMs::from_wall_clock());
                 if doubts.arise(&node) {
-                    batches::doubt_all(&node);
+                    batches::verify_ownership_of_all(&node);
                 }
             }
             received = node.datagrams.recv_from(&mut buffer) => {
@@ -151,11 +151,13 @@
             with_members(node, |members, now| members.receive(now, from, message));
         }
         Ok(Datagram::Changes { changes, subject }) => feed::told(node, subject, changes, from),
-        Ok(Datagram::BatchEnded { batch }) => batches::told_ended(node, &batch),
-        Ok(Datagram::BatchOrphaned { batch, owner }) => batches::told_orphaned(node, &batch, owner),
+        Ok(Datagram::BatchEnded { batch }) => batches::on_batch_ended(node, &batch),
+        Ok(Datagram::BatchOrphaned { batch, owner }) => {
+            batches::on_batch_orphaned(node, &batch, owner)
+        }
         Ok(Datagram::BatchOwned { batch, model, owner, work_tokens }) => {
             node.note_demand(model.as_deref(), work_tokens);
-            batches::told_owner(node, &batch, owner);
+            batches::on_owner_reported(node, &batch, owner);
         }
         Ok(Datagram::StoreReturned) => outage::told_over(node),
         Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
@@ -194,7 +196,7 @@
 
 fn fact_changed<P: Platform>(node: &Node<P>, fact: &Fact) {
     match fact {
-        Fact::Crash(crash) => crashes::told(node, crash),
+        Fact::Crash(crash) => crashes::on_evidence_received(node, crash),
         Fact::Node(peer) => node_changed(node, peer),
         Fact::Config(_) | Fact::Owner(_) | Fact::Target(_) => {}
     }
@@ -215,7 +217,7 @@
         }),
     );
     if matches!(peer.state, NodeState::Gone) {
-        node.pool.forget(peer.control);
+        node.pool.close_idle(peer.control);
         node.batches.orphaned.notify_one();
     }
 }
@@ -314,8 +316,8 @@
         PeerCall::Store(call) => PeerAnswer::Store(node.store_here(&call).await),
         PeerCall::Submit { batch, origin, submission } => {
             match batches::accept(&node, &batch, origin, *submission).await {
-                Acceptance::Kept => PeerAnswer::Accepted,
-                Acceptance::Taken => PeerAnswer::NoBatch,
+                Acceptance::Accepted => PeerAnswer::Accepted,
+                Acceptance::IdConflict => PeerAnswer::NoBatch,
                 Acceptance::Unknown(_) => PeerAnswer::Unavailable,
             }
         }
@@ -323,15 +325,15 @@
             batches::read_owned(&node, &batch, &scope, after, wait_ms).await
         }
         PeerCall::Adopt { batch, texts } => {
-            batches::adopt(&node, batch, texts);
+            batches::accept_handover(&node, batch, texts);
             PeerAnswer::Adopting
         }
         PeerCall::KeepCopy { batch, copy } => {
-            batches::keep_copy(&node, batch, *copy);
+            batches::accept_copy(&node, batch, *copy);
             PeerAnswer::Accepted
         }
         PeerCall::KeepTexts { batch, texts } => {
-            if batches::keep_texts(&node, &batch, texts) {
+            if batches::accept_copied_outputs(&node, &batch, texts) {
                 PeerAnswer::Accepted
             } else {
                 PeerAnswer::Unavailable
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -1,9 +1,9 @@
 //! Scores of items whose texts are whole.
 
 use super::finish;
-use crate::batches::{Held, Run};
+use crate::batches::{LocalBatch, Run};
 use crate::clock;
-use crate::forward::{self, Outgoing};
+use crate::forward::{self, OutgoingRequest};
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_dispatch::{Item, ItemResult, ItemState, NextItem, Progress, Reward};
@@ -26,7 +26,7 @@
 /// Scores an item whose whole text an earlier run has left.
 pub(super) fn start_scoring<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<Held>>,
+    held: &Rc<RefCell<LocalBatch>>,
     next: NextItem,
 ) {
     let NextItem { index, progress } = next;
@@ -50,7 +50,7 @@
 /// Scores an item whose text is whole, and takes its result.
 pub(super) async fn score_item<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     index: usize,
     item: &Item,
     progress: Progress,
@@ -82,7 +82,7 @@
 /// often as it may.
 async fn score<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     reward: &Reward,
 ) -> Option<String> {
     let attempts = held.borrow().batch.terms().attempts;
@@ -111,7 +111,7 @@
                     let status = answer.status.as_u16();
                     node.note("score_refused", json!({ "request": reward.id, "status": status }));
                 }
-                Err(failure) if failure.is_barred() => {
+                Err(failure) if failure.is_blocked() => {
                     // The text is whole: it waits for its score until its batch is over.
                     pause_ms = SCORE_BARRED_PAUSE_MS;
                 }
@@ -125,12 +125,12 @@
     }
 }
 
-fn score_request(reward: &Reward) -> Outgoing {
+fn score_request(reward: &Reward) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     if let Ok(host) = HeaderValue::from_str(&reward.host) {
         headers.insert(HOST, host);
     }
-    Outgoing {
+    OutgoingRequest {
         body: reward.body.clone().into(),
         deadline_at: clock::now().plus(SCORE_MAX_MS),
         headers,
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -2,14 +2,14 @@
 
 use super::score::score_item;
 use super::{FAILED_PAUSE_MS, FULL_PAUSE_MS, finish};
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes::StreamRun;
-use crate::forward::{self, Chosen, InFlight, Outgoing};
+use crate::forward::{self, ChosenTarget, InFlight, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{EventReader, Item, ItemResult, Outcome, Progress};
+use catkinmast_dispatch::{CallOutcome, EventReader, Item, ItemResult, Progress};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::Fingerprint;
 use http::header::{AUTHORIZATION, HOST};
@@ -49,7 +49,7 @@
 
 impl RunTerms {
     /// Returns those of a batch's own runs.
-    pub(super) fn of(held: &Held) -> Self {
+    pub(super) fn of(held: &LocalBatch) -> Self {
         let submission = held.batch.submission();
         Self {
             give_up_at: held.batch.terms().give_up_at,
@@ -71,17 +71,17 @@
     /// The item can never be done.
     Impossible,
     /// It broke off; another target can go on from the text so far.
-    Broken { outcome: Outcome, why: String },
+    Broken { outcome: CallOutcome, why: String },
     /// The text is whole.
     Whole,
 }
 
 pub(super) async fn run_item<P: Platform>(
     node: Rc<Node<P>>,
-    held: Rc<RefCell<Held>>,
+    held: Rc<RefCell<LocalBatch>>,
     index: usize,
     progress: Rc<RefCell<Progress>>,
-    chosen: Chosen,
+    chosen: ChosenTarget,
     in_flight: InFlight<P>,
 ) {
     let began_at = clock::now();
@@ -93,7 +93,7 @@
     let text = progress.borrow().clone();
     let outcome = match &end {
         RunEnd::Barred { .. } | RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
-            Outcome::Cancelled
+            CallOutcome::Cancelled
         }
         RunEnd::Broken { outcome, .. } => *outcome,
     };
@@ -133,7 +133,8 @@
             held.borrow_mut().batch.put_back(index, from, text);
         }
         RunEnd::Broken { outcome, .. } => {
-            let pause_ms = if outcome == Outcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
+            let pause_ms =
+                if outcome == CallOutcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
             let from = clock::now().plus(pause_ms);
             held.borrow_mut().batch.put_back(index, from, text);
         }
@@ -156,7 +157,7 @@
     Fingerprint::of(Method::POST.as_str(), host, &item.path, &item.body)
 }
 
-fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> Outgoing {
+fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -170,7 +171,7 @@
     }
     forward::strip_hop_by_hop(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
-    Outgoing {
+    OutgoingRequest {
         body: item.body.clone().into(),
         deadline_at: terms.give_up_at.min(clock::now().plus(RUN_MAX_MS)),
         headers,
@@ -188,7 +189,7 @@
     terms: &RunTerms,
     item: &Item,
     progress: &Rc<RefCell<Progress>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     longest_gap_ms: &Cell<u64>,
 ) -> RunEnd {
     let after = progress.borrow().last_event_id;
@@ -200,9 +201,9 @@
     let broken = |why: &str, outcome| RunEnd::Broken { outcome, why: why.to_owned() };
     let opened = match timeout(FIRST_EVENT_MAX, forward::open(node, chosen, &request)).await {
         Ok(Ok(opened)) => opened,
-        Ok(Err(failure)) if failure.is_barred() => return RunEnd::Barred { why: failure.message },
-        Ok(Err(failure)) => return broken(&failure.message, Outcome::Failed),
-        Err(_) => return broken("no head in time", Outcome::Failed),
+        Ok(Err(failure)) if failure.is_blocked() => return RunEnd::Barred { why: failure.message },
+        Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
+        Err(_) => return broken("no head in time", CallOutcome::Failed),
     };
     let (response, connection, marks) = opened;
     let (parts, body) = response.into_parts();
@@ -211,26 +212,26 @@
             let change = node.targets.borrow_mut().refused(&chosen.id);
             node.target_changed(&change, "another target answered at its address");
         }
-        if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
-            node.pool.keep(connection, &parts.headers);
+        if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
+            node.pool.release(connection, &parts.headers);
         }
-        return broken(&refusal.message, Outcome::Full);
+        return broken(&refusal.message, CallOutcome::Full);
     }
     match parts.status {
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => {
-            if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
-                node.pool.keep(connection, &parts.headers);
+            if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
+                node.pool.release(connection, &parts.headers);
             }
             return RunEnd::Failed;
         }
         status if !status.is_success() => {
-            return broken(&format!("answered {status}"), Outcome::Failed);
+            return broken(&format!("answered {status}"), CallOutcome::Failed);
         }
         _ => {}
     }
     if marks.signature.is_none() || marks.request_id.is_none() {
-        return broken("an answer without a target's signature", Outcome::Failed);
+        return broken("an answer without a target's signature", CallOutcome::Failed);
     }
     let progress = Rc::clone(progress);
     let mut stream = TokenStream {
@@ -245,16 +246,16 @@
     longest_gap_ms.set(stream.longest_gap_ms);
     match read {
         Ok(()) => {
-            node.pool.keep(connection, &parts.headers);
+            node.pool.release(connection, &parts.headers);
             stream.progress.borrow_mut().whole = true;
-            sent.ended_whole(node);
+            sent.completed(node);
             RunEnd::Whole
         }
         Err(ReadEnd::BrokeOff(why)) => {
-            sent.broke_off(node);
-            broken(&why, Outcome::Failed)
+            sent.connection_broke(node);
+            broken(&why, CallOutcome::Failed)
         }
-        Err(ReadEnd::Other(why)) => broken(&why, Outcome::Failed),
+        Err(ReadEnd::Other(why)) => broken(&why, CallOutcome::Failed),
     }
 }
 
@@ -282,7 +283,7 @@
     async fn read<P: Platform>(
         &mut self,
         node: &Node<P>,
-        chosen: &Chosen,
+        chosen: &ChosenTarget,
         sent: &StreamRun,
     ) -> Result<(), ReadEnd> {
         let mut events = EventReader::default();
@@ -303,7 +304,7 @@
                 }
             };
             let Some(data) = frame.data_ref() else { continue };
-            sent.heard();
+            sent.received();
             for event in events.read(data) {
                 self.take::<P>(node, chosen, &event).map_err(ReadEnd::Other)?;
             }
@@ -322,7 +323,7 @@
     fn take<P: Platform>(
         &mut self,
         node: &Node<P>,
-        chosen: &Chosen,
+        chosen: &ChosenTarget,
         event: &catkinmast_dispatch::StreamEvent,
     ) -> Result<(), String> {
         if let Some(version) = P::event_version(event) {
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -1,4 +1,4 @@
-//! Counts the requests of workspaces, and tells what was counted to the nodes that may report it.
+//! UsageCounts the requests of workspaces, and tells what was counted to the nodes that may report it.
 //!
 //! A node that dies takes with it only what it has not told yet, so counts are told as they change, and
 //! to several nodes: the holder of the duty and those that would follow it.
@@ -9,7 +9,9 @@
 use crate::peers::{self, Owner, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use catkinmast_model::UnixMs;
-use catkinmast_usage::{Counts, Ledger, Table, Teller, Ticket, TrueTime, Window, Windows};
+use catkinmast_usage::{
+    FleetClock, Ledger, OpenRequestId, UsageCounts, UsageSource, Window, WindowCounts, Windows,
+};
 use indexmap::IndexMap;
 use serde_json::json;
 use std::cell::RefCell;
@@ -33,10 +35,10 @@
 /// What this node knows of the use of workspaces.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
-    counts: RefCell<Option<Counts>>,
+    counts: RefCell<Option<UsageCounts>>,
     /// What nodes have told this one, itself among them.
     pub ledger: RefCell<Ledger>,
-    time: RefCell<TrueTime>,
+    time: RefCell<FleetClock>,
 }
 
 impl Usage {
@@ -60,7 +62,7 @@
 #[derive(Debug)]
 pub(crate) struct Counted<P: Platform> {
     node: Rc<Node<P>>,
-    ticket: Option<Ticket>,
+    ticket: Option<OpenRequestId>,
 }
 
 impl<P: Platform> Counted<P> {
@@ -69,7 +71,7 @@
         let windows = windows(node)?;
         let at = node.usage.now();
         let mut counts = node.usage.counts.borrow_mut();
-        let counts = counts.get_or_insert_with(|| Counts::open(windows));
+        let counts = counts.get_or_insert_with(|| UsageCounts::open(windows));
         let ticket = Some(counts.sent(at, workspace?));
         Some(Self { node: Rc::clone(node), ticket })
     }
@@ -82,10 +84,10 @@
 
     /// Takes it that no target began it.
     pub(crate) fn not_run(mut self) {
-        self.settle(Counts::not_run);
+        self.settle(UsageCounts::not_run);
     }
 
-    fn settle(&mut self, settle: impl FnOnce(&mut Counts, Ticket)) {
+    fn settle(&mut self, settle: impl FnOnce(&mut UsageCounts, OpenRequestId)) {
         let Some(ticket) = self.ticket.take() else { return };
         if let Some(counts) = self.node.usage.counts.borrow_mut().as_mut() {
             settle(counts, ticket);
@@ -106,7 +108,7 @@
 }
 
 /// Takes what another node has counted.
-pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &Teller, tables: Vec<Table>) {
+pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &UsageSource, tables: Vec<WindowCounts>) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
         ledger.told(teller, table);
@@ -115,11 +117,11 @@
 
 /// What a node has confirmed that it was told.
 #[derive(Debug, Default)]
-struct Confirmed(BTreeMap<Window, Table>);
+struct Confirmed(BTreeMap<Window, WindowCounts>);
 
 impl Confirmed {
     /// Returns what it was not told yet.
-    fn news(&self, tables: &[Table]) -> Vec<Table> {
+    fn news(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
         let news = tables.iter().filter_map(|table| {
             let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
             let is_new =
@@ -131,7 +133,7 @@
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
             let is_news = !counts.is_empty() || table.complete != held.complete;
-            is_news.then(|| Table { counts, ..table.clone() })
+            is_news.then(|| WindowCounts { counts, ..table.clone() })
         });
         news.collect()
     }
@@ -140,7 +142,7 @@
 /// Tells what this node counts until the process ends.
 pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
     let Some(me) = peers::me(&node) else { return };
-    let teller = Teller { incarnation: me.incarnation, node: me.node.clone() };
+    let teller = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
     let mut confirmed: IndexMap<Owner, Confirmed> = IndexMap::new();
     loop {
         sleep(pause(&node)).await;
@@ -148,7 +150,7 @@
         let now = node.usage.now();
         let tables = {
             let mut counts = node.usage.counts.borrow_mut();
-            counts.get_or_insert_with(|| Counts::open(windows)).tables(now)
+            counts.get_or_insert_with(|| UsageCounts::open(windows)).tables(now)
         };
         told(&node, &teller, tables.clone());
         let followers: Vec<Owner> =
@@ -175,8 +177,8 @@
 async fn tell_one<P: Platform>(
     node: &Node<P>,
     to: Owner,
-    teller: Teller,
-    tables: Vec<Table>,
+    teller: UsageSource,
+    tables: Vec<WindowCounts>,
 ) -> Option<Owner> {
     let call = PeerCall::Usage { tables, teller };
     match node.ask_peer(to.address, &call, TELL_MAX).await {
--- a/crates/serve/src/turn.rs
+++ b/crates/serve/src/wait_queue.rs
@@ -3,19 +3,19 @@
 use crate::clock;
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::TurnId;
+use catkinmast_dispatch::WaiterId;
 use catkinmast_model::UnixMs;
 use std::rc::Rc;
 
 /// A request that waits; it leaves when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Turn<P: Platform> {
-    id: TurnId,
+pub(crate) struct QueuePlace<P: Platform> {
+    id: WaiterId,
     node: Rc<Node<P>>,
     service: String,
 }
 
-impl<P: Platform> Turn<P> {
+impl<P: Platform> QueuePlace<P> {
     /// Begins to wait for a request that came `since`.
     pub(crate) fn wait(
         node: &Rc<Node<P>>,
@@ -36,7 +36,7 @@
     }
 }
 
-impl<P: Platform> Drop for Turn<P> {
+impl<P: Platform> Drop for QueuePlace<P> {
     fn drop(&mut self) {
         if let Some(turns) = self.node.turns.borrow_mut().get_mut(&self.service) {
             turns.leave(self.id);
@@ -45,7 +45,7 @@
 }
 
 /// Takes it that a request of a workspace was served.
-pub(crate) fn served<P: Platform>(node: &Node<P>, service: &str, workspace: Option<&str>) {
+pub(crate) fn request_served<P: Platform>(node: &Node<P>, service: &str, workspace: Option<&str>) {
     let mut turns = node.turns.borrow_mut();
     turns.entry(service.to_owned()).or_default().served(clock::now(), workspace);
 }
