--- a/crates/member/src/fact.rs
+++ b/crates/member/src/fact.rs
@@ -1,79 +1,81 @@
-//! Facts and the rules by which one supersedes another.
+//! Facts shared between nodes, and the rules by which one supersedes another.
 
 use catkinmast_model::{Fence, Incarnation, InstanceKind, InstanceState, Labels, Name, Revision};
 use catkinmast_quarantine::{Evidence, Fingerprint};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a node's peers believe of it; later ones win within a life and a refutation.
+/// The state of a node as its peers see it.
+///
+/// Within one incarnation and refutation number, the later variant wins.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeState {
-    /// It serves.
+    /// The node serves requests.
     Live,
-    /// It did not answer probes and has some seconds to say that it lives.
+    /// The node did not answer probes and has a few seconds to refute the suspicion.
     Suspect,
-    /// It serves until the addresses handed out have expired, and takes no new duties.
+    /// The node serves until the addresses handed out have expired, and takes no new duties.
     Leaving,
-    /// It is gone.
+    /// The node has left or is considered dead.
     Gone,
 }
 
-/// One of our own nodes.
+/// A node of this service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NodeFact {
-    /// Processor time that it has, in thousandths of a core: the strongest do what one node does
-    /// for all.
+    /// Processor capacity in thousandths of a core; nodes with more are preferred for duties.
     pub capacity_millicores: u32,
-    /// Where peers reach it, by UDP and TCP.
+    /// Address for peers, over UDP and TCP.
     pub control: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the node.
     pub data_centre: Name,
-    /// Whether it has a data folder.
+    /// Whether the node has a data folder.
     pub has_data_folder: bool,
-    /// Where callers reach it.
+    /// Address for callers.
     pub http: SocketAddr,
-    /// Its life: the time of its start, so a restart has a higher one.
+    /// The incarnation: the start time of the process, so a restart has a higher one.
     pub incarnation: Incarnation,
-    /// Its name.
+    /// Name of the node.
     pub name: Name,
-    /// How often it has refuted a suspicion in this life.
+    /// How often the node has refuted a suspicion in this incarnation.
     pub refutation: u32,
-    /// What is believed of it.
+    /// The state of the node.
     pub state: NodeState,
 }
 
-/// Where the news of a target comes from.
+/// The source of a fact about a target.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetFactSource {
-    /// The platform's lagging list.
+    /// The platform's instance list, which lags.
     List,
-    /// The target refused a call because it leaves.
+    /// The target refused a call because it is leaving.
     Refusal,
-    /// An operator drained it.
+    /// An operator drained the target.
     Operator,
 }
 
 /// A target: a model engine or an instance of a plain service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetFact {
-    /// Where it listens.
+    /// Address at which the target listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the target.
     pub data_centre: Name,
-    /// Its life, as the platform counts it.
+    /// The incarnation, as counted by the platform.
     pub incarnation: Incarnation,
-    /// What runs on it.
+    /// The kind of instance.
     pub kind: InstanceKind,
-    /// What selectors match.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// Its name.
+    /// Name of the target.
     pub name: Name,
-    /// Who said so.
+    /// Source of this fact.
     #[serde(rename = "report")]
     pub source: TargetFactSource,
-    /// Whether it takes work. Leaving is sticky: the list may still call it live for a while.
+    /// Whether the target accepts work. Leaving is final within an incarnation, although the
+    /// platform's list may still show the target as live for a while.
     pub state: InstanceState,
 }
 
@@ -82,11 +84,11 @@
 pub struct OwnerFact {
     /// The lease's fencing number; a higher one wins.
     pub fence: Fence,
-    /// The owner's life.
+    /// The owner's incarnation.
     pub incarnation: Incarnation,
-    /// The owner.
+    /// Name of the owner.
     pub node: Name,
-    /// The trainer.
+    /// Name of the trainer.
     pub trainer: Name,
 }
 
@@ -95,20 +97,20 @@
 pub struct ConfigFact {
     /// The document's digest, as hexadecimal digits.
     pub digest: String,
-    /// The revision.
+    /// Number of the revision.
     pub revision: Revision,
 }
 
-/// The targets that ended under a request.
+/// The targets that ended while a request was in flight at them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashFact {
-    /// Which targets.
+    /// The targets and their incarnations.
     pub evidence: Evidence,
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
 }
 
-/// Something that every node should know.
+/// A statement that is spread to all nodes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Fact {
     /// A configuration is in force.
@@ -119,16 +121,18 @@
     Owner(OwnerFact),
     /// A target's state.
     Target(TargetFact),
-    /// Targets ended under a request.
+    /// Targets that ended while a request was in flight at them.
     Crash(CrashFact),
 }
 
-/// What a fact is about; a board holds one fact for each.
+/// The subject of a fact; a table holds one fact for each subject.
+///
+/// The digest hashes the debug text of a key, so the names of the type's variants stay.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum FactKey {
     /// The configuration in force.
     Config,
-    /// Targets that ended under a request.
+    /// Targets that ended while a request was in flight at them.
     Crash(Fingerprint),
     /// A node.
     Node(Name),
@@ -139,7 +143,7 @@
 }
 
 impl Fact {
-    /// Returns what the fact is about.
+    /// Returns the subject of the fact.
     pub fn key(&self) -> FactKey {
         match self {
             Self::Config(_) => FactKey::Config,
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Tells whether the fact says that its subject is gone for good.
+    /// Returns whether the fact is a tombstone: its subject is gone for good.
     pub const fn is_gone(&self) -> bool {
         match self {
             Self::Config(_) | Self::Crash(_) | Self::Owner(_) => false,
@@ -159,8 +163,10 @@
         }
     }
 
-    /// Adds what is held of the same subject, where facts grow instead of superseding each other: two
-    /// nodes may each know of ends that the other has not seen.
+    /// Merges this fact with the one held about the same subject.
+    ///
+    /// Crash facts grow instead of superseding each other, since two nodes may each have seen
+    /// crashes that the other has not. Other facts are returned unchanged.
     #[must_use]
     pub fn merged_with(self, held: &Self) -> Self {
         match (self, held) {
@@ -172,11 +178,11 @@
         }
     }
 
-    /// Tells whether this fact is newer than `held`, which is about the same.
+    /// Returns whether this fact is newer than `held`, a fact about the same subject.
     ///
-    /// The order is total within a key and never depends on when a message arrived: that is why
-    /// an accepted configuration never reverts and a leaving target never looks live again in
-    /// the same life, however late a message is.
+    /// The order is total within a key and does not depend on when messages arrive. Therefore an
+    /// accepted configuration never reverts, and a leaving target is never live again in the same
+    /// incarnation, however late a message is.
     pub fn supersedes(&self, held: &Self) -> bool {
         match (self, held) {
             (Self::Config(new), Self::Config(old)) => new.revision > old.revision,
--- a/crates/member/src/fact_table.rs
+++ b/crates/member/src/fact_table.rs
@@ -1,40 +1,40 @@
-//! The facts a node holds, and which of them to send.
+//! The table of facts that a node holds, and the queue of facts to send.
 //!
-//! A fact that is new to the node is sent on a few times and then rests. Facts are also summed
-//! into a digest of [`DIGEST_BUCKETS`] parts: two boards with the same facts have the same digest, and
-//! where they differ only the differing parts travel. Loss of a message therefore costs a pull of
-//! a few facts, not a lost change.
+//! A new fact is sent a fixed number of times. The table also keeps a digest in [`DIGEST_BUCKETS`]
+//! buckets: tables with the same facts have the same digest, and where digests differ only the
+//! facts of the differing buckets are sent. A lost message therefore costs a pull of a few facts,
+//! and no change is lost.
 
 use crate::fact::{Fact, FactKey};
 use indexmap::IndexMap;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Parts of the digest. 64 parts keep a pull request in one datagram.
+/// Number of buckets of the digest. With 64, a pull request fits in one datagram.
 pub const DIGEST_BUCKETS: usize = 64;
 
-/// Facts held by a node.
+/// The facts that a node holds.
 #[derive(Clone, Debug)]
 pub struct FactTable {
     buckets: [u64; DIGEST_BUCKETS],
-    facts: IndexMap<FactKey, Held>,
+    facts: IndexMap<FactKey, FactEntry>,
     pending: VecDeque<FactKey>,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct FactEntry {
     bucket: usize,
     fact: Fact,
     hash: u64,
     sends_left: u8,
 }
 
-/// What became of a fact that was offered to a board.
+/// The effect of [`FactTable::merge`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MergeOutcome {
-    /// The board already knew this or something newer.
+    /// The table already holds this fact or a newer one.
     Unchanged,
-    /// The board took it.
+    /// The fact was new and is now in the table.
     Applied,
 }
 
@@ -45,17 +45,18 @@
 }
 
 impl FactTable {
-    /// Takes a fact if it is newer than the one held.
+    /// Applies `fact` if it is newer than the one held, and queues it to be sent `sends` times.
     pub fn merge(&mut self, fact: Fact, sends: u8) -> MergeOutcome {
         let key = fact.key();
         let fact = match self.facts.get(&key) {
             Some(held) if fact.supersedes(&held.fact) => fact.merged_with(&held.fact),
-            // Else two nodes that forget at different times would tell each other for ever.
+            // Tombstones for unknown subjects are dropped: otherwise two nodes that delete a
+            // tombstone at different times would send it to each other for ever.
             None if !fact.is_gone() => fact,
             _ => return MergeOutcome::Unchanged,
         };
-        let (hash, bucket) = place(&fact, &key);
-        let held = Held { bucket, fact, hash, sends_left: sends };
+        let (hash, bucket) = hash_and_bucket(&fact, &key);
+        let held = FactEntry { bucket, fact, hash, sends_left: sends };
         self.buckets[bucket] ^= hash;
         let old = self.facts.insert(key.clone(), held);
         match old {
@@ -75,45 +76,46 @@
         self.facts.get(key).map(|held| &held.fact)
     }
 
-    /// Walks through all facts.
+    /// Iterates over all facts.
     pub fn iter(&self) -> impl Iterator<Item = &Fact> {
         self.facts.values().map(|held| &held.fact)
     }
 
-    /// Returns how many facts are held.
+    /// Returns the number of facts.
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 
-    /// Tells whether no fact is held.
+    /// Returns whether the table holds no facts.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// Returns the digest of the whole board.
+    /// Returns the digest of the complete table.
     pub fn digest(&self) -> u64 {
-        let mixed = |(index, sum): (usize, &u64)| sum.rotate_left(index as u32);
-        self.buckets.iter().enumerate().map(mixed).fold(0, |all, sum| all ^ sum)
+        let rotated = |(index, sum): (usize, &u64)| sum.rotate_left(index as u32);
+        self.buckets.iter().enumerate().map(rotated).fold(0, |all, sum| all ^ sum)
     }
 
-    /// Returns the digest's parts.
+    /// Returns the digest of each bucket.
     pub const fn buckets(&self) -> &[u64; DIGEST_BUCKETS] {
         &self.buckets
     }
 
-    /// Returns the facts in parts that differ from `theirs`.
+    /// Returns the facts in the buckets whose digest differs from that in `theirs`.
     pub fn differing(&self, theirs: &[u64]) -> Vec<Fact> {
         let differs = |bucket: usize| theirs.get(bucket) != Some(&self.buckets[bucket]);
         let held = self.facts.values().filter(|held| differs(held.bucket));
         held.map(|held| held.fact.clone()).collect()
     }
 
-    /// Tells whether some fact still waits to be sent on.
+    /// Returns whether any fact is still to be sent.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Takes fresh facts of at most `budget_bytes` in all, each counted as sent `copies` times.
+    /// Returns pending facts of at most `budget_bytes` in total, counting each as sent `copies`
+    /// times.
     pub fn take_pending(&mut self, budget_bytes: usize, copies: u8) -> Vec<Fact> {
         let mut taken = Vec::new();
         let mut spent_bytes = 0;
@@ -135,7 +137,7 @@
         taken
     }
 
-    /// Forgets a fact, e.g. a node that has been gone for long.
+    /// Removes a fact, e.g. that of a node whose tombstone has expired.
     pub fn forget(&mut self, key: &FactKey) {
         if let Some(held) = self.facts.swap_remove(key) {
             self.buckets[held.bucket] ^= held.hash;
@@ -143,18 +145,20 @@
     }
 }
 
-/// Returns the size of a fact on the wire.
+/// Returns the encoded size of a fact.
 pub(crate) fn size_bytes(fact: &Fact) -> usize {
     postcard::experimental::serialized_size(fact).unwrap_or(usize::MAX / 2)
 }
 
-/// A fact's hash, and the part of the digest it belongs to. The part depends on the key alone.
+/// Returns a fact's hash and its bucket in the digest. The bucket depends on the key alone.
 ///
-/// What is gone counts as nothing: nodes forget it at different times, and a board that still
-/// holds it must not look different from one that does not.
-fn place(fact: &Fact, key: &FactKey) -> (u64, usize) {
-    let about = format!("{key:?}");
-    let bucket = (xxh3_64(about.as_bytes()) % DIGEST_BUCKETS as u64) as usize;
+/// Tombstones hash to 0, as if absent: nodes delete them at different times, and a table that
+/// still holds one must have the same digest as one that does not.
+fn hash_and_bucket(fact: &Fact, key: &FactKey) -> (u64, usize) {
+    // The debug text of the key decides the bucket on every node: `FactKey` and the types in it
+    // must keep their names.
+    let key_text = format!("{key:?}");
+    let bucket = (xxh3_64(key_text.as_bytes()) % DIGEST_BUCKETS as u64) as usize;
     if fact.is_gone() {
         return (0, bucket);
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,16 +1,17 @@
-//! Who is there, and what every node should know.
+//! Membership of the nodes, and the facts that every node should know.
 //!
-//! Nodes share small *facts*: which node lives, which target leaves, which node owns a trainer,
-//! which configuration is in force. Each fact has a rule by which a newer one supersedes an older
-//! one ([`Fact::supersedes`]) or adds to it ([`Fact::merged_with`]), and none by which it goes back, so
-//! facts may arrive late, twice or in any order. That makes gossip safe for hints and copies; what
-//! must be *agreed* (leases, revisions, ledgers) is agreed in the platform's key-value service, and
-//! only its outcome is spread here.
+//! Nodes share small *facts*: which nodes are live, which targets are leaving, which node owns a
+//! trainer, which configuration is in force. By the rule for its kind, a newer fact supersedes an
+//! older one ([`Fact::supersedes`]) or is merged with it ([`Fact::merged_with`]); no rule lets a
+//! fact go back. Facts may therefore arrive late, twice or in any order, and gossip is safe for
+//! hints and copies. Whatever needs *agreement* (leases, revisions, ledgers) is agreed in the
+//! platform's key-value service, and only the result is spread here.
 //!
-//! [`FactTable`] holds the facts and decides what to send. [`Membership`] adds the failure detector:
-//! one probe a second to one other node, a second and three indirect ones before a suspicion, and a suspicion
-//! that the suspect can refute. Each probe carries a digest of the whole board, so a node that
-//! missed a message notices and pulls what differs. Nothing here owns a socket or a clock.
+//! [`FactTable`] holds the facts and decides which to send. [`Membership`] adds the failure
+//! detector: every second it probes one other node. If that node does not answer, it sends a second
+//! probe and three indirect ones before it suspects the node, and the suspect can refute the
+//! suspicion. Each probe carries a digest of the complete fact table, so a node that missed a
+//! message notices and pulls the difference. Nothing here owns a socket or a clock.
 
 mod duty;
 mod fact;
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -1,14 +1,15 @@
-//! The failure detector, and how facts travel.
+//! The failure detector, and the exchange of facts.
 //!
-//! Every second a node probes one other, in a shuffled order, so each node is probed about once a
-//! second whatever the fleet's size. No answer in 400 ms brings a second probe and three by way
-//! of other nodes; none answered by the end of the period makes a suspicion, which the suspect can refute by raising its
-//! refutation number. An unrefuted suspicion becomes `Gone`.
+//! Every second a node probes one other node, in shuffled order, so each node is probed about once
+//! a second whatever the size of the fleet. If no answer arrives within 400 ms, the node sends a
+//! second probe and asks three other nodes to probe for it. If none is answered by the end of the
+//! period, the node becomes suspect, which it can refute by raising its refutation number. A
+//! suspicion that is not refuted turns into `Gone`.
 //!
-//! A process that was itself paused or starved must not accuse others: when a tick comes later
-//! than [`LATE_TICK_MS`], outstanding probes are dropped instead of being counted as failures,
-//! and open suspicions get their time again. This is the local-health idea of Lifeguard in its
-//! smallest form.
+//! A process that was itself paused or starved must not accuse others: when a tick comes later than
+//! [`LATE_TICK_MS`], outstanding probes are dropped instead of counted as failures, and the
+//! deadlines of open suspicions start anew. This is a minimal form of Lifeguard's local health
+//! awareness.
 
 use crate::fact::{Fact, FactKey, NodeFact, NodeState};
 use crate::fact_table::{DIGEST_BUCKETS, FactTable, MergeOutcome, size_bytes};
@@ -19,36 +20,39 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes of facts in one message; with the frame they stay below a datagram.
+/// Bytes of facts in one message; with the frame they fit in a datagram.
 pub(crate) const FACTS_BUDGET_BYTES: usize = 1_200;
-/// A tick that comes this late tells of our own pause.
+/// A longer time between ticks means that this process was paused.
 const LATE_TICK_MS: u64 = 400;
-/// To how many nodes a fresh fact is pushed at once.
+/// Number of nodes to which a new fact is pushed at once.
 const PUSH_FANOUT: usize = 3;
-/// How long a fact rests before its digest counts in a comparison.
-const SETTLE_MS: u64 = 2_000;
-/// How long a difference is left to news that may be on its way. *A node that was cut off does without
-/// what it has missed* for as long as anything else is new, as in a fleet that is being restarted. It would
-/// be noticed as a request that this node sends on after all others hold it back. A fact reaches all within
-/// a second, so a difference that lasts longer is none of those.
+/// How long after the last new fact a differing digest is ignored: the missing facts may still be
+/// on their way.
+const PULL_DELAY_MS: u64 = 2_000;
+/// How long a difference may last before facts are pulled although new ones keep arriving.
+///
+/// Without this limit a node that was cut off would not pull what it missed while other facts keep
+/// changing, as during a restart of the fleet; for example, it would go on sending a request that
+/// all other nodes hold back. A fact reaches all nodes within a second, so a difference that lasts
+/// longer is not due to facts on their way.
 const DIFFERENCE_MAX_MS: u64 = 1_500;
-/// How long a gone node or target is remembered, so that a late message does not bring it back.
-const GONE_KEPT_MS: u64 = 600_000;
-/// Time between two tries to reach a node that was lost, or a seed that is no peer.
+/// How long the tombstone of a node or target is kept, so that a late message does not revive it.
+const TOMBSTONE_KEPT_MS: u64 = 600_000;
+/// Interval between attempts to reach a lost node, or a seed that is not a peer.
 const REJOIN_EVERY_MS: u64 = 5_000;
-/// Most seeds that a node that joins tells of itself at once; rumours reach the others.
-const GREETED_MAX: usize = 128;
-/// How many addresses of lost nodes are remembered.
-const FORMER_MAX: usize = 512;
+/// Maximum number of seeds to which a joining node announces itself; gossip reaches the others.
+const ANNOUNCE_SEEDS_MAX: usize = 128;
+/// Maximum number of addresses of lost nodes that are kept.
+const LOST_ADDRESSES_MAX: usize = 512;
 
-/// How the failure detector works.
+/// Timing of the failure detector.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipSettings {
-    /// Time between two probes. Default: 1,000.
+    /// Interval between probes. Default: 1,000.
     pub probe_every_ms: u64,
-    /// How long a direct probe may take before indirect ones are sent. Default: 400.
+    /// Time without an answer to a direct probe after which indirect ones are sent. Default: 400.
     pub probe_timeout_ms: u64,
-    /// How long a suspect has to refute. Default: 4,000.
+    /// Time that a suspect has to refute a suspicion. Default: 4,000.
     pub suspicion_ms: u64,
 }
 
@@ -67,10 +71,10 @@
         digest: u64,
         /// Facts to pass on.
         facts: Vec<Fact>,
-        /// The probe that it answers.
+        /// Sequence number of the probe that it answers.
         sequence: u64,
     },
-    /// Facts, unasked.
+    /// Facts, pushed or in answer to a pull.
     Facts {
         /// The facts.
         facts: Vec<Fact>,
@@ -81,33 +85,33 @@
         digest: u64,
         /// Facts to pass on.
         facts: Vec<Fact>,
-        /// Number of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
     },
-    /// Asks the receiver to probe a third node.
+    /// A request to probe a third node.
     PingFor {
-        /// The node to probe.
+        /// Address of the node to probe.
         control: SocketAddr,
-        /// The asker's number of the probe.
+        /// The requester's sequence number of the probe.
         sequence: u64,
     },
-    /// Asks for the facts in differing parts of the board.
+    /// A request for the facts in buckets that differ.
     Pull {
-        /// Digests of the asker's parts.
+        /// The requester's digest of each bucket.
         buckets: Vec<u64>,
     },
 }
 
-/// What the failure detector wants done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// A fact was taken; the process may have to act on it.
+    /// A fact is new; the process may have to act on it.
     Changed(Fact),
     /// A datagram to send.
     Send {
-        /// What to send.
+        /// The datagram.
         message: Message,
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
     },
 }
@@ -122,27 +126,27 @@
     pub sequence: u64,
 }
 
-/// A probe that we make for another node.
+/// A probe made for another node.
 #[derive(Clone, Debug)]
 pub(crate) struct Relay {
-    pub asker: SocketAddr,
-    pub asker_sequence: u64,
+    pub requester: SocketAddr,
+    pub requester_sequence: u64,
     pub expires_at: UnixMs,
 }
 
-/// A node's view of the fleet.
+/// A node's view of the fleet: its facts and the state of its failure detector.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(crate) facts: FactTable,
-    pub(crate) former: IndexSet<SocketAddr>,
-    pub(crate) gone_until: IndexMap<FactKey, UnixMs>,
+    pub(crate) lost_addresses: IndexSet<SocketAddr>,
+    pub(crate) tombstone_expiry: IndexMap<FactKey, UnixMs>,
     pub(crate) last_tick_at: Option<UnixMs>,
     pub(crate) me: NodeFact,
     pub(crate) next_probe_at: UnixMs,
-    pub(crate) order: Vec<Name>,
+    pub(crate) probe_order: Vec<Name>,
     pub(crate) probe: Option<Probe>,
     pub(crate) pull_after: UnixMs,
-    /// When a difference that has been seen is pulled at the latest; none while there is none.
+    /// The latest time to pull the difference that was seen; none while the digests agree.
     pub(crate) pull_by: Option<UnixMs>,
     pub(crate) rejoin_at: UnixMs,
     pub(crate) relays: IndexMap<u64, Relay>,
@@ -154,7 +158,7 @@
 }
 
 impl Membership {
-    /// Opens the view of node `me`, which knows `seeds` to begin with.
+    /// Creates the view of node `me`, which initially knows only the addresses `seeds`.
     pub fn open(
         me: NodeFact,
         seeds: Vec<SocketAddr>,
@@ -165,12 +169,12 @@
         table.merge(Fact::Node(me.clone()), 2);
         Self {
             facts: table,
-            former: IndexSet::new(),
-            gone_until: IndexMap::new(),
+            lost_addresses: IndexSet::new(),
+            tombstone_expiry: IndexMap::new(),
             last_tick_at: None,
             me,
             next_probe_at: UnixMs(0),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
             pull_after: UnixMs(0),
             pull_by: None,
@@ -184,17 +188,17 @@
         }
     }
 
-    /// Borrows the board.
+    /// Returns the fact table.
     pub const fn facts(&self) -> &FactTable {
         &self.facts
     }
 
-    /// Borrows this node's own fact.
+    /// Returns this node's own fact.
     pub const fn me(&self) -> &NodeFact {
         &self.me
     }
 
-    /// Walks through all nodes known, this one included.
+    /// Iterates over all known nodes, including this one.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeFact> {
         self.facts.iter().filter_map(|fact| match fact {
             Fact::Node(node) => Some(node),
@@ -202,37 +206,38 @@
         })
     }
 
-    /// Walks through the other nodes that are not gone.
+    /// Iterates over the other nodes that are not gone.
     pub fn peers(&self) -> impl Iterator<Item = &NodeFact> {
         self.nodes().filter(|node| node.name != self.me.name && node.state != NodeState::Gone)
     }
 
-    /// Forgets a fact that is too old to matter; peers that still hold it tell it again, and forget it
-    /// themselves soon after.
+    /// Removes a fact that is too old to matter.
+    ///
+    /// Peers that still hold it may send it again, until they remove it as well.
     pub fn forget(&mut self, key: &FactKey) {
         self.facts.forget(key);
     }
 
-    /// Adds an address to ask while no peer is known.
+    /// Adds an address to probe while no peer is known.
     pub fn add_seed(&mut self, seed: SocketAddr) {
         if seed != self.me.control && !self.seeds.contains(&seed) {
             self.seeds.push(seed);
         }
     }
 
-    /// Marks this node as leaving; that is told at once and never taken back in this life.
+    /// Marks this node as leaving. The change is pushed at once and is final in this incarnation.
     pub fn leave(&mut self, now: UnixMs) -> Vec<Output> {
         self.me.state = NodeState::Leaving;
         self.observe(now, Fact::Node(self.me.clone()))
     }
 
-    /// Tells the seeds of this node, and asks some of them for what they know.
+    /// Announces this node to the seeds, and probes some of them to learn what they know.
     ///
-    /// When a whole fleet starts at once, rumours alone take seconds to tell each node of all
-    /// others; until then nodes with half a view would take duties from owners that live.
+    /// When a complete fleet starts at once, gossip alone takes seconds to spread all nodes to
+    /// every node. Until then, nodes with a partial view would take duties from live owners.
     pub fn announce_to_seeds(&mut self) -> Vec<Output> {
         let seeds: Vec<SocketAddr> =
-            self.seeds.choose_multiple(&mut self.rng, GREETED_MAX).copied().collect();
+            self.seeds.choose_multiple(&mut self.rng, ANNOUNCE_SEEDS_MAX).copied().collect();
         let facts = vec![Fact::Node(self.me.clone())];
         let mut outputs: Vec<Output> = seeds
             .iter()
@@ -245,24 +250,24 @@
         outputs
     }
 
-    /// Takes a fact that this node found out itself, and pushes it to some peers at once.
+    /// Applies a fact that this node observed itself, and pushes it to some peers at once.
     pub fn observe(&mut self, now: UnixMs, fact: Fact) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.take(now, fact, &mut outputs);
+        self.apply(now, fact, &mut outputs);
         self.push_pending(&mut outputs);
         outputs
     }
 
-    /// Does what has become due.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: UnixMs) -> Vec<Output> {
         let mut outputs = Vec::new();
-        if self.is_late(now) {
-            self.forgive(now);
+        if self.was_paused(now) {
+            self.restart_timers(now);
         }
         self.last_tick_at = Some(now);
         self.check_probe(now, &mut outputs);
         self.check_suspects(now, &mut outputs);
-        self.forget_gone(now);
+        self.remove_expired_tombstones(now);
         self.relays.retain(|_, relay| relay.expires_at > now);
         if now >= self.next_probe_at {
             self.next_probe_at = now.plus(self.settings.probe_every_ms);
@@ -270,7 +275,7 @@
         }
         if now >= self.rejoin_at {
             self.rejoin_at = now.plus(REJOIN_EVERY_MS);
-            self.try_to_rejoin(&mut outputs);
+            self.probe_lost_address(&mut outputs);
         }
         self.push_pending(&mut outputs);
         outputs
@@ -281,17 +286,17 @@
         let mut outputs = Vec::new();
         match message {
             Message::Ack { digest, facts, sequence } => {
-                self.take_all(now, facts, &mut outputs);
+                self.apply_all(now, facts, &mut outputs);
                 self.acknowledge(sequence, &mut outputs);
-                self.compare(now, from, digest, &mut outputs);
+                self.compare_digest(now, from, digest, &mut outputs);
             }
-            Message::Facts { facts } => self.take_all(now, facts, &mut outputs),
+            Message::Facts { facts } => self.apply_all(now, facts, &mut outputs),
             Message::Ping { digest, facts, sequence } => {
-                self.take_all(now, facts, &mut outputs);
+                self.apply_all(now, facts, &mut outputs);
                 let facts = self.facts.take_pending(FACTS_BUDGET_BYTES, 1);
                 let message = Message::Ack { digest: self.facts.digest(), facts, sequence };
                 outputs.push(Output::Send { message, to: from });
-                self.compare(now, from, digest, &mut outputs);
+                self.compare_digest(now, from, digest, &mut outputs);
             }
             Message::PingFor { control, sequence } => {
                 self.relay(now, from, control, sequence, &mut outputs);
@@ -302,59 +307,60 @@
         outputs
     }
 
-    fn is_late(&self, now: UnixMs) -> bool {
+    fn was_paused(&self, now: UnixMs) -> bool {
         self.last_tick_at.is_some_and(|last| now.since_ms(last) > LATE_TICK_MS)
     }
 
-    fn forgive(&mut self, now: UnixMs) {
+    fn restart_timers(&mut self, now: UnixMs) {
         self.probe = None;
         for deadline in self.suspects.values_mut() {
             *deadline = now.plus(self.settings.suspicion_ms);
         }
     }
 
-    fn take_all(&mut self, now: UnixMs, facts: Vec<Fact>, outputs: &mut Vec<Output>) {
+    fn apply_all(&mut self, now: UnixMs, facts: Vec<Fact>, outputs: &mut Vec<Output>) {
         for fact in facts {
-            self.take(now, fact, outputs);
+            self.apply(now, fact, outputs);
         }
     }
 
-    pub(crate) fn take(&mut self, now: UnixMs, fact: Fact, outputs: &mut Vec<Output>) {
+    pub(crate) fn apply(&mut self, now: UnixMs, fact: Fact, outputs: &mut Vec<Output>) {
         if let Fact::Node(node) = &fact
             && node.name == self.me.name
-            && self.refuted(node)
+            && self.refute(node)
         {
             let mine = Fact::Node(self.me.clone());
-            self.pull_after = now.plus(SETTLE_MS);
-            self.facts.merge(mine, Self::sends());
+            self.pull_after = now.plus(PULL_DELAY_MS);
+            self.facts.merge(mine, Self::sends_per_fact());
             return;
         }
-        if self.facts.merge(fact.clone(), Self::sends()) == MergeOutcome::Unchanged {
+        if self.facts.merge(fact.clone(), Self::sends_per_fact()) == MergeOutcome::Unchanged {
             return;
         }
-        self.pull_after = now.plus(SETTLE_MS);
+        self.pull_after = now.plus(PULL_DELAY_MS);
         if fact.is_gone() {
-            self.gone_until.insert(fact.key(), now.plus(GONE_KEPT_MS));
+            self.tombstone_expiry.insert(fact.key(), now.plus(TOMBSTONE_KEPT_MS));
         } else {
-            self.gone_until.swap_remove(&fact.key());
+            self.tombstone_expiry.swap_remove(&fact.key());
         }
         if let Fact::Node(node) = &fact {
-            self.note_node(now, node);
+            self.track_node(now, node);
         }
         outputs.push(Output::Changed(fact));
     }
 
-    /// Raises our refutation number when a peer believes worse of us than is true.
-    fn refuted(&mut self, claim: &NodeFact) -> bool {
-        let about_this_life = claim.incarnation == self.me.incarnation;
+    /// Raises this node's refutation number if a peer reports a worse state than is true, and
+    /// returns whether it did.
+    fn refute(&mut self, claim: &NodeFact) -> bool {
+        let same_incarnation = claim.incarnation == self.me.incarnation;
         let worse = claim.state > self.me.state && claim.refutation >= self.me.refutation;
-        if about_this_life && worse {
+        if same_incarnation && worse {
             self.me.refutation = claim.refutation + 1;
         }
-        about_this_life && worse
+        same_incarnation && worse
     }
 
-    fn note_node(&mut self, now: UnixMs, node: &NodeFact) {
+    fn track_node(&mut self, now: UnixMs, node: &NodeFact) {
         match node.state {
             NodeState::Suspect => {
                 let deadline = now.plus(self.settings.suspicion_ms);
@@ -362,23 +368,23 @@
             }
             NodeState::Live | NodeState::Leaving => {
                 self.suspects.swap_remove(&node.name);
-                self.former.shift_remove(&node.control);
+                self.lost_addresses.shift_remove(&node.control);
             }
             NodeState::Gone => {
                 self.suspects.swap_remove(&node.name);
-                self.former.insert(node.control);
-                if self.former.len() > FORMER_MAX {
-                    self.former.shift_remove_index(0);
+                self.lost_addresses.insert(node.control);
+                if self.lost_addresses.len() > LOST_ADDRESSES_MAX {
+                    self.lost_addresses.shift_remove_index(0);
                 }
             }
         }
     }
 
-    /// How often each node passes a fresh fact on: once to each receiver of its push, and once
-    /// more with a probe. Whoever is missed notices by the digest within seconds. More copies were
-    /// tried, growing with the fleet: they cost twice the bytes when a data centre dies, and news
-    /// was not everywhere earlier.
-    const fn sends() -> u8 {
+    /// Returns how often a node sends a new fact: once to each receiver of a push, and once with a
+    /// probe. A node that is missed notices the differing digest within seconds. A number that
+    /// grows with the fleet doubled the bytes sent when a data centre fails, and facts did not
+    /// reach all nodes earlier.
+    const fn sends_per_fact() -> u8 {
         PUSH_FANOUT as u8 + 1
     }
 
@@ -400,38 +406,44 @@
             self.suspects.swap_remove(&name);
             if let Some(node) = self.node(&name) {
                 let gone = NodeFact { state: NodeState::Gone, ..node.clone() };
-                self.take(now, Fact::Node(gone), outputs);
+                self.apply(now, Fact::Node(gone), outputs);
             }
         }
     }
 
-    fn forget_gone(&mut self, now: UnixMs) {
+    fn remove_expired_tombstones(&mut self, now: UnixMs) {
         let due: Vec<FactKey> = self
-            .gone_until
+            .tombstone_expiry
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(key, _)| key.clone())
             .collect();
         for key in due {
-            self.gone_until.swap_remove(&key);
+            self.tombstone_expiry.swap_remove(&key);
             self.facts.forget(&key);
         }
     }
 
-    /// Pulls when the boards differ and nothing is on its way that would explain it, or they have differed
-    /// for too long.
-    fn compare(&mut self, now: UnixMs, from: SocketAddr, digest: u64, outputs: &mut Vec<Output>) {
+    /// Pulls facts if the digests differ and no facts on their way can explain it, or if they have
+    /// differed for longer than [`DIFFERENCE_MAX_MS`].
+    fn compare_digest(
+        &mut self,
+        now: UnixMs,
+        from: SocketAddr,
+        digest: u64,
+        outputs: &mut Vec<Output>,
+    ) {
         if digest == self.facts.digest() {
             self.pull_by = None;
             return;
         }
         let pull_by = *self.pull_by.get_or_insert(now.plus(DIFFERENCE_MAX_MS));
-        let knows_nobody = self.peers().next().is_none();
-        if now < self.pull_after.min(pull_by) && !knows_nobody {
+        let has_no_peers = self.peers().next().is_none();
+        if now < self.pull_after.min(pull_by) && !has_no_peers {
             return;
         }
         self.pull_by = None;
-        self.pull_after = now.plus(SETTLE_MS);
+        self.pull_after = now.plus(PULL_DELAY_MS);
         let buckets = self.facts.buckets().to_vec();
         outputs.push(Output::Send { message: Message::Pull { buckets }, to: from });
     }
--- a/crates/member/src/probing.rs
+++ b/crates/member/src/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: one other node a second, ways round, and addresses that were lost.
+//! Probes: one other node every second, indirect probes, and probes of lost addresses.
 
 use crate::fact::{Fact, NodeFact, NodeState};
 use crate::membership::{FACTS_BUDGET_BYTES, Membership, Message, Output, Probe, Relay};
@@ -7,23 +7,23 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use std::net::SocketAddr;
 
-/// How many other nodes are asked to probe a node that did not answer.
-const HELPERS: usize = 3;
+/// Number of other nodes that are asked to probe a node that did not answer.
+const INDIRECT_PROBES: usize = 3;
 
 impl Membership {
-    /// Probes one address that was lost, or a seed that is no peer.
+    /// Probes the address of one lost node, or of a seed that is not a peer.
     ///
-    /// When two regions lose each other for longer than lost nodes are remembered, neither side
-    /// knows anybody of the other any more, and without this they would stay apart for ever after
-    /// the network has healed. One probe that gets through is enough: the digests differ, both
-    /// sides pull, and every node that finds itself called gone refutes it.
-    pub(crate) fn try_to_rejoin(&mut self, outputs: &mut Vec<Output>) {
+    /// When two regions are partitioned for longer than tombstones are kept, neither side knows
+    /// any node of the other, and without this probe they would stay apart after the network has
+    /// healed. One probe that arrives is enough: the digests differ, both sides pull, and every
+    /// node that is reported as gone refutes it.
+    pub(crate) fn probe_lost_address(&mut self, outputs: &mut Vec<Output>) {
         let peers: IndexSet<SocketAddr> = self.peers().map(|node| node.control).collect();
         if peers.is_empty() {
-            // The regular probe asks the seeds then.
+            // The regular probe then goes to a seed.
             return;
         }
-        let known = self.seeds.iter().chain(&self.former);
+        let known = self.seeds.iter().chain(&self.lost_addresses);
         let lost: Vec<SocketAddr> =
             known.filter(|at| !peers.contains(*at) && **at != self.me.control).copied().collect();
         if let Some(to) = lost.choose(&mut self.rng).copied() {
@@ -33,11 +33,11 @@
     }
 
     pub(crate) fn send_probe(&mut self, now: UnixMs, outputs: &mut Vec<Output>) {
-        if self.order.is_empty() {
-            self.order = self.peers().map(|node| node.name.clone()).collect();
-            self.order.shuffle(&mut self.rng);
+        if self.probe_order.is_empty() {
+            self.probe_order = self.peers().map(|node| node.name.clone()).collect();
+            self.probe_order.shuffle(&mut self.rng);
         }
-        let next = self.next_in_order();
+        let next = self.next_to_probe();
         self.sequence += 1;
         let sequence = self.sequence;
         match next {
@@ -60,8 +60,8 @@
         }
     }
 
-    fn next_in_order(&mut self) -> Option<(Name, SocketAddr)> {
-        while let Some(name) = self.order.pop() {
+    fn next_to_probe(&mut self) -> Option<(Name, SocketAddr)> {
+        while let Some(name) = self.probe_order.pop() {
             let found = self.node(&name).filter(|node| node.state != NodeState::Gone);
             if let Some(control) = found.map(|node| node.control) {
                 return Some((name, control));
@@ -73,7 +73,7 @@
     pub(crate) fn ping(&mut self, to: SocketAddr, sequence: u64, outputs: &mut Vec<Output>) {
         let mut facts = self.facts.take_pending(FACTS_BUDGET_BYTES, 1);
         if self.peers().next().is_none() && !facts.iter().any(|fact| self.is_me(fact)) {
-            // A seed that does not know us yet must learn where to answer.
+            // A seed that does not know this node yet must learn its address to answer.
             facts.push(Fact::Node(self.me.clone()));
         }
         let message = Message::Ping { digest: self.facts.digest(), facts, sequence };
@@ -107,24 +107,24 @@
             .filter(|node| node.name != probe.node && node.state == NodeState::Live)
             .map(|node| node.control)
             .collect();
-        for to in others.choose_multiple(&mut self.rng, HELPERS) {
+        for to in others.choose_multiple(&mut self.rng, INDIRECT_PROBES) {
             let message = Message::PingFor { control, sequence: probe.sequence };
             outputs.push(Output::Send { message, to: *to });
         }
-        // Most often it was a single message that was lost.
+        // Most often only a single message was lost, so the direct probe is repeated.
         self.ping(control, probe.sequence, outputs);
     }
 
     fn suspect(&mut self, now: UnixMs, name: &Name, outputs: &mut Vec<Output>) {
         let Some(node) = self.node(name) else { return };
-        // A leaving node that falls silent has left: nothing is waited for.
+        // A leaving node that stops answering has left, so there is no time to refute.
         let state = match node.state {
             NodeState::Live => NodeState::Suspect,
             NodeState::Leaving => NodeState::Gone,
             NodeState::Suspect | NodeState::Gone => return,
         };
         let suspected = NodeFact { state, ..node.clone() };
-        self.take(now, Fact::Node(suspected), outputs);
+        self.apply(now, Fact::Node(suspected), outputs);
     }
 
     pub(crate) fn acknowledge(&mut self, sequence: u64, outputs: &mut Vec<Output>) {
@@ -137,23 +137,23 @@
             let message = Message::Ack {
                 digest: self.facts.digest(),
                 facts: Vec::new(),
-                sequence: relay.asker_sequence,
+                sequence: relay.requester_sequence,
             };
-            outputs.push(Output::Send { message, to: relay.asker });
+            outputs.push(Output::Send { message, to: relay.requester });
         }
     }
 
     pub(crate) fn relay(
         &mut self,
         now: UnixMs,
-        asker: SocketAddr,
+        requester: SocketAddr,
         control: SocketAddr,
-        asker_sequence: u64,
+        requester_sequence: u64,
         outputs: &mut Vec<Output>,
     ) {
         self.sequence += 1;
         let expires_at = now.plus(self.settings.probe_every_ms);
-        self.relays.insert(self.sequence, Relay { asker, asker_sequence, expires_at });
+        self.relays.insert(self.sequence, Relay { requester, requester_sequence, expires_at });
         self.ping(control, self.sequence, outputs);
     }
 }
