--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
 //! What must hold between the parts of a document.
 
 use crate::document::{Document, Trainer};
-use crate::place::Places;
+use crate::source_map::Places;
 use catkinmast_model::{InstanceKind, Labels, Name, Selector};
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -4,7 +4,7 @@
 //! settings; what the running system stores are the deadlines computed from them.
 
 use crate::check::{Faults, check};
-use crate::place::Places;
+use crate::source_map::Places;
 use catkinmast_model::{InstanceKind, Labels, Name, Selector, Version};
 use serde::{Deserialize, Serialize};
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,8 +10,8 @@
 mod diff;
 mod document;
 mod follower;
-mod place;
 mod revision;
+mod source_map;
 
 pub use check::{Fault, Faults};
 pub use diff::{Change, diff, merge};
