--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,20 +1,20 @@
-//! What must hold between the parts of a document.
+//! Validation of a document across its parts.
 
 use crate::document::{Document, Trainer};
-use crate::source_map::Places;
+use crate::source_map::SourceMap;
 use catkinmast_model::{InstanceKind, Labels, Name, Selector};
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One fault of a document.
+/// One fault in a document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fault {
-    /// The field, e.g. `trainers[0].batch_samples`.
+    /// Path of the field, e.g. `trainers[0].batch_samples`.
     pub field: String,
-    /// The line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// What is wrong, with the value.
+    /// What is wrong, including the value.
     pub message: String,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// All faults of a document.
+/// All faults in a document.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -50,11 +50,11 @@
 struct Checker<'a> {
     document: &'a Document,
     faults: Vec<Fault>,
-    places: &'a Places<'a>,
+    source_map: &'a SourceMap<'a>,
 }
 
-pub(crate) fn check(document: &Document, places: &Places<'_>) -> Result<(), Faults> {
-    let mut checker = Checker { document, faults: Vec::new(), places };
+pub(crate) fn check(document: &Document, source_map: &SourceMap<'_>) -> Result<(), Faults> {
+    let mut checker = Checker { document, faults: Vec::new(), source_map };
     checker.check_limits();
     checker.check_names();
     checker.check_workers();
@@ -66,7 +66,7 @@
 
 impl Checker<'_> {
     fn fault(&mut self, list: &str, index: usize, field: &str, message: impl Into<String>) {
-        let line = self.places.line(list, index, field);
+        let line = self.source_map.line(list, index, field);
         let field = format!("{list}[{index}].{field}");
         self.faults.push(Fault { field, line, message: message.into() });
     }
@@ -98,14 +98,17 @@
             faults.push(("retry_budget_percent", message));
         }
         for (field, message) in faults {
-            let line = self.places.line("limits", 0, field);
+            let line = self.source_map.line("limits", 0, field);
             self.faults.push(Fault { field: format!("limits.{field}"), line, message });
         }
     }
 
     fn check_names(&mut self) {
         let document = self.document;
-        self.check_unique("data_centres", document.data_centres.iter().map(|place| &place.name));
+        self.check_unique(
+            "data_centres",
+            document.data_centres.iter().map(|data_centre| &data_centre.name),
+        );
         self.check_unique(
             "workspaces",
             document.workspaces.iter().map(|workspace| &workspace.name),
@@ -128,9 +131,9 @@
     fn check_workers(&mut self) {
         let document = self.document;
         for (index, workers) in document.workers.iter().enumerate() {
-            for place in &workers.data_centres {
-                if document.region(place).is_none() {
-                    let message = format!("'{place}' is not listed in data_centres");
+            for data_centre in &workers.data_centres {
+                if document.region(data_centre).is_none() {
+                    let message = format!("'{data_centre}' is not listed in data_centres");
                     self.fault("workers", index, "data_centres", message);
                 }
             }
@@ -161,7 +164,7 @@
         }
     }
 
-    /// A selector that matches no expected instance is a slip of the pen, and is refused.
+    /// Refuses a selector that matches no expected instance, since it is most likely a typing error.
     fn check_selector(
         &mut self,
         list: &str,
@@ -179,8 +182,12 @@
     fn matches_some(&self, kind: InstanceKind, matches: impl Fn(&Labels) -> bool) -> bool {
         let of_kind = self.document.workers.iter().filter(|workers| workers.kind == kind);
         of_kind
-            .flat_map(|workers| workers.data_centres.iter().map(move |place| (workers, place)))
-            .any(|(workers, place)| matches(&self.document.placed_labels(&workers.labels, place)))
+            .flat_map(|workers| {
+                workers.data_centres.iter().map(move |data_centre| (workers, data_centre))
+            })
+            .any(|(workers, data_centre)| {
+                matches(&self.document.placed_labels(&workers.labels, data_centre))
+            })
     }
 
     fn check_services(&mut self) {
@@ -241,9 +248,9 @@
             self.fault("trainers", index, "model", message);
             return;
         };
-        let both =
+        let matches_both =
             |labels: &Labels| model.engines.matches(labels) && trainer.engines.matches(labels);
-        if !self.matches_some(InstanceKind::Engine, both) {
+        if !self.matches_some(InstanceKind::Engine, matches_both) {
             let message = format!("'{}' matches none of the model's engines", trainer.engines);
             self.fault("trainers", index, "engines", message);
         }
@@ -264,11 +271,11 @@
     }
 }
 
-/// The path at which a scoring service is called.
+/// Path at which a scoring service is called.
 const SCORE_PATH: &str = "/score";
 
 impl Document {
-    /// Adds the labels that follow from where an instance stands.
+    /// Returns `labels` with those of the data centre and its region added.
     pub fn placed_labels(&self, labels: &Labels, data_centre: &Name) -> Labels {
         let placed = labels.clone().with("data_centre", data_centre.as_str());
         match self.region(data_centre) {
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,8 +1,8 @@
-//! Differences between two documents, and merging of edits that do not touch.
+//! Differences between two documents, and merging of edits that do not conflict.
 //!
-//! Tables in lists are told apart by their `name`, so moving one is no difference. Two operators
-//! who change different fields of the same base can both have their way ([`merge`]); a field that
-//! both changed is a conflict that only they can settle.
+//! Tables in lists are identified by their `name`, so moving one is not a difference. If two
+//! operators change different fields of the same base, both edits are kept ([`merge`]). A field
+//! that both changed is a conflict, which only they can resolve.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -12,11 +12,11 @@
 /// One field that differs.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// The field, e.g. `trainers.citation.batch_samples`.
+    /// Path of the field, e.g. `trainers.citation.batch_samples`.
     pub field: String,
-    /// Its value after; none when it is gone.
+    /// The value after the change; none if the field was removed.
     pub new: Option<String>,
-    /// Its value before; none when it is new.
+    /// The value before the change; none if the field was added.
     pub old: Option<String>,
 }
 
@@ -29,7 +29,7 @@
 
 /// Lists the fields that differ between two documents.
 ///
-/// A text that is not TOML counts as an empty document; only checked texts are compared.
+/// A text that is not TOML counts as an empty document; callers pass validated texts.
 pub fn diff(old: &str, new: &str) -> Vec<Change> {
     let (old, new) = (flatten(old), flatten(new));
     let mut fields: Vec<&String> = old.keys().chain(new.keys()).collect();
@@ -46,18 +46,19 @@
         .collect()
 }
 
-/// Lists the fields that both edits of `base` changed to different values.
+/// Merges two edits of `base`.
 ///
 /// # Errors
-/// The changes of `theirs` that collide with `ours`.
+/// Returns the changes of `theirs` that conflict with `ours`. The list is empty if a text is not
+/// TOML or the result cannot be written.
 pub fn merge(base: &str, ours: &str, theirs: &str) -> Result<String, Vec<Change>> {
     let our_changes = diff(base, ours);
-    let collisions: Vec<Change> = diff(base, theirs)
+    let conflicts: Vec<Change> = diff(base, theirs)
         .into_iter()
-        .filter(|their| our_changes.iter().any(|our| collide(our, their)))
+        .filter(|their| our_changes.iter().any(|our| conflict(our, their)))
         .collect();
-    if !collisions.is_empty() {
-        return Err(collisions);
+    if !conflicts.is_empty() {
+        return Err(conflicts);
     }
     let (Ok(base), Ok(ours), Ok(theirs)) =
         (base.parse::<Table>(), ours.parse::<Table>(), theirs.parse::<Table>())
@@ -68,13 +69,13 @@
     toml::to_string(&merged).map_err(|_unwritable| Vec::new())
 }
 
-fn collide(our: &Change, their: &Change) -> bool {
+fn conflict(our: &Change, their: &Change) -> bool {
     let within = |a: &str, b: &str| a.strip_prefix(b).is_some_and(|rest| rest.starts_with('.'));
     let same = our.field == their.field && our.new != their.new;
     same || within(&our.field, &their.field) || within(&their.field, &our.field)
 }
 
-/// Takes each key from whichever side changed it; both sides were found not to collide.
+/// Takes each key from the side that changed it; the sides are known not to conflict.
 fn merge_tables(base: &Table, ours: &Table, theirs: &Table) -> Table {
     let mut merged = Table::new();
     let mut keys: Vec<&String> = theirs.keys().chain(ours.keys()).collect();
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,39 +1,39 @@
-//! What an operator writes.
+//! The configuration document that operators write.
 //!
-//! Every optional field documents its default. Durations in the document are an operator's own
-//! settings; what the running system stores are the deadlines computed from them.
+//! Each optional field documents its default. Durations in the document are settings; the running
+//! system stores the deadlines computed from them.
 
 use crate::check::{Faults, check};
-use crate::source_map::Places;
+use crate::source_map::SourceMap;
 use catkinmast_model::{InstanceKind, Labels, Name, Selector, Version};
 use serde::{Deserialize, Serialize};
 
-/// The largest document accepted, in bytes: a value of the platform's service holds a megabyte.
+/// Maximum size of a document: a value of the platform's key-value service holds a megabyte.
 const DOCUMENT_MAX_BYTES: usize = 512 * 1024;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
     /// The deployment's name.
     pub deployment: Name,
-    /// Where instances stand.
+    /// The data centres that hold instances.
     pub data_centres: Vec<DataCentre>,
-    /// Bounds of the whole deployment.
+    /// Limits for the complete deployment.
     #[serde(default)]
     pub limits: Limits,
-    /// Who sends requests. Documents in force may still use the former name.
+    /// The customers that send requests. Documents in force may still use the former name, `teams`.
     #[serde(alias = "teams")]
     pub workspaces: Vec<Workspace>,
     /// The instances that operators expect the platform to list.
     pub workers: Vec<Workers>,
-    /// What engines serve.
+    /// The models that engines serve.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// What plain services answer.
+    /// The plain services and their calls.
     #[serde(default)]
     pub services: Vec<PlainService>,
-    /// Who learns from rollouts.
+    /// The trainers that use rollouts.
     #[serde(default)]
     pub trainers: Vec<Trainer>,
 }
@@ -48,25 +48,26 @@
     pub region: Name,
 }
 
-/// Bounds that hold for the whole deployment.
+/// Limits that apply to the complete deployment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
     /// How long a caller may keep an answer about addresses. Default: 5,000.
     pub address_ttl_ms: u64,
-    /// How long a node that leaves serves at most. Default: 30,000.
+    /// Maximum time that a leaving node still serves. Default: 30,000.
     pub drain_deadline_ms: u64,
-    /// The largest request body. Default: 8 MiB.
+    /// Maximum size of a request body. Default: 8 MiB.
     pub request_body_max_bytes: u64,
-    /// The largest answer of unknown length, which is held before it is passed on. Default: 1 MiB.
+    /// Maximum size of an answer of unknown length, which is buffered before it is forwarded.
+    /// Default: 1 MiB.
     pub unsized_answer_max_bytes: u64,
-    /// How many requests a node serves at once. Default: 512.
+    /// Maximum number of requests that a node serves at once. Default: 512.
     pub in_flight_max: u32,
-    /// How many requests wait in a node for a place. Default: 256.
+    /// Maximum number of requests in a node's queue. Default: 256.
     pub queue_max: u32,
-    /// Retries allowed, in percent of first attempts. Default: 10.
+    /// Maximum number of retries, in percent of first attempts. Default: 10.
     pub retry_budget_percent: u32,
-    /// How long a node remembers the answer to a ticket. Default: 600,000.
+    /// How long a node keeps the answer to a call with a ticket. Default: 600,000.
     pub ticket_memory_ms: u64,
 }
 
@@ -89,32 +90,32 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name; a caller's token names it.
+    /// Name of the workspace; a caller's token names it.
     pub name: Name,
     /// Labels, for people.
     #[serde(default)]
     pub labels: Labels,
-    /// How many of its requests a node serves at once. Default: no bound but the node's own.
+    /// Maximum number of its requests that a node serves at once. Default: the node's own limit.
     #[serde(default)]
     pub in_flight_max: Option<u32>,
 }
 
-/// Instances of one make that the platform lists.
+/// A pool of equal instances that the platform is expected to list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
-    /// The name of this make.
+    /// Name of the pool.
     pub name: Name,
-    /// What runs on them.
+    /// Kind of the instances.
     pub kind: InstanceKind,
-    /// Their labels; `data_centre` and `region` are added to them.
+    /// Labels of the instances; `data_centre` and `region` are added to them.
     #[serde(default)]
     pub labels: Labels,
-    /// Where they stand.
+    /// Data centres of the instances.
     pub data_centres: Vec<Name>,
-    /// How many stand in each data centre.
+    /// Number of instances in each data centre.
     pub per_data_centre: u32,
-    /// Whether they refuse an order that carries an old fencing number. Default: false.
+    /// Whether the instances refuse orders with an old fencing number. Default: false.
     #[serde(default)]
     pub checks_fence: bool,
 }
@@ -128,12 +129,12 @@
     /// Labels, for people.
     #[serde(default)]
     pub labels: Labels,
-    /// Which instances serve it.
+    /// Selects the engines that serve the model.
     pub engines: Selector,
-    /// The largest share of its engines that swap weights at once, in percent. Default: 34.
+    /// Maximum share of the engines that swap weights at once, in percent. Default: 34.
     #[serde(default = "default_swap_percent")]
     pub swap_at_once_percent: u32,
-    /// A version to go back to; orders may then name an older one. Default: none.
+    /// Weight version to roll back to; orders may then name an older version. Default: none.
     #[serde(default)]
     pub roll_back_to: Option<Version>,
 }
@@ -146,20 +147,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainService {
-    /// Its name, as callers write it.
+    /// Name of the service, as callers write it.
     pub name: Name,
     /// Labels, for people.
     #[serde(default)]
     pub labels: Labels,
-    /// Which instances serve it.
+    /// Selects the instances that serve calls.
     pub targets: Selector,
-    /// How long a call may take. Default: 2,000.
+    /// Maximum time of a call. Default: 2,000.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// How many calls one target has in flight at most. Default: 64.
+    /// Maximum number of calls in flight at one target. Default: 64.
     #[serde(default = "default_target_in_flight")]
     pub target_in_flight_max: u32,
-    /// What it answers; a path that is not listed is refused.
+    /// The calls that the service answers; other paths are refused.
     pub calls: Vec<Call>,
 }
 
@@ -175,29 +176,30 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The path, or the beginning of one.
+    /// A path, or a prefix of whole path segments.
     pub path: String,
-    /// Whether it may be run twice. There is no default: a wrong guess sends a mechanic twice.
+    /// Whether the call may run twice. There is no default: a wrong guess would run a call with
+    /// side effects twice.
     pub idempotent: bool,
-    /// What it is for; decides who waits when there is too much. Default: lookup.
+    /// Class of the call, which decides the order under overload. Default: lookup.
     #[serde(default)]
     pub class: CallClass,
 }
 
-/// What a request is for, most urgent first.
+/// The class of a request, from most to least urgent.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum CallClass {
-    /// Somebody stands and waits.
+    /// A call for which a user is waiting.
     #[default]
     Lookup,
     /// A call that may not be repeated.
     Act,
     /// Samples for a trainer.
     Rollout,
-    /// Work in the background.
+    /// Background work.
     Audit,
 }
 
@@ -205,28 +207,28 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trainer {
-    /// Its name; its token names it.
+    /// Name of the trainer; its token names it.
     pub name: Name,
     /// Labels, for people.
     #[serde(default)]
     pub labels: Labels,
-    /// The workspace it belongs to. Documents in force may still use the former name.
+    /// The workspace of the trainer. Documents in force may still use the former name, `team`.
     #[serde(alias = "team")]
     pub workspace: Name,
-    /// The model it trains.
+    /// The model that is trained.
     pub model: Name,
-    /// Which of the model's engines make its samples. Default: all.
+    /// Selects the engines of the model that generate the samples. Default: all.
     #[serde(default)]
     pub engines: Selector,
-    /// The plain service that scores its samples.
+    /// The plain service that scores the samples.
     pub scorer: Name,
-    /// The oldest sample that it may use, in versions.
+    /// Staleness bound: maximum age of a sample that the trainer may use, in weight versions.
     pub staleness_bound_versions: u64,
-    /// Samples in a group.
+    /// Number of samples in a group.
     pub group_size: u32,
-    /// Samples in a batch; a multiple of `group_size`.
+    /// Number of samples in a batch; a multiple of `group_size`.
     pub batch_samples: u32,
-    /// How much trainer idle time weighs against staleness, 0 to 100. Default: 50.
+    /// Weight of trainer idle time against staleness, from 0 to 100. Default: 50.
     #[serde(default = "default_idle_weight")]
     pub idle_weight_percent: u32,
 }
@@ -236,10 +238,10 @@
 }
 
 impl Document {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
-    /// All faults found, each with its line and field.
+    /// Returns all faults found, each with its line and field.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         if text.len() > DOCUMENT_MAX_BYTES {
             let message = format!("has {} bytes, {DOCUMENT_MAX_BYTES} are allowed", text.len());
@@ -247,49 +249,49 @@
         }
         let document: Self = toml::from_str(text).map_err(|error| {
             let offset = error.span().map_or(0, |span| span.start);
-            Faults::one(Places::line_at(text, offset), "document", error.message())
+            Faults::one(SourceMap::line_at(text, offset), "document", error.message())
         })?;
-        check(&document, &Places::of(text))?;
+        check(&document, &SourceMap::parse(text))?;
         Ok(document)
     }
 
-    /// Finds a plain service.
+    /// Returns the plain service `name`.
     pub fn service(&self, name: &str) -> Option<&PlainService> {
         self.services.iter().find(|service| service.name.as_str() == name)
     }
 
-    /// Finds a model.
+    /// Returns the model `name`.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name.as_str() == name)
     }
 
-    /// Finds a trainer.
+    /// Returns the trainer `name`.
     pub fn trainer(&self, name: &str) -> Option<&Trainer> {
         self.trainers.iter().find(|trainer| trainer.name.as_str() == name)
     }
 
-    /// Finds a workspace.
+    /// Returns the workspace `name`.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces.iter().find(|workspace| workspace.name.as_str() == name)
     }
 
     /// Returns the region of a data centre.
     pub fn region(&self, data_centre: &Name) -> Option<&Name> {
-        let mut places = self.data_centres.iter();
-        places.find(|place| place.name == *data_centre).map(|place| &place.region)
+        let mut data_centres = self.data_centres.iter();
+        data_centres.find(|listed| listed.name == *data_centre).map(|listed| &listed.region)
     }
 }
 
 impl PlainService {
-    /// Finds the call for a path: the longest listed beginning wins.
+    /// Returns the call for a path: the one with the longest matching prefix.
     pub fn call(&self, path: &str) -> Option<&Call> {
-        let listed = self.calls.iter().filter(|call| begins_with(path, &call.path));
+        let listed = self.calls.iter().filter(|call| has_path_prefix(path, &call.path));
         listed.max_by_key(|call| call.path.len())
     }
 }
 
-/// Compares whole path segments, so that `/cover` does not stand for `/cover-check`.
-fn begins_with(path: &str, beginning: &str) -> bool {
-    let beginning = beginning.trim_end_matches('/');
-    path.strip_prefix(beginning).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+/// Compares whole path segments, so that `/cover` is not a prefix of `/cover-check`.
+fn has_path_prefix(path: &str, prefix: &str) -> bool {
+    let prefix = prefix.trim_end_matches('/');
+    path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' configuration: its document, its checks, its differences and its revisions.
+//! The operators' configuration: documents, their validation, differences and revisions.
 //!
-//! An operator writes one TOML document. [`Document::parse`] reads it and reports every fault
-//! with its line and field; a document with a fault is never stored. Each accepted document is a
-//! revision. [`Head`] is the one small value in the platform's service that says which revision
-//! is in force; bodies are stored under their digest beside it, so that a writer that dies
+//! An operator writes one TOML document. [`Document::parse`] reads it and reports every fault with
+//! its line and field; a document with a fault is never stored. Each accepted document is a
+//! revision. [`Head`] is the small value in the platform's key-value service that names the
+//! revision in force. Documents are stored beside it under their digest, so a writer that dies
 //! between the two writes leaves nothing that blocks the next one.
 
 mod check;
--- a/crates/config/src/revision.rs
+++ b/crates/config/src/revision.rs
@@ -1,10 +1,11 @@
 //! Revisions: which document is in force.
 //!
-//! The head is one small value, changed by compare-and-swap only. It names the revision, the
-//! body's digest and the operation that wrote it, and keeps the last operations before it. When
+//! The head is one small value that is changed only by compare-and-swap. It names the revision, the
+//! digest of the document and the operation that wrote it, and keeps the operations before it. When
 //! the reply to a write of the head is lost, the writer reads the head and looks for its own
-//! operation: found means accepted, a moved head without it means a conflict. It never writes
-//! again blindly, which could put a document in force twice or over a newer one.
+//! operation: if it is there, the write was accepted; if the head has moved without it, there was a
+//! conflict. It never repeats the write blindly, which could put a document in force twice or
+//! replace a newer one.
 
 use catkinmast_model::{Revision, UnixMs};
 use serde::{Deserialize, Serialize};
@@ -13,16 +14,16 @@
 /// The key of the head.
 pub const HEAD_KEY: &str = "config/head";
 
-/// How many operations the head remembers; a lost reply is looked up among them.
+/// Number of operations that the head keeps; a lost reply is looked up among them.
 const OPERATIONS_KEPT: usize = 64;
 
-/// The digest of a document's text.
+/// The digest of a document's text: the first 16 bytes of its BLAKE3 hash.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    /// Computes the digest of a text.
+    /// Computes the digest of `text`.
     pub fn of(text: &str) -> Self {
         let mut bytes = [0; 16];
         bytes.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..16]);
@@ -55,7 +56,7 @@
     }
 }
 
-/// Returns the key of a document's body.
+/// Returns the key under which a document is stored.
 pub fn body_key(digest: Digest) -> String {
     format!("config/body/{digest}")
 }
@@ -63,19 +64,19 @@
 /// An accepted change of configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Accepted {
-    /// When it was accepted.
+    /// Time of acceptance.
     pub at_unix_ms: UnixMs,
-    /// Who applied it.
+    /// Author of the change.
     pub author: String,
     /// Digest of the document.
     pub digest: Digest,
-    /// The writer's own number of the operation.
+    /// The writer's identifier of the operation.
     pub operation_id: String,
-    /// The revision it became.
+    /// The resulting revision.
     pub revision: Revision,
 }
 
-/// What is in force, and the operations before it.
+/// The operation in force and those before it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
     /// The newest operation last.
@@ -93,12 +94,12 @@
         self.in_force().map_or_else(Revision::default, |accepted| accepted.revision)
     }
 
-    /// Returns the operations that the head remembers, oldest first.
+    /// Returns the operations that the head keeps, oldest first.
     pub fn operations(&self) -> &[Accepted] {
         &self.operations
     }
 
-    /// Finds an operation by its writer's number.
+    /// Returns the operation with the writer's identifier `operation_id`.
     pub fn find(&self, operation_id: &str) -> Option<&Accepted> {
         self.operations.iter().find(|accepted| accepted.operation_id == operation_id)
     }
--- a/crates/config/src/source_map.rs
+++ b/crates/config/src/source_map.rs
@@ -1,21 +1,21 @@
-//! Where in the text a field stands, so that a fault can name its line.
+//! Positions of fields in a document's text, so that a fault can name its line.
 
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// The parsed text with the byte ranges of its values.
+/// A parsed text with the byte ranges of its values.
 #[derive(Debug)]
-pub(crate) struct Places<'a> {
+pub(crate) struct SourceMap<'a> {
     table: Option<Spanned<DeTable<'a>>>,
     text: &'a str,
 }
 
-impl<'a> Places<'a> {
-    pub(crate) fn of(text: &'a str) -> Self {
+impl<'a> SourceMap<'a> {
+    pub(crate) fn parse(text: &'a str) -> Self {
         Self { table: DeTable::parse(text).ok(), text }
     }
 
-    /// Returns the line of `list[index].field`, or of the nearest part that exists.
+    /// Returns the line of `list[index].field`, or of the closest enclosing value that exists.
     pub(crate) fn line(&self, list: &str, index: usize, field: &str) -> usize {
         let Some(table) = &self.table else { return 1 };
         let Some(value) = table.get_ref().get(list) else { return 1 };
