--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,23 +1,23 @@
-//! Identifiers: names that operators choose, and numbers that the system counts.
+//! Identifiers: names chosen by operators, and numbers assigned by the system.
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// The longest name accepted, in bytes: a name is part of a key in the platform's service.
+/// Maximum length of a name: it is part of a key in the platform's key-value service.
 const NAME_MAX_BYTES: usize = 64;
 
-/// A checked name of an instance, service, model, workspace or trainer.
+/// A validated name of an instance, service, model, workspace or trainer.
 ///
-/// Lower-case letters, digits, `-`, `_` and `.`, at most 64 bytes, so that it can stand in a
-/// path, a key of the platform's service and a label without escaping.
+/// A name consists of 1 to 64 lower-case letters, digits, `-`, `_` and `.`, so that it can be part
+/// of a path, a key of the platform's key-value service or a label without escaping.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(String);
 
 impl Name {
-    /// Borrows the name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -88,25 +88,25 @@
 
 impl std::error::Error for NameError {}
 
-/// Which life of a process this is; a restarted process has a higher one.
+/// The incarnation of a process; a restarted process has a higher one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// A number that grows with each change of a lease's holder.
+/// A fencing number, which grows with each change of a lease's holder.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Fence(pub u64);
 
-/// The number of an accepted configuration; it only grows.
+/// The number of an accepted configuration; each one is higher than those before it.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Revision(pub u64);
 
-macro_rules! show_number {
+macro_rules! impl_display_as_number {
     ($($name:ident),+) => {$(
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -116,9 +116,9 @@
     )+};
 }
 
-show_number!(Incarnation, Fence, Revision);
+impl_display_as_number!(Incarnation, Fence, Revision);
 
-/// One sample's place: its step, its group in the step, its index in the group.
+/// The position of a sample: its step, its group in the step, and its index in the group.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct SampleId {
     /// Number of the trainer's step.
--- a/crates/model/src/instance.rs
+++ b/crates/model/src/instance.rs
@@ -1,48 +1,48 @@
-//! An entry of the platform's list of live and leaving instances.
+//! An entry in the platform's list of live and leaving instances.
 
 use crate::{Incarnation, Labels, Name};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What runs on an instance.
+/// The kind of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
     /// A model engine.
     Engine,
-    /// One of our own entry instances; `address` is where its peers reach it.
+    /// A node of this service; `address` is its address for peers.
     Entry,
     /// A plain service.
     Service,
 }
 
-/// Whether an instance may be given new work; later states win within an incarnation.
+/// Whether an instance accepts new work. Within an incarnation, the later variant wins.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It takes work.
+    /// The instance accepts work.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// The instance finishes its work and accepts no more.
     Leaving,
-    /// It is no longer there.
+    /// The instance no longer exists.
     Gone,
 }
 
-/// One instance as the platform lists it.
+/// An instance as listed by the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instance {
-    /// Where it listens.
+    /// Address at which the instance listens.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// Data centre of the instance.
     pub data_centre: Name,
-    /// Its life, counted by the platform.
+    /// The incarnation, as counted by the platform.
     pub incarnation: Incarnation,
-    /// What runs on it.
+    /// Kind of the instance.
     pub kind: InstanceKind,
-    /// What operators' selectors match.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// Its name, kept over restarts.
+    /// Name of the instance, which stays the same across restarts.
     pub name: Name,
-    /// Whether it takes work.
+    /// Whether the instance accepts work.
     pub state: InstanceState,
 }
--- a/crates/model/src/labels.rs
+++ b/crates/model/src/labels.rs
@@ -1,4 +1,4 @@
-//! Labels: the key-value pairs that operators put on what they describe.
+//! Labels: key-value pairs that operators attach to instances and other entries.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -14,14 +14,14 @@
         self.0.get(key).map(String::as_str)
     }
 
-    /// Adds or replaces one label and returns the set.
+    /// Returns the set with one label added or replaced.
     #[must_use]
     pub fn with(mut self, key: impl Into<String>, value: impl Into<String>) -> Self {
         self.0.insert(key.into(), value.into());
         self
     }
 
-    /// Walks through the pairs in the order in which they were written.
+    /// Iterates over the pairs in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(key, value)| (key.as_str(), value.as_str()))
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary that every other crate shares.
+//! Basic types that all other crates share.
 //!
-//! Names, labels, selectors, weight versions, verdicts and points in time live here, and nothing
-//! else does: this crate owns no socket, clock, thread or random source. It is the lowest layer,
-//! so any two crates can speak of a sample or a verdict without depending on each other.
+//! These are names, labels, selectors, weight versions, verdicts and points in time. This is the
+//! lowest layer, so two crates can exchange a sample or a verdict without depending on each other.
+//! It owns no socket, clock, thread or random source.
 
 mod ids;
 mod instance;
--- a/crates/model/src/selector.rs
+++ b/crates/model/src/selector.rs
@@ -1,8 +1,8 @@
-//! Selectors: expressions over labels, in the syntax operators know from cluster tools.
+//! Selectors: expressions over labels, in the syntax of Kubernetes label selectors.
 //!
-//! `app=drafts,place in (north,south),!canary` is a conjunction; every term must hold. An
-//! empty selector matches everything. Parsed with `winnow`, kept as text beside the terms so that
-//! what an operator wrote is what is shown again.
+//! `app=drafts,place in (north,south),!canary` is a conjunction: every term must hold. An empty
+//! selector matches everything. The text is kept beside the parsed terms, so that a selector is
+//! shown as the operator wrote it.
 
 use crate::Labels;
 use displaydoc::Display;
@@ -14,7 +14,7 @@
 use winnow::token::take_while;
 use winnow::{ModalResult, Parser};
 
-/// The longest selector accepted, in bytes.
+/// Maximum length of a selector.
 const SELECTOR_MAX_BYTES: usize = 1024;
 
 /// A parsed selector.
@@ -41,14 +41,14 @@
 pub struct SelectorError {
     /// The refused text.
     pub text: String,
-    /// Where reading stopped.
+    /// Position at which parsing stopped.
     pub offset_bytes: usize,
 }
 
 impl std::error::Error for SelectorError {}
 
 impl Selector {
-    /// Tells whether `labels` satisfy every term.
+    /// Returns whether `labels` satisfy every term.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.terms.iter().all(|term| term.matches(labels))
     }
--- a/crates/model/src/verdict.rs
+++ b/crates/model/src/verdict.rs
@@ -1,8 +1,8 @@
-//! The verdict: may a request have run?
+//! Verdicts: whether a request may have run.
 //!
-//! The brief's promise "a refusal that says not run is true" rests on this type. A verdict is
-//! computed from how far the bytes got, never from an error's name: `NotRun` needs proof that the
-//! target cannot have acted, and everything without proof is `MayHaveRun`.
+//! A refusal that says "not run" must be true. A verdict is therefore computed from how many bytes
+//! of a request were sent, never from the name of an error: `NotRun` requires proof that the target
+//! cannot have acted, and without proof the verdict is `MayHaveRun`.
 
 use crate::UnixMs;
 use displaydoc::Display;
@@ -21,35 +21,35 @@
 }
 
 impl Verdict {
-    /// Tells whether sending the request again can run it a second time.
+    /// Returns whether sending the request again could run it a second time.
     pub const fn may_have_run(self) -> bool {
         !matches!(self, Self::NotRun)
     }
 }
 
-/// A request given up on, answered at once, with the time to come back.
+/// The refusal of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// What went wrong, for people.
+    /// Description of the problem.
     pub message: String,
-    /// When to come back, if coming back can help.
+    /// When to retry, if retrying can help.
     pub retry_at_unix_ms: Option<UnixMs>,
     /// Whether the request may have run.
     pub verdict: Verdict,
 }
 
 impl Refusal {
-    /// Makes a refusal of a request that cannot have run.
+    /// Creates a refusal of a request that cannot have run.
     pub fn not_run(message: impl Into<String>) -> Self {
         Self { message: message.into(), retry_at_unix_ms: None, verdict: Verdict::NotRun }
     }
 
-    /// Makes a refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn may_have_run(message: impl Into<String>) -> Self {
         Self { message: message.into(), retry_at_unix_ms: None, verdict: Verdict::MayHaveRun }
     }
 
-    /// Adds the time to come back.
+    /// Sets the time to retry.
     #[must_use]
     pub const fn retry_at(mut self, at: UnixMs) -> Self {
         self.retry_at_unix_ms = Some(at);
--- a/crates/model/src/version.rs
+++ b/crates/model/src/version.rs
@@ -1,9 +1,9 @@
-//! Weight versions and the token ranges they produced.
+//! Weight versions, and the token ranges that were generated with them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a model's weights; a trainer publishes ever higher ones.
+/// The number of a version of a model's weights; a trainer publishes increasing numbers.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -15,27 +15,27 @@
     }
 }
 
-/// A range of a sample's tokens and the version that produced them.
+/// A range of a sample's tokens and the weight version that generated them.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Segment {
     /// Index after the last token.
     pub end: u32,
     /// Index of the first token.
     pub start: u32,
-    /// The version that the engine reported with these tokens.
+    /// Weight version that the engine reported with these tokens.
     pub version: Version,
 }
 
 /// The segments of one sample, in order and without gaps.
 ///
-/// Attribution is what the engine *reports with each chunk*, never what was ordered: an order can
-/// be refused, late, or taken from a holder whose lease had lapsed.
+/// Tokens are attributed to the version that the engine *reports with each chunk*, not to the one
+/// that was ordered: an order can be refused, be late, or come from a holder whose lease lapsed.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Segments(Vec<Segment>);
 
 impl Segments {
-    /// Appends `count` tokens of `version`, merging with the last segment if it is the same.
+    /// Appends `count` tokens of `version`, extending the last segment if it has that version.
     pub fn push(&mut self, version: Version, count: u32) {
         let start = self.token_count();
         let end = start + count;
@@ -46,24 +46,23 @@
         }
     }
 
-    /// Returns how many tokens are attributed.
+    /// Returns the number of attributed tokens.
     pub fn token_count(&self) -> u32 {
         self.0.last().map_or(0, |last| last.end)
     }
 
-    /// Returns the oldest version, or none when no token is there.
+    /// Returns the oldest version, or none if there are no tokens.
     pub fn oldest(&self) -> Option<Version> {
         self.0.iter().map(|segment| segment.version).min()
     }
 
-    /// Returns the age in versions against the trainer's `current` version.
-    ///
-    /// The age of a sample is that of its oldest segment (brief, "What must always hold").
+    /// Returns the age of the sample, in versions behind the trainer's `current` version. It is the
+    /// age of the oldest segment.
     pub fn age_versions(&self, current: Version) -> u64 {
         self.oldest().map_or(0, |oldest| current.0.saturating_sub(oldest.0))
     }
 
-    /// Borrows the segments.
+    /// Returns the segments.
     pub fn as_slice(&self) -> &[Segment] {
         &self.0
     }
