--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,38 +1,38 @@
-//! Frames between our own processes.
+//! The frame format between processes of this service.
 //!
-//! A frame is one byte of format version, a `postcard` message, and a keyed BLAKE3 tag over both.
-//! The same frame travels as one UDP datagram or, with its length before it, over TCP. Everything
-//! that is not a frame of this version under the shared key is refused before the message is
-//! decoded; the caller counts it and drops it. Sizes are capped before memory is taken.
+//! A frame consists of a format version (one byte), a `postcard` message, and a keyed BLAKE3 tag
+//! over both. It is sent as one UDP datagram, or over TCP with its length in front. Bytes that are
+//! not a frame of this version under the shared key are refused before the message is decoded; the
+//! caller counts and drops them. Sizes are checked before memory is allocated.
 //!
-//! The tag proves that a holder of the key wrote the frame; it does not hide the content and does
-//! not stop a replay. Messages are made so that a replayed one changes nothing: facts only
-//! supersede older ones, and requests are idempotent. Encryption is left to the network.
+//! The tag proves that a holder of the key wrote the frame. It neither hides the content nor
+//! prevents a replay. A replayed message changes nothing: facts only supersede older ones, and
+//! requests are idempotent. Encryption is left to the network.
 
 use displaydoc::Display;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt;
 
-/// The format's version, the first byte of each frame.
+/// Version of the frame format, the first byte of each frame.
 const FORMAT_VERSION: u8 = 1;
-/// Length of the tag, in bytes.
+/// Length of the tag.
 const TAG_BYTES: usize = 16;
-/// Version byte and tag.
+/// Bytes that a frame adds to its message: the version and the tag.
 pub const OVERHEAD_BYTES: usize = 1 + TAG_BYTES;
-/// The largest datagram: it fits an Ethernet frame with room for tunnels.
+/// Maximum size of a datagram: it fits in an Ethernet frame, with space for tunnel headers.
 pub const DATAGRAM_MAX_BYTES: usize = 1_400;
-/// The largest frame over TCP: a value of the platform's service and some room.
+/// Maximum size of a frame over TCP: a value of the platform's key-value service, with a margin.
 pub const STREAM_FRAME_MAX_BYTES: usize = 4 << 20;
-/// Length of the length before a frame over TCP, in bytes.
+/// Length of the length prefix of a frame over TCP.
 pub const LENGTH_BYTES: usize = 4;
 
-/// The key that all our processes share.
+/// The key that all processes of the service share.
 #[derive(Clone)]
 pub struct SharedKey([u8; 32]);
 
 impl SharedKey {
-    /// Derives the key from the operators' secret.
+    /// Derives the key from a secret that the operators set.
     pub fn derive(secret: &str) -> Self {
         Self(blake3::derive_key("catkinmast 2026-12-02 frames between nodes", secret.as_bytes()))
     }
@@ -48,48 +48,48 @@
     }
 }
 
-/// Why bytes are not a frame, or a message cannot become one.
+/// The error of reading or writing a frame.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum FrameError {
     /// a frame has {size_bytes} bytes, {allowed_bytes} are allowed
     TooLarge {
-        /// Its size.
+        /// Size of the frame.
         size_bytes: usize,
-        /// The cap.
+        /// Maximum size.
         allowed_bytes: usize,
     },
     /// a frame of {size_bytes} bytes is too short
     TooShort {
-        /// Its size.
+        /// Size of the frame.
         size_bytes: usize,
     },
     /// a frame has format version {found}, this process speaks 1
     Version {
-        /// The version found.
+        /// Format version of the frame.
         found: u8,
     },
     /// a frame's tag does not fit the shared key
     Tag,
     /// a frame's message cannot be read: {message}
     Message {
-        /// What the codec said.
+        /// Error message of the codec.
         message: String,
     },
 }
 
 impl std::error::Error for FrameError {}
 
-/// Writes a message as a frame of at most `allowed_bytes`.
+/// Encodes a message as a frame of at most `allowed_bytes`.
 ///
 /// # Errors
-/// When the frame would be larger, or the message cannot be encoded.
+/// Fails if the frame would be larger, or if the message cannot be encoded.
 pub fn seal(
     key: &SharedKey,
     message: &impl Serialize,
     allowed_bytes: usize,
 ) -> Result<Vec<u8>, FrameError> {
-    let unwritable = |error: postcard::Error| FrameError::Message { message: error.to_string() };
-    let mut frame = postcard::to_extend(message, vec![FORMAT_VERSION]).map_err(unwritable)?;
+    let encode_error = |error: postcard::Error| FrameError::Message { message: error.to_string() };
+    let mut frame = postcard::to_extend(message, vec![FORMAT_VERSION]).map_err(encode_error)?;
     let tag = key.tag(&frame);
     frame.extend_from_slice(&tag.as_bytes()[..TAG_BYTES]);
     if frame.len() > allowed_bytes {
@@ -98,10 +98,10 @@
     Ok(frame)
 }
 
-/// Reads a frame of at most `allowed_bytes`.
+/// Verifies and decodes a frame of at most `allowed_bytes`.
 ///
 /// # Errors
-/// When the bytes are not a frame of this version under this key.
+/// Fails if the bytes are not a frame of this version under this key.
 pub fn open<M: DeserializeOwned>(
     key: &SharedKey,
     frame: &[u8],
@@ -125,20 +125,20 @@
         .map_err(|error| FrameError::Message { message: error.to_string() })
 }
 
-/// Compares in constant time, so that a forger learns nothing from how long it takes.
+/// Compares tags in constant time, so that the time taken reveals nothing to a forger.
 fn same_tag(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differs, (x, y)| differs | (x ^ y)) == 0
 }
 
-/// Writes a frame's length as it stands before the frame over TCP.
+/// Encodes the length prefix of a frame over TCP.
 pub fn length_prefix(frame: &[u8]) -> [u8; LENGTH_BYTES] {
     (frame.len() as u32).to_be_bytes()
 }
 
-/// Reads a length and checks it against the cap before any memory is taken.
+/// Decodes a length prefix, and checks the length before memory is allocated.
 ///
 /// # Errors
-/// When the announced frame is too large.
+/// Fails if the length is larger than [`STREAM_FRAME_MAX_BYTES`].
 pub fn parse_length_prefix(prefix: [u8; LENGTH_BYTES]) -> Result<usize, FrameError> {
     let size_bytes = u32::from_be_bytes(prefix) as usize;
     if size_bytes > STREAM_FRAME_MAX_BYTES {
