--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -1,7 +1,7 @@
-//! The model engines' protocol: streams of tokens, orders, and load reports.
+//! The protocol of model engines: token streams, orders and load reports.
 //!
-//! Tokens come as lines of JSON over one HTTP answer. The last line counts the tokens, so a stream
-//! that was cut never passes for a whole one.
+//! Tokens arrive as lines of JSON in one HTTP response. The last line contains the token count, so
+//! a stream that was cut off is never taken for a complete one.
 
 use crate::StoreError;
 use bytes::BytesMut;
@@ -13,66 +13,66 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest line accepted from an engine, in bytes.
+/// Maximum length of a line from an engine.
 const LINE_MAX_BYTES: usize = 256 * 1024;
-/// How long an engine may be silent in the middle of a stream.
-const SILENCE_MAX: Duration = Duration::from_secs(10);
-/// How long an order, a cancellation or a load report may take.
+/// Maximum time without data from an engine during a stream.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of an order, a cancellation or a load report.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What is asked of an engine.
+/// A request to an engine to generate tokens.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GenerateRequest {
-    /// Most tokens to produce, those already held included.
+    /// Maximum number of tokens, including those already received.
     pub max_tokens: u32,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Higher ones enter the engine's batch first.
+    /// Priority; requests with a higher one enter the engine's batch first.
     pub priority: u8,
     /// The prompt.
     pub prompt: String,
-    /// Our name for this attempt; every line of the answer repeats it.
+    /// Identifier of this attempt, which every line of the answer repeats.
     pub request_id: String,
-    /// How many tokens we already hold; the engine goes on after them.
+    /// Number of tokens already received; the engine continues after them.
     pub resume_from: u32,
     /// The sampling seed.
     pub seed: u64,
 }
 
-/// One line of an engine's answer.
+/// A line of an engine's answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum EngineLine {
     /// Some tokens.
     Chunk {
-        /// The request that they answer.
+        /// Identifier of the request.
         request_id: String,
-        /// Index of the first of them.
+        /// Index of the first token.
         start: u32,
         /// The tokens.
         tokens: Vec<u32>,
-        /// The version that produced them.
+        /// Weight version that generated them.
         version: Version,
     },
-    /// The end of a whole answer.
+    /// The end of a complete answer.
     End {
-        /// How many tokens the answer has, those already held included.
+        /// Number of tokens in the answer, including those already received.
         count: u32,
-        /// The request that it answers.
+        /// Identifier of the request.
         request_id: String,
     },
 }
 
-/// What an engine reports of itself, with a lag.
+/// An engine's report of its load, which lags.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// When this was true.
+    /// Time to which the report applies.
     pub as_of_unix_ms: UnixMs,
-    /// Sequences that wait.
+    /// Number of sequences waiting.
     pub queued: usize,
-    /// Sequences in the batch.
+    /// Number of sequences in the batch.
     pub running: usize,
-    /// The version served for each model.
+    /// Weight version served for each model.
     pub versions: IndexMap<String, Version>,
 }
 
@@ -81,20 +81,20 @@
 pub struct WeightOrder {
     /// The sender's fencing number.
     pub fence: Fence,
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// The version to load.
     pub version: Version,
 }
 
-/// Why an engine did not do what it was asked.
+/// The error of a call to an engine.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum EngineError {
     /// the engine refused an order with an old fencing number
     Fenced,
     /// the engine's stream broke ({verdict}): {message}
     Broken {
-        /// What was seen.
+        /// Description of the failure.
         message: String,
         /// Whether tokens may have been produced.
         verdict: Verdict,
@@ -109,12 +109,12 @@
     }
 }
 
-/// Model engines, reached by their addresses.
+/// A client of model engines, which are identified by their addresses.
 pub trait Engines: Clone + Send + Sync + 'static {
-    /// Starts a stream of tokens.
+    /// Starts a token stream.
     ///
     /// # Errors
-    /// When the engine refuses or cannot be reached; each line can fail as well.
+    /// Fails if the engine refuses the request or cannot be reached. Each line can fail as well.
     fn generate(
         &self,
         engine: SocketAddr,
@@ -126,47 +126,48 @@
         >,
     > + Send;
 
-    /// Cancels a request; an engine that no longer knows it does nothing.
+    /// Cancels a request. This has no effect if the engine no longer knows it.
     ///
     /// # Errors
-    /// When the engine cannot be reached.
+    /// Fails if the engine cannot be reached.
     fn cancel(
         &self,
         engine: SocketAddr,
         request_id: &str,
     ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// Orders a version of a model's weights; the load report shows when it is there.
+    /// Orders an engine to load a version of a model's weights. The load report shows when it is
+    /// loaded.
     ///
     /// # Errors
-    /// [`EngineError::Fenced`] when the engine has seen a higher fencing number.
+    /// Returns [`EngineError::Fenced`] if the engine has seen a higher fencing number.
     fn order(
         &self,
         engine: SocketAddr,
         order: &WeightOrder,
     ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// Reads the engine's lagging report.
+    /// Reads the engine's load report, which lags.
     ///
     /// # Errors
-    /// When the engine cannot be reached.
+    /// Fails if the engine cannot be reached.
     fn load(
         &self,
         engine: SocketAddr,
     ) -> impl Future<Output = Result<LoadReport, EngineError>> + Send;
 }
 
-/// Engines over HTTP and lines of JSON.
+/// A client of engines over HTTP, with lines of JSON.
 #[derive(Clone, Debug)]
 pub struct HttpEngines {
     client: reqwest::Client,
 }
 
 impl HttpEngines {
-    /// Makes a client; nothing is sent yet.
+    /// Creates a client. Nothing is sent yet.
     ///
     /// # Errors
-    /// When the HTTP library cannot be set up.
+    /// Fails if the HTTP library cannot be initialised.
     pub fn open() -> Result<Self, StoreError> {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -196,10 +197,10 @@
     EngineError::broken(verdict, error.to_string())
 }
 
-/// Names a request to cancel.
+/// A request to cancel another request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CancelRequest {
-    /// The request.
+    /// Identifier of the request to cancel.
     pub request_id: String,
 }
 
@@ -214,7 +215,7 @@
     > {
         let url = format!("http://{engine}/generate");
         let sent = self.client.post(url).json(request).send();
-        let response = tokio::time::timeout(SILENCE_MAX, sent)
+        let response = tokio::time::timeout(STREAM_IDLE_TIMEOUT, sent)
             .await
             .map_err(|_elapsed| EngineError::broken(Verdict::MayHaveRun, "no answer in time"))?
             .map_err(|error| broken(&error))?;
@@ -223,7 +224,9 @@
             return Err(EngineError::broken(Verdict::NotRun, message));
         }
         let request_id = request.request_id.clone();
-        Ok(Box::pin(lines(response.bytes_stream()).map(move |line| own_line(line, &request_id))))
+        Ok(Box::pin(
+            lines(response.bytes_stream()).map(move |line| check_request_id(line, &request_id)),
+        ))
     }
 
     async fn cancel(&self, engine: SocketAddr, request_id: &str) -> Result<(), EngineError> {
@@ -248,49 +251,51 @@
     }
 }
 
-/// A line that answers another request is refused: late answers never reach a stranger.
-fn own_line(
+/// Refuses a line that answers another request, so that a late answer never reaches the wrong
+/// caller.
+fn check_request_id(
     line: Result<EngineLine, EngineError>,
     request_id: &str,
 ) -> Result<EngineLine, EngineError> {
     match &line {
         Ok(
-            EngineLine::Chunk { request_id: named, .. } | EngineLine::End { request_id: named, .. },
-        ) if named != request_id => {
-            let message = format!("a line for '{named}' came in answer to '{request_id}'");
+            EngineLine::Chunk { request_id: other, .. } | EngineLine::End { request_id: other, .. },
+        ) if other != request_id => {
+            let message = format!("a line for '{other}' came in answer to '{request_id}'");
             Err(EngineError::broken(Verdict::MayHaveRun, message))
         }
         _ => line,
     }
 }
 
-/// Cuts a stream of bytes into lines; silence, over-long lines and garbage are errors.
+/// Splits a stream of bytes into lines. A silent stream, a line that is too long and one that
+/// cannot be parsed are errors.
 fn lines(
     bytes: impl Stream<Item = Result<bytes::Bytes, reqwest::Error>> + Send,
 ) -> impl Stream<Item = Result<EngineLine, EngineError>> + Send {
     let start = (Box::pin(bytes), BytesMut::new(), false);
-    futures::stream::unfold(start, |(mut bytes, mut held, failed)| async move {
+    futures::stream::unfold(start, |(mut bytes, mut buffer, failed)| async move {
         if failed {
             return None;
         }
         loop {
-            if let Some(end) = held.iter().position(|byte| *byte == b'\n') {
-                let line = held.split_to(end + 1);
+            if let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
+                let line = buffer.split_to(end + 1);
                 let parsed = parse_line(&line);
                 let failed = parsed.is_err();
-                return Some((parsed, (bytes, held, failed)));
+                return Some((parsed, (bytes, buffer, failed)));
             }
-            if held.len() > LINE_MAX_BYTES {
+            if buffer.len() > LINE_MAX_BYTES {
                 let error = EngineError::broken(Verdict::MayHaveRun, "a line is too long");
-                return Some((Err(error), (bytes, held, true)));
+                return Some((Err(error), (bytes, buffer, true)));
             }
-            match tokio::time::timeout(SILENCE_MAX, bytes.next()).await {
-                Ok(Some(Ok(more))) => held.extend_from_slice(&more),
-                Ok(Some(Err(error))) => return Some((Err(broken(&error)), (bytes, held, true))),
+            match tokio::time::timeout(STREAM_IDLE_TIMEOUT, bytes.next()).await {
+                Ok(Some(Ok(more))) => buffer.extend_from_slice(&more),
+                Ok(Some(Err(error))) => return Some((Err(broken(&error)), (bytes, buffer, true))),
                 Ok(None) => return None,
                 Err(_elapsed) => {
                     let error = EngineError::broken(Verdict::MayHaveRun, "the stream fell silent");
-                    return Some((Err(error), (bytes, held, true)));
+                    return Some((Err(error), (bytes, buffer, true)));
                 }
             }
         }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! A client of the platform over HTTP.
 
 use crate::{Entry, Expect, InstanceList, KeyValue, LeaseId, StoreError};
 use catkinmast_adapter::UsersPlatform;
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long one call may take; the service answers in milliseconds when it is well.
+/// Timeout of one call; a healthy service answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The platform's services behind one HTTP address.
+/// A client of the platform's services, which share one HTTP address.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     address: SocketAddr,
@@ -20,10 +20,10 @@
 }
 
 impl HttpPlatform {
-    /// Makes a client for the platform at `address`; nothing is sent yet.
+    /// Creates a client for the platform at `address`. Nothing is sent yet.
     ///
     /// # Errors
-    /// When the HTTP library cannot be set up.
+    /// Fails if the HTTP library cannot be initialised.
     pub fn open(address: SocketAddr) -> Result<Self, StoreError> {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -46,7 +46,7 @@
     }
 }
 
-/// What a write's expectation means to the store, which counts an absent key as revision 0.
+/// Converts the condition of a write to the store's form, in which an absent key has revision 0.
 fn expectations(key: &str, expect: Expect) -> Vec<Expectation> {
     let revision = match expect {
         Expect::Any => return Vec::new(),
@@ -56,7 +56,8 @@
     vec![Expectation { key: key.to_owned(), revision }]
 }
 
-/// The product keeps text only; what is none was written by nobody of ours.
+/// Converts a stored item. This service writes only text, so another value is from another writer
+/// and an error.
 fn entry(item: StoredItem) -> Result<Entry, StoreError> {
     let value = String::from_utf8(item.value).map_err(|error| StoreError::Unavailable {
         message: format!("the value of {}: {error}", item.key),
@@ -74,7 +75,8 @@
     }
 }
 
-/// A connection that was never made carried no byte of the request; all else may have run.
+/// Classifies an error: if the connection failed, no byte of the request was sent; otherwise the
+/// request may have run.
 fn classify(error: &reqwest::Error) -> StoreError {
     if error.is_connect() {
         return not_run(error);
@@ -156,7 +158,8 @@
         let call = StoreCall::Watch { after: after_version, prefix: prefix.clone(), wait_ms };
         match self.call(&call, CALL_TIMEOUT + Duration::from_millis(wait_ms)).await? {
             StoreAnswer::Events { events, .. } => events.into_iter().map(changed).collect(),
-            // What came since cannot be told any more; what stands is the news.
+            // The changes since `after_version` are no longer available, so all current entries are
+            // returned.
             StoreAnswer::HistoryLost => self.list(&prefix).await,
             other => Err(unexpected(&other)),
         }
