--- a/crates/quarantine/src/broken.rs
+++ b/crates/quarantine/src/broken.rs
@@ -1,6 +1,6 @@
 //! Requests whose connection broke, while it is not known yet whether their target ended.
 
-use crate::{Fingerprint, Life};
+use crate::{Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
 
 /// How long the fate of a target is waited for: the registry drops a dead target's entry after three
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 struct Broken {
     fingerprint: Fingerprint,
-    life: Life,
+    life: TargetIncarnation,
     until: UnixMs,
 }
 
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Fate<'a> {
     /// This life of it is over.
-    Ended(&'a Life),
+    Ended(&'a TargetIncarnation),
     /// All its lives but the one that began then are over.
     Reborn {
         /// The target's id.
         id: &'a str,
         /// When the life began that goes on.
-        born_at_unix_ms: Option<u64>,
+        started_at_unix_ms: Option<u64>,
     },
     /// It is gone: all its lives are over.
     Gone {
@@ -37,11 +37,11 @@
 }
 
 impl Fate<'_> {
-    fn is_end_of(self, life: &Life) -> bool {
+    fn is_end_of(self, life: &TargetIncarnation) -> bool {
         match self {
             Self::Ended(ended) => ended == life,
-            Self::Reborn { id, born_at_unix_ms } => {
-                life.id == id && life.born_at_unix_ms != born_at_unix_ms
+            Self::Reborn { id, started_at_unix_ms } => {
+                life.id == id && life.started_at_unix_ms != started_at_unix_ms
             }
             Self::Gone { id } => life.id == id,
         }
@@ -55,7 +55,12 @@
 impl BrokenOff {
     /// Takes a request whose connection broke; returns whether it is the first one at this life of
     /// its target, so that somebody should ask whether the target lives.
-    pub fn note(&mut self, now: UnixMs, fingerprint: Fingerprint, life: &Life) -> bool {
+    pub fn note(
+        &mut self,
+        now: UnixMs,
+        fingerprint: Fingerprint,
+        life: &TargetIncarnation,
+    ) -> bool {
         self.0.retain(|broken| broken.until > now);
         let is_first = self.0.iter().all(|broken| broken.life != *life);
         if self.0.len() < WAITING_MAX {
@@ -67,7 +72,7 @@
 
     /// Takes news of a target; returns the requests that were under way at lives that are over, and
     /// those lives.
-    pub fn take(&mut self, now: UnixMs, fate: Fate<'_>) -> Vec<(Fingerprint, Life)> {
+    pub fn take(&mut self, now: UnixMs, fate: Fate<'_>) -> Vec<(Fingerprint, TargetIncarnation)> {
         let is_over = |broken: &Broken| broken.until > now && fate.is_end_of(&broken.life);
         let ended: Vec<Broken> = self.0.iter().filter(|broken| is_over(broken)).cloned().collect();
         self.0.retain(|broken| !fate.is_end_of(&broken.life));
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -1,6 +1,6 @@
 //! Which targets ended while a request was under way at them.
 
-use crate::Life;
+use crate::TargetIncarnation;
 use catkinmast_model::UnixMs;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -26,12 +26,12 @@
 /// know the same write the same.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Evidence {
-    ends: BTreeMap<Life, End>,
+    ends: BTreeMap<TargetIncarnation, End>,
 }
 
 impl Evidence {
     /// Takes the end of a target; returns whether it is news.
-    pub fn note(&mut self, at: UnixMs, life: Life) -> bool {
+    pub fn note(&mut self, at: UnixMs, life: TargetIncarnation) -> bool {
         let is_news = !self.ends.contains_key(&life);
         self.ends.entry(life).or_insert(End { at, refuted: false });
         self.trim();
@@ -59,7 +59,7 @@
     }
 
     /// Walks through the lives that count: those whose end nothing has refuted.
-    pub fn counted(&self) -> impl Iterator<Item = &Life> {
+    pub fn counted(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.ends.iter().filter(|(_, end)| !end.refuted).map(|(life, _)| life)
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Tells whether the end of a life counts.
-    pub fn counts(&self, life: &Life) -> bool {
+    pub fn counts(&self, life: &TargetIncarnation) -> bool {
         self.ends.get(life).is_some_and(|end| !end.refuted)
     }
 
--- a/crates/quarantine/src/life.rs
+++ b/crates/quarantine/src/incarnation.rs
@@ -5,17 +5,17 @@
 
 /// One life of a target: a restart under the same id is another one.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Life {
+pub struct TargetIncarnation {
     /// The target's id.
     pub id: String,
     /// When it began, by the target's clock; none where targets do not tell.
-    pub born_at_unix_ms: Option<u64>,
+    pub started_at_unix_ms: Option<u64>,
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for TargetIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born_at_unix_ms {
-            Some(born_at_unix_ms) => write!(f, "{}@{born_at_unix_ms}", self.id),
+        match self.started_at_unix_ms {
+            Some(started_at_unix_ms) => write!(f, "{}@{started_at_unix_ms}", self.id),
             None => f.write_str(&self.id),
         }
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Requests that end the targets that run them.
 //!
 //! - [`Fingerprint`]: what a request asks, known again under another id and at another node.
-//! - [`Life`]: one start of a target, so that its end counts once.
+//! - [`TargetIncarnation`]: one start of a target, so that its end counts once.
 //! - [`BrokenOff`]: requests whose connection broke, until it is known whether their target ended.
 //! - [`Evidence`]: the targets that ended under a request, joined from what all nodes saw.
 //! - [`Quarantine`]: which requests are sent to no more targets.
@@ -12,11 +12,11 @@
 mod broken;
 mod evidence;
 mod fingerprint;
-mod life;
+mod incarnation;
 mod quarantine;
 
 pub use broken::{BrokenOff, Fate};
 pub use evidence::Evidence;
 pub use fingerprint::Fingerprint;
-pub use life::Life;
+pub use incarnation::TargetIncarnation;
 pub use quarantine::{ENOUGH_LIVES, Quarantine, Standing};
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -15,7 +15,7 @@
 //! because it never did any. So it is tried again after [`BARRED_MS`], once for the whole fleet, and
 //! after twice that time whenever the trial ends a target.
 
-use crate::{Evidence, Fingerprint, Life};
+use crate::{Evidence, Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use std::cmp::Ordering;
@@ -75,7 +75,7 @@
     }
 
     /// Takes the end of a target under a request; returns whether it is news.
-    pub fn ended(&mut self, at: UnixMs, fingerprint: Fingerprint, life: Life) -> bool {
+    pub fn ended(&mut self, at: UnixMs, fingerprint: Fingerprint, life: TargetIncarnation) -> bool {
         self.known.entry(fingerprint).or_default().note(at, life)
     }
 
--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -11,7 +11,7 @@
 use crate::platform::Platform;
 use catkinmast_dispatch::{TargetChange, TargetEntry};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{Fate, Life};
+use catkinmast_quarantine::{Fate, TargetIncarnation};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     if entry.draining {
         return;
     }
-    let life = Life { born_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
+    let life = TargetIncarnation { started_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
     let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
     if is_first {
@@ -79,7 +79,7 @@
 }
 
 /// Asks a target's address whether anybody listens there.
-async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: Life) {
+async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: TargetIncarnation) {
     let mut is_closed = node.pool.is_closed(address).await;
     if !is_closed {
         sleep(ASK_AGAIN_AFTER).await;
@@ -99,8 +99,8 @@
     match change {
         TargetChange::Left(id) if !entry.draining => take(node, Fate::Gone { id }, "registry"),
         TargetChange::Reborn(id) => {
-            let born_at_unix_ms = entry.born_at_unix_ms;
-            take(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
+            let started_at_unix_ms = entry.born_at_unix_ms;
+            take(node, Fate::Reborn { started_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
     }
@@ -120,7 +120,7 @@
         node.note(
             "target_ended",
             json!({
-                "target": life.id, "born_at_unix_ms": life.born_at_unix_ms, "by": by,
+                "target": life.id, "born_at_unix_ms": life.started_at_unix_ms, "by": by,
                 "fingerprint": fingerprint.to_string(), "under_way": under_way,
             }),
         );
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -17,7 +17,7 @@
 use crate::platform::Platform;
 use catkinmast_member::{CrashFact, Fact};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{ENOUGH_LIVES, Evidence, Fingerprint, Life, Standing};
+use catkinmast_quarantine::{ENOUGH_LIVES, Evidence, Fingerprint, Standing, TargetIncarnation};
 use serde_json::json;
 use std::rc::Rc;
 
@@ -101,7 +101,7 @@
 }
 
 /// Takes the end of a target under a request of this node.
-fn ended<P: Platform>(node: &Node<P>, fingerprint: Fingerprint, life: Life) {
+fn ended<P: Platform>(node: &Node<P>, fingerprint: Fingerprint, life: TargetIncarnation) {
     let was_clear = is_clear(node, fingerprint);
     let now = UnixMs::from_wall_clock();
     if node.quarantine.borrow_mut().ended(now, fingerprint, life) {
@@ -155,7 +155,7 @@
     }
     let quarantine = node.quarantine.borrow();
     let lives = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::counted);
-    let targets: Vec<String> = lives.map(Life::to_string).collect();
+    let targets: Vec<String> = lives.map(TargetIncarnation::to_string).collect();
     node.note(
         "request_barred",
         json!({ "fingerprint": fingerprint.to_string(), "targets": targets, "by": by,
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -3,7 +3,7 @@
 use catkinmast_member::{Board, CrashFact, Fact, Merge};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::{
-    BrokenOff, ENOUGH_LIVES, Evidence, Fate, Fingerprint, Life, Quarantine, Standing,
+    BrokenOff, ENOUGH_LIVES, Evidence, Fate, Fingerprint, Quarantine, Standing, TargetIncarnation,
 };
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -19,8 +19,8 @@
     Fingerprint::of("POST", "site.example", "/lookup/a", name.as_bytes())
 }
 
-fn life(number: u32) -> Life {
-    Life { born_at_unix_ms: None, id: format!("target-{number:03}") }
+fn life(number: u32) -> TargetIncarnation {
+    TargetIncarnation { started_at_unix_ms: None, id: format!("target-{number:03}") }
 }
 
 /// Opens a quarantine in which each of the requests was under way at each of its targets' ends.
@@ -69,7 +69,7 @@
 #[test]
 fn a_life_of_a_target_counts_once_and_its_next_life_again() {
     let mut quarantine = quarantine(&[("p", &[1, 2])]);
-    let again = Life { born_at_unix_ms: Some(7), ..life(1) };
+    let again = TargetIncarnation { started_at_unix_ms: Some(7), ..life(1) };
 
     assert!(quarantine.ended(NOW, request("p"), again));
 
@@ -202,13 +202,13 @@
 
 #[test]
 fn a_target_that_started_again_has_ended_in_its_former_life_only() {
-    let former = Life { born_at_unix_ms: Some(1), ..life(1) };
-    let present = Life { born_at_unix_ms: Some(2), ..life(1) };
+    let former = TargetIncarnation { started_at_unix_ms: Some(1), ..life(1) };
+    let present = TargetIncarnation { started_at_unix_ms: Some(2), ..life(1) };
     let mut broken = BrokenOff::default();
     broken.note(NOW, request("p"), &former);
     broken.note(NOW, request("s"), &present);
 
-    let fate = Fate::Reborn { born_at_unix_ms: Some(2), id: &present.id };
+    let fate = Fate::Reborn { started_at_unix_ms: Some(2), id: &present.id };
     let ended = broken.take(NOW, fate);
 
     assert_eq!(ended, [(request("p"), former)]);
