--- a/crates/quarantine/src/broken.rs
+++ b/crates/quarantine/src/interrupted.rs
@@ -19,11 +19,11 @@
 
 /// What became of a target, as far as a news tells.
 #[derive(Clone, Copy, Debug)]
-pub enum Fate<'a> {
+pub enum TargetOutcome<'a> {
     /// This life of it is over.
     Ended(&'a TargetIncarnation),
     /// All its lives but the one that began then are over.
-    Reborn {
+    Restarted {
         /// The target's id.
         id: &'a str,
         /// When the life began that goes on.
@@ -36,11 +36,11 @@
     },
 }
 
-impl Fate<'_> {
+impl TargetOutcome<'_> {
     fn is_end_of(self, life: &TargetIncarnation) -> bool {
         match self {
             Self::Ended(ended) => ended == life,
-            Self::Reborn { id, started_at_unix_ms } => {
+            Self::Restarted { id, started_at_unix_ms } => {
                 life.id == id && life.started_at_unix_ms != started_at_unix_ms
             }
             Self::Gone { id } => life.id == id,
@@ -50,12 +50,12 @@
 
 /// Requests that broke off at targets of which nothing was heard since.
 #[derive(Clone, Debug, Default)]
-pub struct BrokenOff(Vec<Broken>);
+pub struct InterruptedRequests(Vec<Broken>);
 
-impl BrokenOff {
+impl InterruptedRequests {
     /// Takes a request whose connection broke; returns whether it is the first one at this life of
     /// its target, so that somebody should ask whether the target lives.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: UnixMs,
         fingerprint: Fingerprint,
@@ -72,7 +72,11 @@
 
     /// Takes news of a target; returns the requests that were under way at lives that are over, and
     /// those lives.
-    pub fn take(&mut self, now: UnixMs, fate: Fate<'_>) -> Vec<(Fingerprint, TargetIncarnation)> {
+    pub fn resolve(
+        &mut self,
+        now: UnixMs,
+        fate: TargetOutcome<'_>,
+    ) -> Vec<(Fingerprint, TargetIncarnation)> {
         let is_over = |broken: &Broken| broken.until > now && fate.is_end_of(&broken.life);
         let ended: Vec<Broken> = self.0.iter().filter(|broken| is_over(broken)).cloned().collect();
         self.0.retain(|broken| !fate.is_end_of(&broken.life));
@@ -80,7 +84,7 @@
     }
 
     /// Forgets a request that a target has survived meanwhile.
-    pub fn survived(&mut self, fingerprint: Fingerprint) {
+    pub fn forget(&mut self, fingerprint: Fingerprint) {
         self.0.retain(|broken| broken.fingerprint != fingerprint);
     }
 
--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -11,7 +11,7 @@
 use crate::platform::Platform;
 use catkinmast_dispatch::{TargetChange, TargetEntry};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{Fate, TargetIncarnation};
+use catkinmast_quarantine::{TargetIncarnation, TargetOutcome};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     }
     let life = TargetIncarnation { started_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
-    let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
+    let is_first = node.broken_off.borrow_mut().record(now, outgoing.fingerprint(), &life);
     if is_first {
         tokio::task::spawn_local(ask(Rc::clone(node), chosen.address, life));
     }
@@ -86,7 +86,7 @@
         is_closed = node.pool.is_closed(address).await;
     }
     if is_closed {
-        take(&node, Fate::Ended(&life), "refused");
+        take(&node, TargetOutcome::Ended(&life), "refused");
     }
 }
 
@@ -97,20 +97,22 @@
     entry: &TargetEntry,
 ) {
     match change {
-        TargetChange::Left(id) if !entry.draining => take(node, Fate::Gone { id }, "registry"),
+        TargetChange::Left(id) if !entry.draining => {
+            take(node, TargetOutcome::Gone { id }, "registry")
+        }
         TargetChange::Reborn(id) => {
             let started_at_unix_ms = entry.born_at_unix_ms;
-            take(node, Fate::Reborn { started_at_unix_ms, id }, "registry");
+            take(node, TargetOutcome::Restarted { started_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
     }
 }
 
-fn take<P: Platform>(node: &Node<P>, fate: Fate<'_>, by: &'static str) {
+fn take<P: Platform>(node: &Node<P>, fate: TargetOutcome<'_>, by: &'static str) {
     if node.broken_off.borrow().is_empty() {
         return;
     }
-    let ended = node.broken_off.borrow_mut().take(UnixMs::from_wall_clock(), fate);
+    let ended = node.broken_off.borrow_mut().resolve(UnixMs::from_wall_clock(), fate);
     if ended.is_empty() {
         return;
     }
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -93,7 +93,7 @@
         return;
     }
     let fingerprint = outgoing.fingerprint();
-    node.broken_off.borrow_mut().survived(fingerprint);
+    node.broken_off.borrow_mut().forget(fingerprint);
     if node.quarantine.borrow_mut().survived(fingerprint) {
         node.note("request_cleared", json!({ "fingerprint": fingerprint.to_string() }));
         spread(node, fingerprint);
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -19,7 +19,7 @@
 };
 use catkinmast_member::{Membership, NodeState};
 use catkinmast_model::{Incarnation, Name, UnixMs, Verdict};
-use catkinmast_quarantine::{BrokenOff, Fingerprint, Quarantine};
+use catkinmast_quarantine::{Fingerprint, InterruptedRequests, Quarantine};
 use catkinmast_wire::SharedKey;
 use http::Request;
 use http_body_util::Full;
@@ -56,7 +56,7 @@
 pub(crate) struct Node<P> {
     pub batches: Batches,
     /// Requests that broke off at targets of which nothing was heard since.
-    pub broken_off: RefCell<BrokenOff>,
+    pub broken_off: RefCell<InterruptedRequests>,
     /// Whether no more connections and requests of callers are taken, because the process ends.
     pub closing: watch::Sender<bool>,
     /// Wakes the keeper of the evidence against requests that end targets.
@@ -109,7 +109,7 @@
         let pool = Pool::open(metrics.connections_opened.clone());
         Self {
             batches: Batches::default(),
-            broken_off: RefCell::new(BrokenOff::default()),
+            broken_off: RefCell::new(InterruptedRequests::default()),
             closing: watch::Sender::new(false),
             crashes_changed: Notify::new(),
             datagrams,
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -3,7 +3,8 @@
 use catkinmast_member::{Board, CrashFact, Fact, Merge};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::{
-    BrokenOff, ENOUGH_LIVES, Evidence, Fate, Fingerprint, Quarantine, Standing, TargetIncarnation,
+    ENOUGH_LIVES, Evidence, Fingerprint, InterruptedRequests, Quarantine, Standing,
+    TargetIncarnation, TargetOutcome,
 };
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -186,30 +187,38 @@
 
 #[test]
 fn a_broken_connection_counts_only_if_its_target_is_found_to_have_ended() {
-    let mut broken = BrokenOff::default();
-    assert!(broken.note(NOW, request("p"), &life(1)), "the first at this target");
-    assert!(!broken.note(NOW, request("s"), &life(1)));
-    assert!(broken.note(NOW, request("t"), &life(2)));
+    let mut broken = InterruptedRequests::default();
+    assert!(broken.record(NOW, request("p"), &life(1)), "the first at this target");
+    assert!(!broken.record(NOW, request("s"), &life(1)));
+    assert!(broken.record(NOW, request("t"), &life(2)));
 
-    broken.survived(request("s"));
-    let ended = broken.take(NOW.plus(10), Fate::Ended(&life(1)));
+    broken.forget(request("s"));
+    let ended = broken.resolve(NOW.plus(10), TargetOutcome::Ended(&life(1)));
 
     assert_eq!(ended, [(request("p"), life(1))]);
-    assert_eq!(broken.take(NOW.plus(20), Fate::Ended(&life(1))), [], "each end counts once");
+    assert_eq!(
+        broken.resolve(NOW.plus(20), TargetOutcome::Ended(&life(1))),
+        [],
+        "each end counts once"
+    );
     let late = NOW.plus(MINUTE_MS);
-    assert_eq!(broken.take(late, Fate::Gone { id: &life(2).id }), [], "that has other causes");
+    assert_eq!(
+        broken.resolve(late, TargetOutcome::Gone { id: &life(2).id }),
+        [],
+        "that has other causes"
+    );
 }
 
 #[test]
 fn a_target_that_started_again_has_ended_in_its_former_life_only() {
     let former = TargetIncarnation { started_at_unix_ms: Some(1), ..life(1) };
     let present = TargetIncarnation { started_at_unix_ms: Some(2), ..life(1) };
-    let mut broken = BrokenOff::default();
-    broken.note(NOW, request("p"), &former);
-    broken.note(NOW, request("s"), &present);
+    let mut broken = InterruptedRequests::default();
+    broken.record(NOW, request("p"), &former);
+    broken.record(NOW, request("s"), &present);
 
-    let fate = Fate::Reborn { started_at_unix_ms: Some(2), id: &present.id };
-    let ended = broken.take(NOW, fate);
+    let fate = TargetOutcome::Restarted { started_at_unix_ms: Some(2), id: &present.id };
+    let ended = broken.resolve(NOW, fate);
 
     assert_eq!(ended, [(request("p"), former)]);
 }
