--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -19,4 +19,4 @@
 pub use fingerprint::Fingerprint;
 pub use incarnation::TargetIncarnation;
 pub use interrupted::{InterruptedRequests, TargetOutcome};
-pub use quarantine::{ENOUGH_LIVES, Quarantine, Standing};
+pub use quarantine::{BLOCK_THRESHOLD, Quarantine, RequestStatus};
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -2,7 +2,7 @@
 //!
 //! *A request ends one target after the other.* It crashes what begins to run it; it is tried elsewhere,
 //! and its caller comes again. It would be noticed as all targets of a service down at once, again as
-//! soon as they are back. So a request under which [`ENOUGH_LIVES`] targets have ended is barred.
+//! soon as they are back. So a request under which [`BLOCK_THRESHOLD`] targets have ended is barred.
 //!
 //! *A sound request is barred with it.* Whatever else is under way at a target ends with it, is tried
 //! elsewhere at the same moment, and meets the same request there: of eleven requests that one end broke
@@ -22,7 +22,7 @@
 
 /// Targets that must have ended under a request before it is barred. Two may end by chance while it is
 /// repeated; a request that ends each target that runs it reaches the third within a second.
-pub const ENOUGH_LIVES: usize = 3;
+pub const BLOCK_THRESHOLD: usize = 3;
 /// With so many, a request is barred although others explain some of the ends: two trials tell two
 /// requests apart unless they meet at the same targets each time.
 const CERTAIN_LIVES: usize = 5;
@@ -40,14 +40,14 @@
 
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// It may not, until a trial is due.
-    Barred {
+    Blocked {
         /// When that is.
         until: UnixMs,
     },
     /// It may.
-    Clear,
+    Allowed,
     /// One node may send it once.
     Trial {
         /// The trial's number, the same at every node: there is one of each.
@@ -90,27 +90,27 @@
     }
 
     /// Tells whether a request may be sent to a target.
-    pub fn standing(&self, now: UnixMs, fingerprint: Fingerprint) -> Standing {
-        let Some(evidence) = self.known.get(&fingerprint) else { return Standing::Clear };
+    pub fn status(&self, now: UnixMs, fingerprint: Fingerprint) -> RequestStatus {
+        let Some(evidence) = self.known.get(&fingerprint) else { return RequestStatus::Allowed };
         let lives = evidence.count();
-        if lives < ENOUGH_LIVES {
-            return Standing::Clear;
+        if lives < BLOCK_THRESHOLD {
+            return RequestStatus::Allowed;
         }
         let Blame { alone, explained } = self.blame(fingerprint, evidence);
-        let is_certain = alone >= ENOUGH_LIVES || lives >= CERTAIN_LIVES;
-        if !is_certain && lives - explained < ENOUGH_LIVES {
-            return Standing::Clear;
+        let is_certain = alone >= BLOCK_THRESHOLD || lives >= CERTAIN_LIVES;
+        if !is_certain && lives - explained < BLOCK_THRESHOLD {
+            return RequestStatus::Allowed;
         }
-        let doublings = lives.saturating_sub(ENOUGH_LIVES).min(7);
+        let doublings = lives.saturating_sub(BLOCK_THRESHOLD).min(7);
         let trial_at = evidence.latest_at().plus(BARRED_MS << doublings);
         if is_certain && now < trial_at {
-            return Standing::Barred { until: trial_at };
+            return RequestStatus::Blocked { until: trial_at };
         }
         match self.asked.get(&fingerprint) {
             Some((number, at)) if *number == lives && now < at.plus(ASK_AGAIN_MS) => {
-                Standing::Barred { until: at.plus(ASK_AGAIN_MS) }
+                RequestStatus::Blocked { until: at.plus(ASK_AGAIN_MS) }
             }
-            _ => Standing::Trial { number: lives },
+            _ => RequestStatus::Trial { number: lives },
         }
     }
 
@@ -120,15 +120,15 @@
     }
 
     /// Counts the requests that are sent to no target now.
-    pub fn count_barred(&self, now: UnixMs) -> usize {
-        let is_clear = |of: &Fingerprint| self.standing(now, *of) == Standing::Clear;
+    pub fn count_blocked(&self, now: UnixMs) -> usize {
+        let is_clear = |of: &Fingerprint| self.status(now, *of) == RequestStatus::Allowed;
         self.known.keys().filter(|fingerprint| !is_clear(fingerprint)).count()
     }
 
     /// Forgets what is too old to matter, and the oldest of what is too much; returns what it forgot.
     pub fn expire(&mut self, now: UnixMs) -> Vec<Fingerprint> {
         let is_old = |evidence: &Evidence| {
-            let kept_ms = if evidence.count() < ENOUGH_LIVES { KEPT_MS } else { KEPT_BARRED_MS };
+            let kept_ms = if evidence.count() < BLOCK_THRESHOLD { KEPT_MS } else { KEPT_BARRED_MS };
             evidence.latest_at().plus(kept_ms) <= now
         };
         let mut over: Vec<Fingerprint> =
@@ -139,7 +139,7 @@
                 .known
                 .iter()
                 .filter(|(_, evidence)| !is_old(evidence))
-                .map(|(of, held)| (held.count() >= ENOUGH_LIVES, held.latest_at(), *of))
+                .map(|(of, held)| (held.count() >= BLOCK_THRESHOLD, held.latest_at(), *of))
                 .collect();
             by_worth.sort_unstable();
             over.extend(by_worth.iter().take(left - KNOWN_MAX).map(|(_, _, of)| *of));
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -17,7 +17,9 @@
 use crate::platform::Platform;
 use catkinmast_member::{CrashFact, Fact};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{ENOUGH_LIVES, Evidence, Fingerprint, Standing, TargetIncarnation};
+use catkinmast_quarantine::{
+    BLOCK_THRESHOLD, Evidence, Fingerprint, RequestStatus, TargetIncarnation,
+};
 use serde_json::json;
 use std::rc::Rc;
 
@@ -28,8 +30,8 @@
 
 /// Tells whether a request is free to be sent to targets.
 pub(crate) fn is_clear<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> bool {
-    let standing = node.quarantine.borrow().standing(UnixMs::from_wall_clock(), fingerprint);
-    standing == Standing::Clear
+    let standing = node.quarantine.borrow().status(UnixMs::from_wall_clock(), fingerprint);
+    standing == RequestStatus::Allowed
 }
 
 /// Tells whether a request is sent to no target, before one is chosen or waited for.
@@ -38,8 +40,8 @@
     outgoing: &Outgoing,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
-        Standing::Barred { until } => Err(barred(until)),
-        Standing::Clear | Standing::Trial { .. } => Ok(()),
+        RequestStatus::Blocked { until } => Err(barred(until)),
+        RequestStatus::Allowed | RequestStatus::Trial { .. } => Ok(()),
     }
 }
 
@@ -49,17 +51,17 @@
     outgoing: &Outgoing,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
-        Standing::Clear => Ok(()),
-        Standing::Barred { until } => Err(barred(until)),
-        Standing::Trial { number } => admit_to_trial(node, outgoing, number).await,
+        RequestStatus::Allowed => Ok(()),
+        RequestStatus::Blocked { until } => Err(barred(until)),
+        RequestStatus::Trial { number } => admit_to_trial(node, outgoing, number).await,
     }
 }
 
-fn standing<P: Platform>(node: &Node<P>, outgoing: &Outgoing) -> Standing {
+fn standing<P: Platform>(node: &Node<P>, outgoing: &Outgoing) -> RequestStatus {
     if !is_any_known(node) {
-        return Standing::Clear;
+        return RequestStatus::Allowed;
     }
-    node.quarantine.borrow().standing(UnixMs::from_wall_clock(), outgoing.fingerprint())
+    node.quarantine.borrow().status(UnixMs::from_wall_clock(), outgoing.fingerprint())
 }
 
 async fn admit_to_trial<P: Platform>(
@@ -159,6 +161,6 @@
     node.note(
         "request_barred",
         json!({ "fingerprint": fingerprint.to_string(), "targets": targets, "by": by,
-                "enough": ENOUGH_LIVES }),
+                "enough": BLOCK_THRESHOLD }),
     );
 }
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -67,7 +67,7 @@
         }
         save(&node).await;
         forget_old(&node, is_first).await;
-        let barred = node.quarantine.borrow().count_barred(UnixMs::from_wall_clock());
+        let barred = node.quarantine.borrow().count_blocked(UnixMs::from_wall_clock());
         node.metrics.requests_barred.set(barred as i64);
     }
 }
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -3,7 +3,7 @@
 use catkinmast_member::{Board, CrashFact, Fact, Merge};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::{
-    ENOUGH_LIVES, Evidence, Fingerprint, InterruptedRequests, Quarantine, Standing,
+    BLOCK_THRESHOLD, Evidence, Fingerprint, InterruptedRequests, Quarantine, RequestStatus,
     TargetIncarnation, TargetOutcome,
 };
 use proptest::prelude::*;
@@ -36,7 +36,7 @@
 }
 
 fn is_barred(quarantine: &Quarantine, now: UnixMs, name: &str) -> bool {
-    matches!(quarantine.standing(now, request(name)), Standing::Barred { .. })
+    matches!(quarantine.status(now, request(name)), RequestStatus::Blocked { .. })
 }
 
 #[test]
@@ -88,7 +88,7 @@
     quarantine.ended(NOW, request("s"), life(3));
     quarantine.ended(NOW, request("s"), life(4));
 
-    assert_eq!(quarantine.standing(NOW, request("s")), Standing::Clear);
+    assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
     assert!(!quarantine.survived(request("never under way")), "nothing changes");
 }
 
@@ -100,7 +100,7 @@
     let quarantine = quarantine(&[("p", &[1, 2, 3, 4]), ("s", &[1, 2, 3])]);
 
     assert!(is_barred(&quarantine, NOW, "p"));
-    assert_eq!(quarantine.standing(NOW, request("s")), Standing::Clear);
+    assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
 // Symptom: of two requests with the same record the sound one is turned away, or neither is barred.
@@ -110,7 +110,7 @@
 fn two_requests_with_the_same_record_are_told_apart_by_a_trial() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
     for name in ["p", "s"] {
-        assert_eq!(quarantine.standing(NOW, request(name)), Standing::Trial { number: 3 });
+        assert_eq!(quarantine.status(NOW, request(name)), RequestStatus::Trial { number: 3 });
         quarantine.asks(NOW, request(name), 3);
         assert!(is_barred(&quarantine, NOW, name), "this node has asked for its trial");
     }
@@ -118,7 +118,7 @@
     quarantine.ended(NOW, request("p"), life(4));
 
     assert!(is_barred(&quarantine, NOW, "p"));
-    assert_eq!(quarantine.standing(NOW, request("s")), Standing::Clear);
+    assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
 #[test]
@@ -127,8 +127,8 @@
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
 
     for number in 4..10 {
-        match quarantine.standing(NOW, request("p")) {
-            Standing::Trial { number } => numbers.insert(number),
+        match quarantine.status(NOW, request("p")) {
+            RequestStatus::Trial { number } => numbers.insert(number),
             _ => break,
         };
         for name in ["p", "s"] {
@@ -147,16 +147,16 @@
 fn a_barred_request_is_tried_again_after_ever_longer_times() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
     let first = NOW.plus(10 * MINUTE_MS);
-    assert_eq!(quarantine.standing(NOW, request("p")), Standing::Barred { until: first });
-    assert_eq!(quarantine.standing(first, request("p")), Standing::Trial { number: 3 });
+    assert_eq!(quarantine.status(NOW, request("p")), RequestStatus::Blocked { until: first });
+    assert_eq!(quarantine.status(first, request("p")), RequestStatus::Trial { number: 3 });
 
     quarantine.ended(first, request("p"), life(4));
 
     let second = first.plus(20 * MINUTE_MS);
-    assert_eq!(quarantine.standing(first, request("p")), Standing::Barred { until: second });
-    assert_eq!(quarantine.standing(second, request("p")), Standing::Trial { number: 4 });
+    assert_eq!(quarantine.status(first, request("p")), RequestStatus::Blocked { until: second });
+    assert_eq!(quarantine.status(second, request("p")), RequestStatus::Trial { number: 4 });
     quarantine.survived(request("p"));
-    assert_eq!(quarantine.standing(second, request("p")), Standing::Clear);
+    assert_eq!(quarantine.status(second, request("p")), RequestStatus::Allowed);
 }
 
 #[test]
@@ -371,10 +371,10 @@
     }
 
     fn admits(&mut self, node: usize, name: &str) -> bool {
-        match self.nodes[node].standing(self.now, request(name)) {
-            Standing::Barred { .. } => false,
-            Standing::Clear => true,
-            Standing::Trial { number } => {
+        match self.nodes[node].status(self.now, request(name)) {
+            RequestStatus::Blocked { .. } => false,
+            RequestStatus::Allowed => true,
+            RequestStatus::Trial { number } => {
                 self.nodes[node].asks(self.now, request(name), number);
                 self.trials.insert((name.to_owned(), number))
             }
@@ -425,7 +425,7 @@
             }
             day.play_round(calls);
         }
-        let third = day.ends[ENOUGH_LIVES - 1].plus(SETTLED_MS);
+        let third = day.ends[BLOCK_THRESHOLD - 1].plus(SETTLED_MS);
         let repeats = day.runs[ENDS_TARGETS].iter().filter(|at| **at > third).count();
         assert!(repeats <= REPEATS_MAX, "seed {seed}: it was sent {repeats} times more");
         let refused = sound.into_iter().filter(|name| !day.admits(0, name));
