--- a/crates/member/src/fact.rs
+++ b/crates/member/src/fact.rs
@@ -164,7 +164,7 @@
     pub fn joined(self, held: &Self) -> Self {
         match (self, held) {
             (Self::Crash(mut new), Self::Crash(old)) => {
-                new.evidence.join(&old.evidence);
+                new.evidence.merge(&old.evidence);
                 Self::Crash(new)
             }
             (fact, _) => fact,
@@ -179,7 +179,7 @@
     pub fn supersedes(&self, held: &Self) -> bool {
         match (self, held) {
             (Self::Config(new), Self::Config(old)) => new.revision > old.revision,
-            (Self::Crash(new), Self::Crash(old)) => old.evidence.clone().join(&new.evidence),
+            (Self::Crash(new), Self::Crash(old)) => old.evidence.clone().merge(&new.evidence),
             (Self::Node(new), Self::Node(old)) => new.order() > old.order(),
             (Self::Owner(new), Self::Owner(old)) => new.fence > old.fence,
             (Self::Target(new), Self::Target(old)) => new.order() > old.order(),
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -21,7 +21,7 @@
 /// The targets that ended while a request was under way at them.
 ///
 /// Nodes see different ends of the same request and tell each other, in any order and more than once.
-/// [`Self::join`] makes one of what two nodes know, whichever comes first: an end is never taken back,
+/// [`Self::merge`] makes one of what two nodes know, whichever comes first: an end is never taken back,
 /// only refuted, and that is never taken back either. Kept in the order of lives, so that two nodes that
 /// know the same write the same.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -31,7 +31,7 @@
 
 impl Evidence {
     /// Takes the end of a target; returns whether it is news.
-    pub fn note(&mut self, at: UnixMs, life: TargetIncarnation) -> bool {
+    pub fn record_end(&mut self, at: UnixMs, life: TargetIncarnation) -> bool {
         let is_news = !self.ends.contains_key(&life);
         self.ends.entry(life).or_insert(End { at, refuted: false });
         self.trim();
@@ -41,13 +41,13 @@
     /// Takes it that a target has survived the request: what ended those before was something else.
     /// Returns whether that is news.
     pub fn refute(&mut self) -> bool {
-        let is_news = self.count() > 0;
+        let is_news = self.unrefuted_count() > 0;
         self.ends.values_mut().for_each(|end| end.refuted = true);
         is_news
     }
 
     /// Takes what another node knows; returns whether any of it is news.
-    pub fn join(&mut self, other: &Self) -> bool {
+    pub fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
         for (life, end) in &other.ends {
             let held = self.ends.entry(life.clone()).or_insert(*end);
@@ -59,13 +59,13 @@
     }
 
     /// Walks through the lives that count: those whose end nothing has refuted.
-    pub fn counted(&self) -> impl Iterator<Item = &TargetIncarnation> {
+    pub fn unrefuted(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.ends.iter().filter(|(_, end)| !end.refuted).map(|(life, _)| life)
     }
 
     /// Returns how many lives count.
-    pub fn count(&self) -> usize {
-        self.counted().count()
+    pub fn unrefuted_count(&self) -> usize {
+        self.unrefuted().count()
     }
 
     /// Returns how many lives are known, those that do not count among them.
@@ -79,7 +79,7 @@
     }
 
     /// Tells whether the end of a life counts.
-    pub fn counts(&self, life: &TargetIncarnation) -> bool {
+    pub fn is_unrefuted(&self, life: &TargetIncarnation) -> bool {
         self.ends.get(life).is_some_and(|end| !end.refuted)
     }
 
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -75,24 +75,29 @@
     }
 
     /// Takes the end of a target under a request; returns whether it is news.
-    pub fn ended(&mut self, at: UnixMs, fingerprint: Fingerprint, life: TargetIncarnation) -> bool {
-        self.known.entry(fingerprint).or_default().note(at, life)
+    pub fn record_end(
+        &mut self,
+        at: UnixMs,
+        fingerprint: Fingerprint,
+        life: TargetIncarnation,
+    ) -> bool {
+        self.known.entry(fingerprint).or_default().record_end(at, life)
     }
 
     /// Takes it that a target has survived a request; returns whether that changes anything.
-    pub fn survived(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_answer(&mut self, fingerprint: Fingerprint) -> bool {
         self.known.get_mut(&fingerprint).is_some_and(Evidence::refute)
     }
 
     /// Takes what another node knows, or the store; returns whether any of it is news.
-    pub fn learn(&mut self, fingerprint: Fingerprint, evidence: &Evidence) -> bool {
-        self.known.entry(fingerprint).or_default().join(evidence)
+    pub fn merge(&mut self, fingerprint: Fingerprint, evidence: &Evidence) -> bool {
+        self.known.entry(fingerprint).or_default().merge(evidence)
     }
 
     /// Tells whether a request may be sent to a target.
     pub fn status(&self, now: UnixMs, fingerprint: Fingerprint) -> RequestStatus {
         let Some(evidence) = self.known.get(&fingerprint) else { return RequestStatus::Allowed };
-        let lives = evidence.count();
+        let lives = evidence.unrefuted_count();
         if lives < BLOCK_THRESHOLD {
             return RequestStatus::Allowed;
         }
@@ -115,7 +120,7 @@
     }
 
     /// Notes that this node asks for a trial; it is asked for once.
-    pub fn asks(&mut self, now: UnixMs, fingerprint: Fingerprint, number: usize) {
+    pub fn record_trial_request(&mut self, now: UnixMs, fingerprint: Fingerprint, number: usize) {
         self.asked.insert(fingerprint, (number, now));
     }
 
@@ -128,7 +133,8 @@
     /// Forgets what is too old to matter, and the oldest of what is too much; returns what it forgot.
     pub fn expire(&mut self, now: UnixMs) -> Vec<Fingerprint> {
         let is_old = |evidence: &Evidence| {
-            let kept_ms = if evidence.count() < BLOCK_THRESHOLD { KEPT_MS } else { KEPT_BARRED_MS };
+            let kept_ms =
+                if evidence.unrefuted_count() < BLOCK_THRESHOLD { KEPT_MS } else { KEPT_BARRED_MS };
             evidence.latest_at().plus(kept_ms) <= now
         };
         let mut over: Vec<Fingerprint> =
@@ -139,7 +145,9 @@
                 .known
                 .iter()
                 .filter(|(_, evidence)| !is_old(evidence))
-                .map(|(of, held)| (held.count() >= BLOCK_THRESHOLD, held.latest_at(), *of))
+                .map(|(of, held)| {
+                    (held.unrefuted_count() >= BLOCK_THRESHOLD, held.latest_at(), *of)
+                })
                 .collect();
             by_worth.sort_unstable();
             over.extend(by_worth.iter().take(left - KNOWN_MAX).map(|(_, _, of)| *of));
@@ -153,11 +161,13 @@
 
     /// Sets the ends of a request's targets against those of the others that were under way there.
     fn blame(&self, fingerprint: Fingerprint, evidence: &Evidence) -> Blame {
-        let own = evidence.count();
+        let own = evidence.unrefuted_count();
         let mut blame = Blame::default();
-        for life in evidence.counted() {
+        for life in evidence.unrefuted() {
             let others = self.known.iter().filter(|(other, _)| **other != fingerprint);
-            let most = others.filter(|(_, held)| held.counts(life)).map(|(_, held)| held.count());
+            let most = others
+                .filter(|(_, held)| held.is_unrefuted(life))
+                .map(|(_, held)| held.unrefuted_count());
             match most.max().unwrap_or(0).cmp(&own) {
                 Ordering::Less => blame.alone += 1,
                 Ordering::Equal => {}
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -71,7 +71,7 @@
 ) -> Result<(), AttemptFailure> {
     let fingerprint = outgoing.fingerprint();
     let now = UnixMs::from_wall_clock();
-    node.quarantine.borrow_mut().asks(now, fingerprint, number);
+    node.quarantine.borrow_mut().record_trial_request(now, fingerprint, number);
     let is_ours = records::claim_trial(node, fingerprint, number).await;
     node.note(
         "request_trial",
@@ -79,7 +79,7 @@
                 "request": outgoing.request_id }),
     );
     // The store may answer after seconds; another target may have ended meanwhile.
-    let ends = node.quarantine.borrow().evidence(fingerprint).map_or(0, Evidence::count);
+    let ends = node.quarantine.borrow().evidence(fingerprint).map_or(0, Evidence::unrefuted_count);
     if is_ours && ends <= number { Ok(()) } else { Err(barred(now.plus(records::TRIAL_MS))) }
 }
 
@@ -96,7 +96,7 @@
     }
     let fingerprint = outgoing.fingerprint();
     node.broken_off.borrow_mut().forget(fingerprint);
-    if node.quarantine.borrow_mut().survived(fingerprint) {
+    if node.quarantine.borrow_mut().record_answer(fingerprint) {
         node.note("request_cleared", json!({ "fingerprint": fingerprint.to_string() }));
         spread(node, fingerprint);
     }
@@ -106,7 +106,7 @@
 fn ended<P: Platform>(node: &Node<P>, fingerprint: Fingerprint, life: TargetIncarnation) {
     let was_clear = is_clear(node, fingerprint);
     let now = UnixMs::from_wall_clock();
-    if node.quarantine.borrow_mut().ended(now, fingerprint, life) {
+    if node.quarantine.borrow_mut().record_end(now, fingerprint, life) {
         note_if_barred(node, fingerprint, was_clear, "seen here");
         spread(node, fingerprint);
     }
@@ -125,7 +125,7 @@
     by: &'static str,
 ) -> bool {
     let was_clear = is_clear(node, fingerprint);
-    let is_news = node.quarantine.borrow_mut().learn(fingerprint, evidence);
+    let is_news = node.quarantine.borrow_mut().merge(fingerprint, evidence);
     if is_news {
         note_if_barred(node, fingerprint, was_clear, by);
     }
@@ -156,7 +156,7 @@
         return;
     }
     let quarantine = node.quarantine.borrow();
-    let lives = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::counted);
+    let lives = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::unrefuted);
     let targets: Vec<String> = lives.map(TargetIncarnation::to_string).collect();
     node.note(
         "request_barred",
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -29,7 +29,7 @@
     let mut quarantine = Quarantine::default();
     for (name, lives) in ends {
         for number in *lives {
-            quarantine.ended(NOW, request(name), life(*number));
+            quarantine.record_end(NOW, request(name), life(*number));
         }
     }
     quarantine
@@ -72,7 +72,7 @@
     let mut quarantine = quarantine(&[("p", &[1, 2])]);
     let again = TargetIncarnation { started_at_unix_ms: Some(7), ..life(1) };
 
-    assert!(quarantine.ended(NOW, request("p"), again));
+    assert!(quarantine.record_end(NOW, request("p"), again));
 
     assert!(is_barred(&quarantine, NOW, "p"));
 }
@@ -84,12 +84,12 @@
 fn an_answer_clears_a_request() {
     let mut quarantine = quarantine(&[("s", &[1, 2])]);
 
-    assert!(quarantine.survived(request("s")));
-    quarantine.ended(NOW, request("s"), life(3));
-    quarantine.ended(NOW, request("s"), life(4));
+    assert!(quarantine.record_answer(request("s")));
+    quarantine.record_end(NOW, request("s"), life(3));
+    quarantine.record_end(NOW, request("s"), life(4));
 
     assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
-    assert!(!quarantine.survived(request("never under way")), "nothing changes");
+    assert!(!quarantine.record_answer(request("never under way")), "nothing changes");
 }
 
 // Symptom: sound requests are turned away with the one that ends the targets.
@@ -111,11 +111,11 @@
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
     for name in ["p", "s"] {
         assert_eq!(quarantine.status(NOW, request(name)), RequestStatus::Trial { number: 3 });
-        quarantine.asks(NOW, request(name), 3);
+        quarantine.record_trial_request(NOW, request(name), 3);
         assert!(is_barred(&quarantine, NOW, name), "this node has asked for its trial");
     }
 
-    quarantine.ended(NOW, request("p"), life(4));
+    quarantine.record_end(NOW, request("p"), life(4));
 
     assert!(is_barred(&quarantine, NOW, "p"));
     assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
@@ -132,7 +132,7 @@
             _ => break,
         };
         for name in ["p", "s"] {
-            quarantine.ended(NOW, request(name), life(number));
+            quarantine.record_end(NOW, request(name), life(number));
         }
     }
 
@@ -150,12 +150,12 @@
     assert_eq!(quarantine.status(NOW, request("p")), RequestStatus::Blocked { until: first });
     assert_eq!(quarantine.status(first, request("p")), RequestStatus::Trial { number: 3 });
 
-    quarantine.ended(first, request("p"), life(4));
+    quarantine.record_end(first, request("p"), life(4));
 
     let second = first.plus(20 * MINUTE_MS);
     assert_eq!(quarantine.status(first, request("p")), RequestStatus::Blocked { until: second });
     assert_eq!(quarantine.status(second, request("p")), RequestStatus::Trial { number: 4 });
-    quarantine.survived(request("p"));
+    quarantine.record_answer(request("p"));
     assert_eq!(quarantine.status(second, request("p")), RequestStatus::Allowed);
 }
 
@@ -175,7 +175,7 @@
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
     for number in 0..3_000 {
         let at = NOW.plus(1 + u64::from(number));
-        quarantine.ended(at, request(&format!("s{number}")), life(number));
+        quarantine.record_end(at, request(&format!("s{number}")), life(number));
     }
 
     let forgotten = quarantine.expire(NOW.plus(MINUTE_MS));
@@ -231,7 +231,7 @@
     let fact = |numbers: &[u32]| {
         let mut evidence = Evidence::default();
         for number in numbers {
-            evidence.note(NOW, life(*number));
+            evidence.record_end(NOW, life(*number));
         }
         Fact::Crash(CrashFact { evidence, fingerprint: request("p") })
     };
@@ -252,7 +252,7 @@
         |ends| {
             let mut evidence = Evidence::default();
             for (number, at_ms, refuted) in ends {
-                evidence.note(NOW.plus(at_ms), life(number));
+                evidence.record_end(NOW.plus(at_ms), life(number));
                 if refuted {
                     evidence.refute();
                 }
@@ -265,7 +265,7 @@
 fn joined(parts: &[&Evidence]) -> Evidence {
     let mut all = Evidence::default();
     for part in parts {
-        all.join(part);
+        all.merge(part);
     }
     all
 }
@@ -354,10 +354,10 @@
                 let node = &mut self.nodes[call.node];
                 // A sound request is done before its target ends as often as not.
                 if !ends || (call.name != ENDS_TARGETS && self.rng.random()) {
-                    node.survived(request(&call.name));
+                    node.record_answer(request(&call.name));
                     continue;
                 }
-                node.ended(self.now, request(&call.name), life(target));
+                node.record_end(self.now, request(&call.name), life(target));
                 if call.attempts_left > 1 {
                     left.push(Call { attempts_left: call.attempts_left - 1, ..call });
                 }
@@ -375,7 +375,7 @@
             RequestStatus::Blocked { .. } => false,
             RequestStatus::Allowed => true,
             RequestStatus::Trial { number } => {
-                self.nodes[node].asks(self.now, request(name), number);
+                self.nodes[node].record_trial_request(self.now, request(name), number);
                 self.trials.insert((name.to_owned(), number))
             }
         }
@@ -390,7 +390,7 @@
                 self.nodes.iter().filter_map(|node| node.evidence(of).cloned()).collect();
             for node in &mut self.nodes {
                 for evidence in &held {
-                    node.learn(of, evidence);
+                    node.merge(of, evidence);
                 }
             }
         }
--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -191,7 +191,7 @@
     let ends = values.map(|value| {
         let (evidence, _): (Evidence, Fingerprint) =
             postcard::from_bytes(&value).expect("a record");
-        evidence.count()
+        evidence.unrefuted_count()
     });
     ends.max().unwrap_or(0)
 }
