--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,6 +1,6 @@
 //! Leases on exclusive work, with fencing numbers.
 //!
-//! [`Tenure`] is one node's claim on one duty, e.g. the steps of a trainer. It decides when to
+//! [`LeaseClaim`] is one node's claim on one duty, e.g. the steps of a trainer. It decides when to
 //! ask for the lease, when to renew it and when to stop acting on it; the edge carries out the
 //! calls on the key-value service and reports what came back.
 //!
@@ -8,7 +8,7 @@
 //!
 //! - *The holder is paused past its lease.* It would go on acting beside the new holder. So the
 //!   holder counts the time by its own clock from **before** the renewal was sent, stops
-//!   [`MARGIN_MS`] before the service would let the lease lapse, and [`Tenure::fence`] is asked
+//!   [`MARGIN_MS`] before the service would let the lease lapse, and [`LeaseClaim::fence`] is asked
 //!   right before each act, not once at the start.
 //! - *A reply is lost.* The holder cannot know whether it holds the lease. After a lost reply it
 //!   reads the key and looks for its own life in it.
@@ -33,7 +33,7 @@
 
 /// The times of a lease.
 #[derive(Clone, Copy, Debug)]
-pub struct TenureSettings {
+pub struct LeaseSettings {
     /// How long before the lapse the holder stops acting. Default: [`MARGIN_MS`].
     pub margin_ms: u64,
     /// How long a new holder's orders wait. Default: [`ORDER_FLIGHT_MS`].
@@ -46,7 +46,7 @@
     pub ttl_ms: u64,
 }
 
-impl TenureSettings {
+impl LeaseSettings {
     /// The defaults, as a constant.
     pub const DEFAULT: Self = Self {
         margin_ms: MARGIN_MS,
@@ -57,7 +57,7 @@
     };
 }
 
-impl Default for TenureSettings {
+impl Default for LeaseSettings {
     fn default() -> Self {
         Self::DEFAULT
     }
@@ -122,22 +122,22 @@
 
 /// One node's claim on one duty.
 #[derive(Clone, Debug)]
-pub struct Tenure {
+pub struct LeaseClaim {
     in_flight: Option<(Action, UnixMs)>,
     me: HolderRecord,
     next_at: UnixMs,
     phase: Phase,
-    settings: TenureSettings,
+    settings: LeaseSettings,
 }
 
-impl Tenure {
+impl LeaseClaim {
     /// Opens a claim that holds nothing, with the default times.
     pub const fn open(me: HolderRecord) -> Self {
-        Self::open_with(me, TenureSettings::DEFAULT)
+        Self::open_with(me, LeaseSettings::DEFAULT)
     }
 
     /// Opens a claim that holds nothing.
-    pub const fn open_with(me: HolderRecord, settings: TenureSettings) -> Self {
+    pub const fn open_with(me: HolderRecord, settings: LeaseSettings) -> Self {
         Self { in_flight: None, me, next_at: UnixMs(0), phase: Phase::Free, settings }
     }
 
--- a/crates/node/src/control/trainers.rs
+++ b/crates/node/src/control/trainers.rs
@@ -6,7 +6,7 @@
 use crate::edge::runner::{RunJob, run_for_owner};
 use crate::edge::{duties, store};
 use catkinmast_config::{Document, Trainer};
-use catkinmast_lease::{Action, Change, HolderRecord, Report, Tenure};
+use catkinmast_lease::{Action, Change, HolderRecord, LeaseClaim, Report};
 use catkinmast_member::{Fact, NodeState, OwnerFact};
 use catkinmast_model::{Fence, Name, Refusal, SampleId, UnixMs};
 use catkinmast_platform::{LeaseId, WeightOrder};
@@ -49,7 +49,7 @@
     model: Name,
     owned: Option<Owned>,
     scorer: Name,
-    tenure: Tenure,
+    tenure: LeaseClaim,
 }
 
 /// A trainer whose steps this node owns.
@@ -97,7 +97,7 @@
                 model: trainer.model.clone(),
                 owned: None,
                 scorer: trainer.scorer.clone(),
-                tenure: Tenure::open(holder.clone()),
+                tenure: LeaseClaim::open(holder.clone()),
             });
             duty.model = trainer.model.clone();
             duty.scorer = trainer.scorer.clone();
--- a/crates/serve/src/tenancy.rs
+++ b/crates/serve/src/tenancy.rs
@@ -10,7 +10,7 @@
 use crate::peers::{self, Owner};
 use crate::platform::Platform;
 use crate::store::{Expectation, LeaseId, Put, StoreAnswer, StoreCall, StoreRefusal};
-use catkinmast_lease::{Action, Change, HolderRecord, Report, Tenure, TenureSettings};
+use catkinmast_lease::{Action, Change, HolderRecord, LeaseClaim, LeaseSettings, Report};
 use catkinmast_member::OwnerFact;
 use catkinmast_model::{Fence, Name, UnixMs, Verdict};
 use serde_json::json;
@@ -43,7 +43,7 @@
     lease: Cell<Option<LeaseId>>,
     record: HolderRecord,
     resigned_until: Cell<UnixMs>,
-    tenure: RefCell<Tenure>,
+    tenure: RefCell<LeaseClaim>,
 }
 
 impl Tenancy {
@@ -56,9 +56,9 @@
         let me = peers::me(node)?;
         let record = HolderRecord { incarnation: me.incarnation, node: me.node };
         let settings = node.settings();
-        let tenure = Tenure::open_with(
+        let tenure = LeaseClaim::open_with(
             record.clone(),
-            TenureSettings {
+            LeaseSettings {
                 margin_ms: LEASE_MARGIN_MS,
                 order_flight_ms: (settings.order_lease_ms + ORDER_FLIGHT_MS)
                     .saturating_sub(LEASE_MARGIN_MS),
--- a/tests/all/lease_retake.rs
+++ b/tests/all/lease_retake.rs
@@ -1,18 +1,18 @@
 //! A lease that an earlier life on the same machine held.
 
-use catkinmast_lease::{Action, Change, HolderRecord, Report, Tenure, TenureSettings};
+use catkinmast_lease::{Action, Change, HolderRecord, LeaseClaim, LeaseSettings, Report};
 use catkinmast_model::{Fence, Incarnation, UnixMs};
 
-fn tenure() -> Tenure {
+fn tenure() -> LeaseClaim {
     let node = "n1".parse().expect("a name");
-    let settings = TenureSettings {
+    let settings = LeaseSettings {
         margin_ms: 1_200,
         order_flight_ms: 2_000,
         renew_every_ms: 500,
         retry_every_ms: 300,
         ttl_ms: 2_500,
     };
-    Tenure::open_with(HolderRecord { incarnation: Incarnation(2), node }, settings)
+    LeaseClaim::open_with(HolderRecord { incarnation: Incarnation(2), node }, settings)
 }
 
 // Symptom: no engine gets new weights for six seconds after all nodes restarted.
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -8,7 +8,7 @@
     CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, HeadSeen, diff,
     merge,
 };
-use catkinmast_lease::{HolderRecord, Report, Tenure};
+use catkinmast_lease::{HolderRecord, LeaseClaim, Report};
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
     Admission, AdmissionLimits, Begin, Choice, Outcome, RecordedAnswer, Released, RetryBudget,
@@ -53,7 +53,7 @@
     follower: Follower,
     rng: Pcg64Mcg,
     targets: Targets,
-    tenure: Tenure,
+    tenure: LeaseClaim,
     tickets: TicketBook,
     waiting: IndexMap<WaitId, String>,
 }
@@ -79,7 +79,7 @@
             follower: Follower::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
             targets: Targets::open(TargetSettings::default()),
-            tenure: Tenure::open(holder()),
+            tenure: LeaseClaim::open(holder()),
             tickets: TicketBook::open(ticket_limits),
             waiting: IndexMap::new(),
         }
