--- a/crates/trail/src/lib.rs
+++ b/crates/trail/src/lib.rs
@@ -8,7 +8,7 @@
 mod steps;
 
 pub use logs::{LogError, count_unreadable, read_logs};
-pub use steps::{StepAccount, StepTotals, steps, totals};
+pub use steps::{StepBreakdown, StepMeans, means_by_model, step_breakdowns};
 
 use serde_json::Value;
 
@@ -17,7 +17,7 @@
 
 /// One line of a story.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct HistoryEntry {
     /// The line, whole.
     pub line: Value,
     /// The wall clock of the process that wrote it, in milliseconds since the Unix epoch. Clocks
@@ -36,7 +36,7 @@
 }
 
 /// Returns the lines that tell what became of `id`, in the order of time.
-pub fn story<'a>(lines: impl Iterator<Item = &'a str> + Clone, id: &str) -> Vec<Step> {
+pub fn history<'a>(lines: impl Iterator<Item = &'a str> + Clone, id: &str) -> Vec<HistoryEntry> {
     let direct: Vec<Value> =
         lines.clone().filter_map(object).filter(|line| names(line, id)).collect();
     let batch = direct
@@ -47,9 +47,9 @@
     if let Some(batch) = batch {
         all.extend(lines.filter_map(object).filter(|line| line["request"] == batch.as_str()));
     }
-    let mut steps: Vec<Step> = all
+    let mut steps: Vec<HistoryEntry> = all
         .into_iter()
-        .map(|line| Step { at_unix_ms: line["at_unix_ms"].as_u64().unwrap_or(0), line })
+        .map(|line| HistoryEntry { at_unix_ms: line["at_unix_ms"].as_u64().unwrap_or(0), line })
         .collect();
     steps.sort_by_key(|step| step.at_unix_ms);
     steps
@@ -57,7 +57,7 @@
 
 /// Writes a step for people: the time since the story's first step, the node, the event, and the
 /// other fields.
-pub fn tell(step: &Step, first_unix_ms: u64) -> String {
+pub fn format_entry(step: &HistoryEntry, first_unix_ms: u64) -> String {
     let after_ms = step.at_unix_ms.saturating_sub(first_unix_ms);
     let mut text = format!(
         "{after_ms:>7} ms  {}  {}",
--- a/crates/trail/src/steps.rs
+++ b/crates/trail/src/steps.rs
@@ -12,7 +12,7 @@
 
 /// The account of one step that its trainer has ended. All times are in milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct StepAccount {
+pub struct StepBreakdown {
     /// Id of the batch.
     pub batch: String,
     /// Events of the item that ended it.
@@ -32,7 +32,7 @@
     /// Runs of it.
     pub runs: usize,
     /// Between runs of it.
-    pub standing_ms: u64,
+    pub between_runs_ms: u64,
     /// The trainer's step.
     pub step: Option<u64>,
     /// From the opening to the end.
@@ -43,7 +43,7 @@
 
 /// The means over the steps of one model, in milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct StepTotals {
+pub struct StepMeans {
     /// Listing.
     pub listed_ms: u64,
     /// Reading.
@@ -51,7 +51,7 @@
     /// Running.
     pub running_ms: u64,
     /// Standing still between runs.
-    pub standing_ms: u64,
+    pub between_runs_ms: u64,
     /// Steps that were ended.
     pub steps: usize,
     /// The whole.
@@ -81,7 +81,7 @@
 }
 
 /// Returns the accounts of all steps that have ended, in the order of their openings.
-pub fn steps<'a>(lines: impl Iterator<Item = &'a str>) -> Vec<StepAccount> {
+pub fn step_breakdowns<'a>(lines: impl Iterator<Item = &'a str>) -> Vec<StepBreakdown> {
     let mut batches: IndexMap<String, Batch> = IndexMap::new();
     for line in lines.filter_map(object) {
         take(&mut batches, &line);
@@ -91,15 +91,15 @@
 }
 
 /// Returns the means for each model.
-pub fn totals(steps: &[StepAccount]) -> IndexMap<&str, StepTotals> {
-    let mut totals: IndexMap<&str, StepTotals> = IndexMap::new();
+pub fn means_by_model(steps: &[StepBreakdown]) -> IndexMap<&str, StepMeans> {
+    let mut totals: IndexMap<&str, StepMeans> = IndexMap::new();
     for step in steps {
         let held = totals.entry(&step.model).or_default();
         held.steps += 1;
         held.listed_ms += step.listed_ms;
         held.read_ms += step.read_ms;
         held.running_ms += step.running_ms;
-        held.standing_ms += step.standing_ms;
+        held.between_runs_ms += step.between_runs_ms;
         held.took_ms += step.took_ms;
         held.waited_ms += step.waited_ms;
     }
@@ -108,7 +108,7 @@
         held.listed_ms /= steps;
         held.read_ms /= steps;
         held.running_ms /= steps;
-        held.standing_ms /= steps;
+        held.between_runs_ms /= steps;
         held.took_ms /= steps;
         held.waited_ms /= steps;
     }
@@ -147,7 +147,7 @@
     }
 }
 
-fn account(id: &str, batch: &Batch) -> Option<StepAccount> {
+fn account(id: &str, batch: &Batch) -> Option<StepBreakdown> {
     let (opened_ms, ended_ms) = (batch.opened_ms?, batch.ended_ms?);
     let last = |runs: &Vec<Run>| {
         runs.iter()
@@ -168,7 +168,7 @@
         runs.iter().map(|run| run.ended_ms.saturating_sub(run.began_ms.max(opened_ms))).sum();
     let listed = batch.listed_ms.iter().filter(|at| (whole_ms..=ended_ms).contains(at)).max();
     let listed_ms = listed.copied().unwrap_or(whole_ms);
-    Some(StepAccount {
+    Some(StepBreakdown {
         batch: id.to_owned(),
         events: runs.iter().map(|run| run.events).max().unwrap_or(0),
         item: item.clone(),
@@ -178,7 +178,7 @@
         read_ms: ended_ms - listed_ms,
         running_ms,
         runs: runs.len(),
-        standing_ms: (whole_ms - first_ms).saturating_sub(running_ms),
+        between_runs_ms: (whole_ms - first_ms).saturating_sub(running_ms),
         step: batch.step,
         took_ms: ended_ms.saturating_sub(opened_ms),
         waited_ms: first_ms - opened_ms,
--- a/src/bin/catkinmast-steps.rs
+++ b/src/bin/catkinmast-steps.rs
@@ -1,7 +1,7 @@
 //! `catkinmast-steps`: where the time of each training step went.
 
 use argh::FromArgs;
-use catkinmast_trail::{StepAccount, steps, totals};
+use catkinmast_trail::{StepBreakdown, means_by_model, step_breakdowns};
 use std::process::ExitCode;
 
 /// Prints the critical path of each step that its trainer has ended, from the audit trails of all
@@ -15,7 +15,7 @@
     files: Vec<String>,
 }
 
-fn print(step: &StepAccount) {
+fn print(step: &StepBreakdown) {
     let number = step.step.map_or_else(|| "-".to_owned(), |number| number.to_string());
     println!(
         "{:<16} {number:>4} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>6} {:>5} {:>6}  {}",
@@ -23,7 +23,7 @@
         step.took_ms,
         step.waited_ms,
         step.running_ms,
-        step.standing_ms,
+        step.between_runs_ms,
         step.listed_ms,
         step.read_ms,
         step.events,
@@ -46,7 +46,7 @@
     if unreadable > 0 {
         eprintln!("catkinmast-steps: {unreadable} lines are left out, they are cut or joined");
     }
-    let steps = steps(text.lines());
+    let steps = step_breakdowns(text.lines());
     if steps.is_empty() {
         eprintln!("catkinmast-steps: no step has ended in these logs");
         return ExitCode::FAILURE;
@@ -66,13 +66,13 @@
         "owners"
     );
     steps.iter().for_each(print);
-    for (model, mean) in totals(&steps) {
+    for (model, mean) in means_by_model(&steps) {
         println!(
             "{model:<16} mean {:>8} {:>8} {:>8} {:>8} {:>8} {:>8}  of {} steps",
             mean.took_ms,
             mean.waited_ms,
             mean.running_ms,
-            mean.standing_ms,
+            mean.between_runs_ms,
             mean.listed_ms,
             mean.read_ms,
             mean.steps,
--- a/src/bin/catkinmast-trail.rs
+++ b/src/bin/catkinmast-trail.rs
@@ -28,13 +28,13 @@
     if unreadable > 0 {
         eprintln!("catkinmast-trail: {unreadable} lines are left out, they are cut or joined");
     }
-    let steps = catkinmast_trail::story(text.lines(), &arguments.id);
+    let steps = catkinmast_trail::history(text.lines(), &arguments.id);
     let Some(first) = steps.first().map(|step| step.at_unix_ms) else {
         eprintln!("catkinmast-trail: no line names {}", arguments.id);
         return ExitCode::FAILURE;
     };
     for step in &steps {
-        println!("{}", catkinmast_trail::tell(step, first));
+        println!("{}", catkinmast_trail::format_entry(step, first));
     }
     ExitCode::SUCCESS
 }
--- a/tests/all/trail.rs
+++ b/tests/all/trail.rs
@@ -1,7 +1,7 @@
 //! The story of a request from several processes' trails.
 
 use catkinmast_serve::whole_writes;
-use catkinmast_trail::{StepAccount, steps, story, tell, totals};
+use catkinmast_trail::{StepBreakdown, format_entry, history, means_by_model, step_breakdowns};
 
 const LOGS: &str = r#"
 collector-prefix {"at_unix_ms":1000,"at_ms":7,"node":"n1","event":"batch_owned","request":"b1"}
@@ -14,7 +14,7 @@
 "#;
 
 fn events(id: &str) -> Vec<String> {
-    let steps = story(LOGS.lines(), id);
+    let steps = history(LOGS.lines(), id);
     steps.iter().map(|step| step.line["event"].as_str().expect("an event").to_owned()).collect()
 }
 
@@ -31,9 +31,12 @@
 
 #[test]
 fn a_step_is_told_with_its_time_node_event_and_inputs() {
-    let steps = story(LOGS.lines(), "q9");
+    let steps = history(LOGS.lines(), "q9");
 
-    assert_eq!(tell(&steps[0], 1_000), "    100 ms  n3  request_ended  request=\"q9\"  status=502");
+    assert_eq!(
+        format_entry(&steps[0], 1_000),
+        "    100 ms  n3  request_ended  request=\"q9\"  status=502"
+    );
 }
 
 /// The trail of one step of two items: one is short, the other moves and ends the step.
@@ -50,9 +53,9 @@
 
 #[test]
 fn a_steps_time_is_told_by_the_item_that_ended_it() {
-    let steps = steps(STEP.lines());
+    let steps = step_breakdowns(STEP.lines());
 
-    let expected = StepAccount {
+    let expected = StepBreakdown {
         batch: "b1".to_owned(),
         events: 130,
         item: "long".to_owned(),
@@ -62,7 +65,7 @@
         read_ms: 200,
         running_ms: 6_000,
         runs: 2,
-        standing_ms: 50,
+        between_runs_ms: 50,
         step: Some(4),
         took_ms: 6_500,
         waited_ms: 200,
@@ -72,11 +75,12 @@
 
 #[test]
 fn the_parts_of_a_steps_time_add_up() {
-    let steps = steps(STEP.lines());
+    let steps = step_breakdowns(STEP.lines());
 
-    let mean = &totals(&steps)["m"];
+    let mean = &means_by_model(&steps)["m"];
 
-    let parts = mean.waited_ms + mean.running_ms + mean.standing_ms + mean.listed_ms + mean.read_ms;
+    let parts =
+        mean.waited_ms + mean.running_ms + mean.between_runs_ms + mean.listed_ms + mean.read_ms;
     assert_eq!((mean.steps, parts), (1, mean.took_ms));
 }
 
