--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -569,7 +569,7 @@
                 let mut holders = vec![node_name(runner)];
                 holders.extend(self.copy(runner, sample, attempt));
                 let finished = Finished { holders, score_millis: 1_000, segments };
-                self.deliver(owner, Event::RunWhole { attempt, sample });
+                self.deliver(owner, Event::RunComplete { attempt, sample });
                 self.deliver_later(200, owner, Event::RunSafe { attempt, finished, sample });
             }
         }
--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -119,7 +119,7 @@
         RunEvent::Safe { finished } => vec![Event::RunSafe { attempt, finished, sample }],
         RunEvent::Whole { segments } => vec![
             Event::RunProgress { attempt, sample, segments },
-            Event::RunWhole { attempt, sample },
+            Event::RunComplete { attempt, sample },
         ],
     }
 }
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -144,7 +144,7 @@
         sample: SampleId,
     },
     /// All tokens of a run are there; score and copy are under way.
-    RunWhole {
+    RunComplete {
         /// The attempt.
         attempt: Attempt,
         /// The sample.
--- a/crates/rollout/src/orders.rs
+++ b/crates/rollout/src/orders.rs
@@ -20,7 +20,7 @@
     /// After this an order counts as failed, and its place goes to another engine.
     pub give_up_after_ms: u64,
     /// How long a failed engine waits for its next order.
-    pub rest_ms: u64,
+    pub backoff_ms: u64,
     /// The largest share of the engines that swaps at once, in percent.
     pub at_once_percent: u32,
 }
@@ -30,7 +30,7 @@
         Self {
             repeat_every_ms: 2_000,
             give_up_after_ms: 20_000,
-            rest_ms: 5_000,
+            backoff_ms: 5_000,
             at_once_percent: 34,
         }
     }
@@ -121,7 +121,7 @@
 
     /// Closes orders that are done, overtaken by a newer version, or hopeless for now.
     fn settle(&mut self, now: UnixMs, wanted: Version, engines: &[(Name, Option<Version>)]) {
-        let rest_until = now.plus(self.settings.rest_ms);
+        let rest_until = now.plus(self.settings.backoff_ms);
         let resting = &mut self.resting;
         self.open.retain(|name, open| {
             let Some((_, version)) = engines.iter().find(|(engine, _)| engine == name) else {
--- a/crates/rollout/src/owner.rs
+++ b/crates/rollout/src/owner.rs
@@ -216,7 +216,7 @@
             Event::RunSafe { attempt, finished, sample } => {
                 self.run_safe(sample, attempt, finished);
             }
-            Event::RunWhole { attempt, sample } => self.run_whole(now, sample, attempt),
+            Event::RunComplete { attempt, sample } => self.run_whole(now, sample, attempt),
             Event::StepLoaded { spec, step } => self.step_loaded(step, spec),
             Event::StepStored { step, stored } => self.step_stored(now, step, stored),
             Event::Tick => self.tick(now),
