--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -15,7 +15,8 @@
 use crate::usage::Usage;
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    Demand, Document, Item, Lengths, Load, LoadSettings, Pick, TargetChange, TargetTable, Turns,
+    Candidate, Demand, Document, Item, LoadBalancer, LoadBalancerSettings, RunTimeEstimator,
+    TargetChange, TargetTable, WaitQueue,
 };
 use catkinmast_member::{Membership, NodeState};
 use catkinmast_model::{Incarnation, Name, UnixMs, Verdict};
@@ -71,8 +72,8 @@
     pub joined_at: Cell<Option<UnixMs>>,
     pub key: SharedKey,
     pub leaving: Cell<bool>,
-    pub lengths: RefCell<Lengths>,
-    pub load: RefCell<Load>,
+    pub lengths: RefCell<RunTimeEstimator>,
+    pub load: RefCell<LoadBalancer>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
     /// When the last batch of each model was opened.
@@ -90,7 +91,7 @@
     pub targets: RefCell<TargetTable>,
     pub trail: Trail,
     /// The requests that wait because all targets of their service refuse for load, by service.
-    pub turns: RefCell<IndexMap<String, Turns>>,
+    pub turns: RefCell<IndexMap<String, WaitQueue>>,
     /// The requests of which the store does not have this node's evidence yet.
     pub unsaved_crashes: RefCell<IndexSet<Fingerprint>>,
     /// The requests of workspaces, here and as other nodes told.
@@ -121,8 +122,8 @@
             // The platform gives no secret to share; the tag still refuses what is not a frame.
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
-            lengths: RefCell::new(Lengths::default()),
-            load: RefCell::new(Load::open(LoadSettings::default())),
+            lengths: RefCell::new(RunTimeEstimator::default()),
+            load: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
             opened: RefCell::new(IndexMap::new()),
@@ -230,15 +231,15 @@
         &self,
         service: &str,
         fits: impl Fn(&catkinmast_dispatch::TargetEntry) -> bool,
-        choose: impl FnOnce(&Load, UnixMs, &[Pick<'_>]) -> Option<String>,
+        choose: impl FnOnce(&LoadBalancer, UnixMs, &[Candidate<'_>]) -> Option<String>,
     ) -> Option<(String, SocketAddr)> {
         let now = clock::now();
         let settings = self.settings();
         let targets = self.targets.borrow();
-        let picks: Vec<Pick<'_>> = targets
+        let picks: Vec<Candidate<'_>> = targets
             .usable(service)
             .filter(|entry| fits(entry))
-            .map(|entry| Pick {
+            .map(|entry| Candidate {
                 connected: self.pool.has_idle(entry.address),
                 id: &entry.id,
                 near: entry.data_centre == settings.data_centre,
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -3,10 +3,10 @@
 use crate::batches::{BatchCopy, Origin, Scope};
 use crate::feed::{Changes, Subject};
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal};
-use catkinmast_dispatch::{ItemResult, Progress, Submission, TextNews};
+use catkinmast_dispatch::{ItemResult, Progress, Submission, TextUpdate};
 use catkinmast_member::Message;
 use catkinmast_model::{Incarnation, Name, UnixMs};
-use catkinmast_usage::{Table, Teller};
+use catkinmast_usage::{UsageSource, WindowCounts};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -22,13 +22,13 @@
     /// Keeps a copy of a batch for its owner, whom the receiver would follow.
     KeepCopy { batch: String, copy: Box<BatchCopy> },
     /// Keeps what is new of the texts of a batch of which the receiver has a copy.
-    KeepTexts { batch: String, texts: Vec<TextNews> },
+    KeepTexts { batch: String, texts: Vec<TextUpdate> },
     /// Reads the body of an item of a batch that the receiver owns.
     ItemBody { batch: String, item: String, scope: Scope },
     /// Reads results of a batch that the receiver owns.
     Read { after: usize, batch: String, scope: Scope, wait_ms: u64 },
     /// Tells what the sender has counted of the requests of workspaces.
-    Usage { tables: Vec<Table>, teller: Teller },
+    Usage { tables: Vec<WindowCounts>, teller: UsageSource },
     /// Makes a call of the store for a node that the store turns away.
     Store(StoreCall),
     /// Hands a submission to the owner of its model's batches.
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,8 +1,8 @@
 //! How much of the service each workspace uses, by windows of true time.
 //!
-//! - [`TrueTime`]: the time of day as most clocks of the fleet have it.
+//! - [`FleetClock`]: the time of day as most clocks of the fleet have it.
 //! - [`Windows`]: the windows into which it is divided.
-//! - [`Counts`]: what this node's own requests add to the windows.
+//! - [`UsageCounts`]: what this node's own requests add to the windows.
 //! - [`Ledger`]: what all nodes have told of theirs, and when a window can be closed.
 //!
 //! Nothing here owns a socket or a clock.
@@ -12,7 +12,7 @@
 mod time;
 mod window;
 
-pub use counts::{Counts, Ticket};
-pub use ledger::{Ledger, Table, Teller};
-pub use time::TrueTime;
+pub use counts::{OpenRequestId, UsageCounts};
+pub use ledger::{Ledger, UsageSource, WindowCounts};
+pub use time::FleetClock;
 pub use window::{Window, Windows};
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -2,18 +2,18 @@
 
 use catkinmast_model::UnixMs;
 use catkinmast_scaling::{
-    OrderOutcome, Pool, Scaling, ScalingError, ScalingTerms, TargetOrder, Wanted,
+    DesiredCounts, OrderOutcome, Pool, Scaling, ScalingConfig, ScalingError, TargetOrder,
 };
 use proptest::prelude::*;
 
-const TERMS: ScalingTerms = ScalingTerms { boot_ms: 4_000, max: 30, min: 1 };
+const TERMS: ScalingConfig = ScalingConfig { boot_ms: 4_000, max: 30, min: 1 };
 const TICK_MS: u64 = 250;
 
 fn pool(data_centre: &str) -> Pool {
     Pool { data_centre: data_centre.to_owned(), reclaimable: false }
 }
 
-fn serving(counts: &[(&str, u32)]) -> Wanted {
+fn serving(counts: &[(&str, u32)]) -> DesiredCounts {
     counts.iter().map(|(data_centre, count)| (pool(data_centre), *count)).collect()
 }
 
@@ -22,7 +22,7 @@
     scaling: &mut Scaling,
     from_ms: u64,
     for_ms: u64,
-    serving: &Wanted,
+    serving: &DesiredCounts,
     outcome: OrderOutcome,
 ) -> Vec<(u64, TargetOrder)> {
     let mut orders = Vec::new();
@@ -119,7 +119,7 @@
 #[test]
 fn a_bound_that_the_operators_change_counts_at_once() {
     let mut scaling = settled(&[("a", 15)]);
-    let lower = ScalingTerms { max: 10, ..TERMS };
+    let lower = ScalingConfig { max: 10, ..TERMS };
 
     let orders: Vec<TargetOrder> = (4_000..8_000)
         .step_by(TICK_MS as usize)
@@ -131,7 +131,7 @@
 
 #[test]
 fn terms_that_allow_no_number_are_an_error_that_names_both() {
-    let error = ScalingTerms { min: 5, max: 4, ..TERMS }.checked().expect_err("unfit");
+    let error = ScalingConfig { min: 5, max: 4, ..TERMS }.checked().expect_err("unfit");
 
     assert_eq!(error, ScalingError { min: 5, max: 4 });
     assert_eq!(error.to_string(), "scaling has min 5 over max 4");
@@ -143,7 +143,7 @@
         began in prop::collection::vec(0_u32..50, 1..4),
         later in prop::collection::vec((prop::collection::vec(0_u32..50, 1..4), 0_u8..3), 0..12),
     ) {
-        let of = |counts: &[u32]| -> Wanted {
+        let of = |counts: &[u32]| -> DesiredCounts {
             counts.iter().enumerate().map(|(index, count)| (pool(&format!("z{index}")), *count)).collect()
         };
         let mut scaling = Scaling::open(None);
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -1,7 +1,9 @@
 //! Usage of workspaces: windows of true time, counted once, whoever dies.
 
 use catkinmast_model::{Incarnation, UnixMs};
-use catkinmast_usage::{Counts, Ledger, Table, Teller, TrueTime, Window, Windows};
+use catkinmast_usage::{
+    FleetClock, Ledger, UsageCounts, UsageSource, Window, WindowCounts, Windows,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,13 +21,13 @@
     SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16))
 }
 
-fn teller(node: &str, life: u64) -> Teller {
-    Teller { incarnation: Incarnation(life), node: node.parse().expect("a name") }
+fn teller(node: &str, life: u64) -> UsageSource {
+    UsageSource { incarnation: Incarnation(life), node: node.parse().expect("a name") }
 }
 
-fn table(window: u64, complete: bool, counts: &[(&str, u64)]) -> Table {
+fn table(window: u64, complete: bool, counts: &[(&str, u64)]) -> WindowCounts {
     let counts = counts.iter().map(|(name, count)| ((*name).to_owned(), *count)).collect();
-    Table { complete, counts, window: Window(window) }
+    WindowCounts { complete, counts, window: Window(window) }
 }
 
 fn totals(pairs: &[(&str, u64)]) -> BTreeMap<String, u64> {
@@ -46,7 +48,7 @@
         let mut off_ms: Vec<i64> = honest_off_ms.iter().chain(&lies_ms[..liars]).copied().collect();
         let places = turn.index(off_ms.len());
         off_ms.rotate_left(places);
-        let mut time = TrueTime::default();
+        let mut time = FleetClock::default();
 
         let mut steady = STEADY;
         for (number, off_ms) in off_ms.iter().enumerate() {
@@ -85,7 +87,7 @@
 
 #[test]
 fn a_clock_that_jumps_and_jumps_back_moves_nothing() {
-    let mut time = TrueTime::default();
+    let mut time = FleetClock::default();
     for round in 0..40 {
         let steady = STEADY.plus(round * 300);
         for node in 0..50 {
@@ -104,7 +106,7 @@
 
 #[test]
 fn a_node_that_hears_nobody_goes_by_its_own_clock() {
-    let mut time = TrueTime::default();
+    let mut time = FleetClock::default();
     assert_eq!(time.at(STEADY), None);
 
     time.read(address(0), UnixMs(WALL_MS as u64), STEADY);
@@ -114,7 +116,7 @@
 
 #[test]
 fn a_request_counts_in_the_window_in_which_a_target_began_it() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let early = counts.sent(UnixMs(4_990), "a");
     let queued = counts.sent(UnixMs(4_995), "a");
     let refused = counts.sent(UnixMs(4_996), "b");
@@ -129,7 +131,7 @@
 
 #[test]
 fn a_window_is_complete_when_nothing_that_was_sent_in_it_is_open() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let open = counts.sent(UnixMs(4_900), "a");
 
     assert_eq!(counts.tables(UnixMs(5_100)), []);
@@ -142,7 +144,7 @@
 // Sequence: a target falls silent with a request, and the request stays open for long.
 #[test]
 fn a_request_that_stays_unanswered_counts_as_begun() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let _open = counts.sent(UnixMs(4_900), "a");
 
     let tables = counts.tables(UnixMs(8_100));
@@ -152,7 +154,7 @@
 
 #[test]
 fn windows_that_are_over_for_long_are_forgotten() {
-    let mut counts = Counts::open(WINDOWS);
+    let mut counts = UsageCounts::open(WINDOWS);
     let sent = counts.sent(UnixMs(100), "a");
     counts.began(sent, None);
 
