--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -5,7 +5,7 @@
 //! is asked at once, and the registry's word counts for some seconds after the break.
 
 use crate::clock;
-use crate::forward::{Chosen, Outgoing};
+use crate::forward::{ChosenTarget, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -29,42 +29,46 @@
 /// A stream under way at a target.
 #[derive(Debug)]
 pub(crate) struct StreamRun {
-    chosen: Chosen,
+    chosen: ChosenTarget,
     /// When its first event came: until then it may have waited at the target.
     first_event_at: Cell<Option<UnixMs>>,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
 }
 
 impl StreamRun {
-    pub(crate) const fn begin(chosen: Chosen, outgoing: Outgoing) -> Self {
+    pub(crate) const fn begin(chosen: ChosenTarget, outgoing: OutgoingRequest) -> Self {
         Self { chosen, first_event_at: Cell::new(None), outgoing }
     }
 
     /// Takes it that a part of its answer came.
-    pub(crate) fn heard(&self) {
+    pub(crate) fn received(&self) {
         if self.first_event_at.get().is_none() {
             self.first_event_at.set(Some(clock::now()));
         }
     }
 
     /// Takes it that its connection broke.
-    pub(crate) fn broke_off<P: Platform>(&self, node: &Rc<Node<P>>) {
+    pub(crate) fn connection_broke<P: Platform>(&self, node: &Rc<Node<P>>) {
         let ran_ms = self.first_event_at.get().map_or(0, |first| clock::now().since_ms(first));
         if ran_ms < SURVIVED_AFTER_MS {
-            broke_off(node, &self.chosen, &self.outgoing);
+            connection_broke(node, &self.chosen, &self.outgoing);
         } else {
-            super::survived(node, &self.outgoing);
+            super::answer_received(node, &self.outgoing);
         }
     }
 
     /// Takes it that it came to its end.
-    pub(crate) fn ended_whole<P: Platform>(&self, node: &Rc<Node<P>>) {
-        super::survived(node, &self.outgoing);
+    pub(crate) fn completed<P: Platform>(&self, node: &Rc<Node<P>>) {
+        super::answer_received(node, &self.outgoing);
     }
 }
 
 /// Takes a request whose connection to its target broke while it may have run.
-pub(crate) fn broke_off<P: Platform>(node: &Rc<Node<P>>, chosen: &Chosen, outgoing: &Outgoing) {
+pub(crate) fn connection_broke<P: Platform>(
+    node: &Rc<Node<P>>,
+    chosen: &ChosenTarget,
+    outgoing: &OutgoingRequest,
+) {
     let Some(entry) = node.targets.borrow().entry(&chosen.id).cloned() else { return };
     // One that leaves as planned may break off what it has not finished by the end.
     if entry.draining {
@@ -80,10 +84,10 @@
 
 /// Asks a target's address whether anybody listens there.
 async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: TargetIncarnation) {
-    let mut is_closed = node.pool.is_closed(address).await;
+    let mut is_closed = node.pool.refuses_connections(address).await;
     if !is_closed {
         sleep(ASK_AGAIN_AFTER).await;
-        is_closed = node.pool.is_closed(address).await;
+        is_closed = node.pool.refuses_connections(address).await;
     }
     if is_closed {
         take(&node, TargetOutcome::Ended(&life), "refused");
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -4,10 +4,10 @@
 //! the batch ends. The batch in which its item comes again takes the text and goes on from there.
 
 use super::stream::{RunEnd, RunTerms, fingerprint, run};
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes;
-use crate::forward::{Chosen, InFlight};
+use crate::forward::{ChosenTarget, InFlight};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -117,7 +117,7 @@
     }
 }
 
-fn to_redo(held: &Held, now: UnixMs, next_oldest: u64) -> Vec<usize> {
+fn to_redo(held: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
     let text_version = |index: usize| {
         let run = held.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
@@ -125,7 +125,12 @@
     held.batch.worth_redoing(now, next_oldest, text_version)
 }
 
-fn start<P: Platform>(node: &Rc<Node<P>>, held: &RefCell<Held>, index: usize, next_oldest: u64) {
+fn start<P: Platform>(
+    node: &Rc<Node<P>>,
+    held: &RefCell<LocalBatch>,
+    index: usize,
+    next_oldest: u64,
+) {
     let (item, batch, terms, first_target) = {
         let held = held.borrow();
         let item = held.batch.submission().items[index].clone();
@@ -138,7 +143,7 @@
         return;
     }
     // Digests of all candidates at every look would cost more than what they guard against.
-    if crashes::is_any_known(node) && !crashes::is_clear(node, fingerprint(&item, &terms.host)) {
+    if crashes::has_evidence(node) && !crashes::is_clear(node, fingerprint(&item, &terms.host)) {
         return;
     }
     let run_ms = node.expected_run_ms(&item, progress.last_event_id);
@@ -209,7 +214,7 @@
     item: &str,
     run_ms: u64,
     first_target: Option<&str>,
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     let document = node.document()?;
     let route = document.route(&terms.host, path)?;
     let service = route.service(xxhash_rust::xxh3::xxh3_64(item.as_bytes()))?;
@@ -223,5 +228,5 @@
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
         load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
-    picked.map(|(id, address)| Chosen { address, id })
+    picked.map(|(id, address)| ChosenTarget { address, id })
 }
