--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -9,8 +9,8 @@
 use crate::slope::Slope;
 use catkinmast_config::CallClass;
 use catkinmast_member::{
-    Board, ConfigFact, Fact, Membership, MembershipSettings, Message, NodeFact, NodeState,
-    TargetFact, TargetReport,
+    ConfigFact, Fact, FactTable, Membership, MembershipSettings, Message, NodeFact, NodeState,
+    TargetFact, TargetFactSource,
 };
 use catkinmast_model::{
     Fence, Incarnation, InstanceKind, InstanceState, Labels, Name, Revision, SampleId, Segments,
@@ -21,8 +21,8 @@
     OrderSettings, Registration, Rollout, ScheduleSettings, StepSpec,
 };
 use catkinmast_route::{
-    Admission, AdmissionLimits, Begin, Outcome, RecordedAnswer, TargetSettings, Targets, Ticket,
-    TicketBook, TicketLimits,
+    Admission, AdmissionLimits, Outcome, RecordedAnswer, TargetBalancer, TargetSettings, Ticket,
+    TicketDecision, TicketLimits, TicketTable,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, SharedKey, open, seal};
 use rand::SeedableRng;
@@ -44,7 +44,7 @@
 const WORKER_SIZES: [usize; 4] = [100, 300, 600, 870];
 /// Numbers of samples at which a step's state is counted.
 const SAMPLE_SIZES: [usize; 4] = [256, 512, 1_024, 2_048];
-/// Numbers of tickets at which a book is counted.
+/// Numbers of tickets at which a table is counted.
 const TICKET_SIZES: [usize; 4] = [500, 1_000, 2_000, 4_000];
 
 /// A counted figure with its slope.
@@ -93,7 +93,7 @@
         kind: InstanceKind::Engine,
         labels: Labels::default().with("app", "citation").with("rack", format!("r{}", number % 40)),
         name: name(&format!("worker-{number:04}")),
-        report: TargetReport::List,
+        source: TargetFactSource::List,
         state: InstanceState::Live,
     }
 }
@@ -112,14 +112,14 @@
     Slope::fit(sizes.iter().map(|size| (*size as f64, value(*size))).collect())
 }
 
-fn board_of(facts: impl Iterator<Item = Fact>) -> Board {
-    let mut board = Board::default();
+fn fact_table_of(facts: impl Iterator<Item = Fact>) -> FactTable {
+    let mut table = FactTable::default();
     for fact in facts {
-        board.merge(fact, 3);
+        table.merge(fact, 3);
     }
     // Sent on already, as in a fleet that has settled.
-    while !board.take_fresh(1_200, 3).is_empty() {}
-    board
+    while !table.take_pending(1_200, 3).is_empty() {}
+    table
 }
 
 fn registration() -> Registration {
@@ -218,19 +218,19 @@
     }
 }
 
-fn ticket_book(tickets: usize) -> TicketBook {
+fn ticket_table(tickets: usize) -> TicketTable {
     let limits =
-        TicketLimits { answers_max_bytes: 64 << 20, memory_ms: 600_000, tickets_max: 100_000 };
-    let mut book = TicketBook::open(limits);
+        TicketLimits { answers_max_bytes: 64 << 20, retention_ms: 600_000, tickets_max: 100_000 };
+    let mut table = TicketTable::open(limits);
     for number in 0..tickets {
         let ticket = ticket(number);
-        if book.begin(UnixMs(0), &ticket) == Begin::Run {
+        if table.begin(UnixMs(0), &ticket) == TicketDecision::Run {
             let body = Some(vec![0; 200]);
             let content_type = Some("application/json".to_owned());
-            book.answered(&ticket, RecordedAnswer { body, content_type, status: 200 });
+            table.record_answer(&ticket, RecordedAnswer { body, content_type, status: 200 });
         }
     }
-    book
+    table
 }
 
 /// Bytes that a node sends and receives in a calm second, at one size of the fleet.
@@ -324,7 +324,7 @@
             "facts about nodes, bytes of state",
             "node",
             slope_of(&FLEET_SIZES, |nodes| {
-                held_bytes(|| board_of((0..nodes).map(|n| Fact::Node(node_fact(n)))))
+                held_bytes(|| fact_table_of((0..nodes).map(|n| Fact::Node(node_fact(n)))))
             }),
             NODES,
         ),
@@ -332,7 +332,7 @@
             "facts about workers, bytes of state",
             "worker",
             slope_of(&WORKER_SIZES, |workers| {
-                held_bytes(|| board_of((0..workers).map(|n| Fact::Target(target_fact(n)))))
+                held_bytes(|| fact_table_of((0..workers).map(|n| Fact::Target(target_fact(n)))))
             }),
             WORKERS,
         ),
@@ -347,7 +347,7 @@
         counted(
             "answers kept for tickets (200 bytes each), bytes of state",
             "ticket",
-            slope_of(&TICKET_SIZES, |tickets| held_bytes(|| ticket_book(tickets))),
+            slope_of(&TICKET_SIZES, |tickets| held_bytes(|| ticket_table(tickets))),
             4_000.0,
         ),
         counted(
@@ -443,7 +443,7 @@
             std::hint::black_box(view.tick(UnixMs(now)));
         }),
     );
-    let digest = view.board().digest();
+    let digest = view.facts().digest();
     add(
         "probe received and answered",
         nanoseconds(2_000, |sequence| {
@@ -466,7 +466,7 @@
             admission.finish(now, "workspace", 2_000);
         }),
     );
-    let mut targets = Targets::open(TargetSettings::default());
+    let mut targets = TargetBalancer::open(TargetSettings::default());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let names: Vec<Name> = (0..20).map(|number| name(&format!("worker-{number:04}"))).collect();
     add(
@@ -478,16 +478,16 @@
             }
         }),
     );
-    let mut book = ticket_book(0);
+    let mut table = ticket_table(0);
     let mut number = 0;
     add(
         "ticket begun and answered",
         nanoseconds(5_000, |_| {
             number += 1;
             let ticket = ticket(number);
-            std::hint::black_box(book.begin(UnixMs(0), &ticket));
+            std::hint::black_box(table.begin(UnixMs(0), &ticket));
             let answer = RecordedAnswer { body: None, content_type: None, status: 200 };
-            book.answered(&ticket, answer);
+            table.record_answer(&ticket, answer);
         }),
     );
 }
--- a/crates/member/src/board.rs
+++ b/crates/member/src/fact_table.rs
@@ -1,7 +1,7 @@
 //! The facts a node holds, and which of them to send.
 //!
 //! A fact that is new to the node is sent on a few times and then rests. Facts are also summed
-//! into a digest of [`BUCKETS`] parts: two boards with the same facts have the same digest, and
+//! into a digest of [`DIGEST_BUCKETS`] parts: two boards with the same facts have the same digest, and
 //! where they differ only the differing parts travel. Loss of a message therefore costs a pull of
 //! a few facts, not a lost change.
 
@@ -11,14 +11,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Parts of the digest. 64 parts keep a pull request in one datagram.
-pub const BUCKETS: usize = 64;
+pub const DIGEST_BUCKETS: usize = 64;
 
 /// Facts held by a node.
 #[derive(Clone, Debug)]
-pub struct Board {
-    buckets: [u64; BUCKETS],
+pub struct FactTable {
+    buckets: [u64; DIGEST_BUCKETS],
     facts: IndexMap<FactKey, Held>,
-    fresh: VecDeque<FactKey>,
+    pending: VecDeque<FactKey>,
 }
 
 #[derive(Clone, Debug)]
@@ -31,28 +31,28 @@
 
 /// What became of a fact that was offered to a board.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Merge {
+pub enum MergeOutcome {
     /// The board already knew this or something newer.
-    Known,
+    Unchanged,
     /// The board took it.
-    Taken,
+    Applied,
 }
 
-impl Default for Board {
+impl Default for FactTable {
     fn default() -> Self {
-        Self { buckets: [0; BUCKETS], facts: IndexMap::new(), fresh: VecDeque::new() }
+        Self { buckets: [0; DIGEST_BUCKETS], facts: IndexMap::new(), pending: VecDeque::new() }
     }
 }
 
-impl Board {
+impl FactTable {
     /// Takes a fact if it is newer than the one held.
-    pub fn merge(&mut self, fact: Fact, sends: u8) -> Merge {
+    pub fn merge(&mut self, fact: Fact, sends: u8) -> MergeOutcome {
         let key = fact.key();
         let fact = match self.facts.get(&key) {
-            Some(held) if fact.supersedes(&held.fact) => fact.joined(&held.fact),
+            Some(held) if fact.supersedes(&held.fact) => fact.merged_with(&held.fact),
             // Else two nodes that forget at different times would tell each other for ever.
             None if !fact.is_gone() => fact,
-            _ => return Merge::Known,
+            _ => return MergeOutcome::Unchanged,
         };
         let (hash, bucket) = place(&fact, &key);
         let held = Held { bucket, fact, hash, sends_left: sends };
@@ -62,12 +62,12 @@
             Some(old) => {
                 self.buckets[old.bucket] ^= old.hash;
                 if old.sends_left == 0 {
-                    self.fresh.push_back(key);
+                    self.pending.push_back(key);
                 }
             }
-            None => self.fresh.push_back(key),
+            None => self.pending.push_back(key),
         }
-        Merge::Taken
+        MergeOutcome::Applied
     }
 
     /// Returns the fact about `key`.
@@ -97,7 +97,7 @@
     }
 
     /// Returns the digest's parts.
-    pub const fn buckets(&self) -> &[u64; BUCKETS] {
+    pub const fn buckets(&self) -> &[u64; DIGEST_BUCKETS] {
         &self.buckets
     }
 
@@ -109,27 +109,27 @@
     }
 
     /// Tells whether some fact still waits to be sent on.
-    pub fn has_fresh(&self) -> bool {
-        !self.fresh.is_empty()
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
     /// Takes fresh facts of at most `budget_bytes` in all, each counted as sent `copies` times.
-    pub fn take_fresh(&mut self, budget_bytes: usize, copies: u8) -> Vec<Fact> {
+    pub fn take_pending(&mut self, budget_bytes: usize, copies: u8) -> Vec<Fact> {
         let mut taken = Vec::new();
         let mut spent_bytes = 0;
-        for _ in 0..self.fresh.len() {
-            let Some(key) = self.fresh.pop_front() else { break };
+        for _ in 0..self.pending.len() {
+            let Some(key) = self.pending.pop_front() else { break };
             let Some(held) = self.facts.get_mut(&key) else { continue };
             let size_bytes = size_bytes(&held.fact);
             if spent_bytes + size_bytes > budget_bytes {
-                self.fresh.push_front(key);
+                self.pending.push_front(key);
                 break;
             }
             spent_bytes += size_bytes;
             taken.push(held.fact.clone());
             held.sends_left = held.sends_left.saturating_sub(copies);
             if held.sends_left > 0 {
-                self.fresh.push_back(key);
+                self.pending.push_back(key);
             }
         }
         taken
@@ -154,7 +154,7 @@
 /// holds it must not look different from one that does not.
 fn place(fact: &Fact, key: &FactKey) -> (u64, usize) {
     let about = format!("{key:?}");
-    let bucket = (xxh3_64(about.as_bytes()) % BUCKETS as u64) as usize;
+    let bucket = (xxh3_64(about.as_bytes()) % DIGEST_BUCKETS as u64) as usize;
     if fact.is_gone() {
         return (0, bucket);
     }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -11,8 +11,8 @@
 use catkinmast_model::{Incarnation, Name, Refusal, UnixMs};
 use catkinmast_platform::{HttpEngines, HttpPlatform};
 use catkinmast_route::{
-    Admission, AdmissionLimits, RetryBudget, TargetSettings, Targets, TicketBook, TicketLimits,
-    WaitId,
+    Admission, AdmissionLimits, RetryBudget, TargetBalancer, TargetSettings, TicketLimits,
+    TicketTable, WaitId,
 };
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, open};
 use indexmap::IndexMap;
@@ -46,8 +46,8 @@
     pub admission_waiting: Mutex<IndexMap<WaitId, oneshot::Sender<Option<Refusal>>>>,
     pub budget: Mutex<RetryBudget>,
     pub rng: Mutex<Pcg64Mcg>,
-    pub targets: Mutex<Targets>,
-    pub tickets: Mutex<TicketBook>,
+    pub targets: Mutex<TargetBalancer>,
+    pub tickets: Mutex<TicketTable>,
 }
 
 /// Clients of targets.
@@ -135,10 +135,10 @@
             admission_waiting: Mutex::default(),
             budget: Mutex::new(RetryBudget::open(limits.retry_budget_percent)),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
-            targets: Mutex::new(Targets::open(TargetSettings::default())),
-            tickets: Mutex::new(TicketBook::open(TicketLimits {
+            targets: Mutex::new(TargetBalancer::open(TargetSettings::default())),
+            tickets: Mutex::new(TicketTable::open(TicketLimits {
                 answers_max_bytes: TICKET_ANSWERS_MAX_BYTES,
-                memory_ms: limits.ticket_memory_ms,
+                retention_ms: limits.ticket_memory_ms,
                 tickets_max: TICKETS_MAX,
             })),
         }
@@ -155,7 +155,7 @@
             AdmissionLimits { in_flight_max: limits.in_flight_max, queue_max: limits.queue_max };
         lock(&self.admission).set_limits(admission, workspaces);
         lock(&self.budget).set_percent(limits.retry_budget_percent);
-        lock(&self.tickets).set_memory(limits.ticket_memory_ms);
+        lock(&self.tickets).set_retention(limits.ticket_memory_ms);
     }
 }
 
