--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -1,4 +1,4 @@
-//! UsageCounts the requests of workspaces, and tells what was counted to the nodes that may report it.
+//! Counts the requests of workspaces, and tells what was counted to the nodes that may report it.
 //!
 //! A node that dies takes with it only what it has not told yet, so counts are told as they change, and
 //! to several nodes: the holder of the duty and those that would follow it.
--- a/crates/usage/src/counts.rs
+++ b/crates/usage/src/counts.rs
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// UsageCounts requests that have been unanswered for too long as begun.
+    /// Counts requests that have been unanswered for too long as begun.
     fn settle(&mut self, now: UnixMs) {
         let windows = self.windows;
         let is_late =
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -34,7 +34,7 @@
 
 /// What all lives of all nodes have told, by window.
 ///
-/// UsageCounts only grow and are told whole, so that a table that is told twice, or late, adds nothing. A
+/// Counts only grow and are told whole, so that a table that is told twice, or late, adds nothing. A
 /// node's next life tells anew, beside what its former one has told.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
