--- a/crates/access/src/admit.rs
+++ b/crates/access/src/admit.rs
@@ -11,7 +11,7 @@
     pub bound_ms: u64,
     /// The age from which keys that are known may have been taken away for too long, in milliseconds;
     /// none where they are served all the same.
-    pub closed_from_ms: Option<u64>,
+    pub fail_closed_after_ms: Option<u64>,
 }
 
 impl ViewAge {
@@ -21,7 +21,7 @@
 
     fn is_closed(&self) -> bool {
         let is_older = |closed_ms| self.age_ms.is_none_or(|age_ms| age_ms > closed_ms);
-        self.closed_from_ms.is_some_and(is_older)
+        self.fail_closed_after_ms.is_some_and(is_older)
     }
 }
 
@@ -33,7 +33,7 @@
     /// The key belongs to no workspace.
     Denied(String),
     /// That cannot be told: the view is too old.
-    Unsure(String),
+    Undetermined(String),
     /// Of this workspace.
     Workspace(&'a Workspace),
 }
@@ -53,19 +53,19 @@
         Ok(key) => key,
         Err(CredentialError::Missing) if !view.is_current() => {
             let why = "the request carries no key, and the configuration may have changed";
-            return Admission::Unsure(why.to_owned());
+            return Admission::Undetermined(why.to_owned());
         }
         Err(error) => return Admission::Denied(error.to_string()),
     };
-    match workspaces.holder(&key) {
-        Some(_) if view.is_closed() => {
-            Admission::Unsure("the configuration is too old to tell whose key this is".to_owned())
-        }
+    match workspaces.find_by_key(&key) {
+        Some(_) if view.is_closed() => Admission::Undetermined(
+            "the configuration is too old to tell whose key this is".to_owned(),
+        ),
         Some(workspace) => Admission::Workspace(workspace),
         None if view.is_current() => {
             Admission::Denied(format!("the key with the digest {} is not known", key.short()))
         }
-        None => Admission::Unsure(format!(
+        None => Admission::Undetermined(format!(
             "the key with the digest {} is not known, and the configuration may have changed",
             key.short()
         )),
--- a/crates/access/src/workspaces.rs
+++ b/crates/access/src/workspaces.rs
@@ -93,7 +93,7 @@
     }
 
     /// Finds the workspace that holds a key.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Workspace> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Workspace> {
         self.by_key.get(key).map(|index| &self.list[*index])
     }
 
--- a/crates/scaling/src/plan.rs
+++ b/crates/scaling/src/plan.rs
@@ -23,9 +23,9 @@
     /// It may have been taken, or not.
     Unknown,
     /// None are to be had there now.
-    NoneLeft,
+    NoCapacity,
     /// It was taken.
-    Taken,
+    Accepted,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -55,7 +55,7 @@
     }
 
     /// Returns what the service is to have, once that is known.
-    pub const fn wanted(&self) -> Option<&DesiredCounts> {
+    pub const fn desired(&self) -> Option<&DesiredCounts> {
         self.wanted.as_ref()
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Takes what became of an order, when so many targets of its pool served.
-    pub fn outcome(
+    pub fn record_outcome(
         &mut self,
         now: UnixMs,
         order: &TargetOrder,
@@ -100,8 +100,8 @@
     ) {
         let state = self.states.entry(order.pool.clone()).or_default();
         match outcome {
-            OrderOutcome::Taken => state.refused_short = 0,
-            OrderOutcome::NoneLeft => {
+            OrderOutcome::Accepted => state.refused_short = 0,
+            OrderOutcome::NoCapacity => {
                 state.refused_short = order.count.saturating_sub(serving);
                 state.order_from = now.plus(REFUSED_PAUSE_MS);
             }
--- a/crates/scaling/src/terms.rs
+++ b/crates/scaling/src/terms.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// When no number of targets is allowed.
-    pub const fn checked(self) -> Result<Self, ScalingError> {
+    pub const fn validated(self) -> Result<Self, ScalingError> {
         if self.min > self.max {
             return Err(ScalingError { max: self.max, min: self.min });
         }
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -105,7 +105,7 @@
         let serving = serving(node, name);
         let orders = self.scaling.plan(clock::now(), terms, &serving);
         if !self.written
-            && let Some(wanted) = self.scaling.wanted()
+            && let Some(wanted) = self.scaling.desired()
         {
             self.written = write(node, tenancy, name, wanted).await;
         }
@@ -120,15 +120,15 @@
             note(node, name, &order, &serving, &answer);
             let outcome = outcome(&answer);
             let count = serving.get(&order.pool).copied().unwrap_or(0);
-            self.scaling.outcome(clock::now(), &order, count, outcome);
+            self.scaling.record_outcome(clock::now(), &order, count, outcome);
         }
     }
 }
 
 fn outcome(answer: &Result<StatusCode, CallError>) -> OrderOutcome {
     match answer {
-        Ok(StatusCode::OK) => OrderOutcome::Taken,
-        Ok(StatusCode::CONFLICT) => OrderOutcome::NoneLeft,
+        Ok(StatusCode::OK) => OrderOutcome::Accepted,
+        Ok(StatusCode::CONFLICT) => OrderOutcome::NoCapacity,
         Ok(_) | Err(_) => OrderOutcome::Unknown,
     }
 }
@@ -141,8 +141,8 @@
     answer: &Result<StatusCode, CallError>,
 ) {
     let label = match outcome(answer) {
-        OrderOutcome::Taken => "taken",
-        OrderOutcome::NoneLeft => "none_left",
+        OrderOutcome::Accepted => "taken",
+        OrderOutcome::NoCapacity => "none_left",
         OrderOutcome::Unknown => "unanswered",
     };
     count(&node.metrics.target_orders, label);
--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -22,7 +22,7 @@
 }
 
 const fn view(age_ms: Option<u64>) -> ViewAge {
-    ViewAge { age_ms, bound_ms: BOUND_MS, closed_from_ms: None }
+    ViewAge { age_ms, bound_ms: BOUND_MS, fail_closed_after_ms: None }
 }
 
 /// A document with these tenants, as the store answers it.
@@ -157,7 +157,7 @@
     let Some(OperatorNotice::Document(document)) = notice else { panic!("{notice:?}") };
     let workspaces = document.workspaces.expect("workspaces");
     assert_eq!((workspaces.len(), workspaces.key_count()), (2, 2));
-    let holder = workspaces.holder(&KeyDigest::of(KEY.as_bytes())).expect("a holder");
+    let holder = workspaces.find_by_key(&KeyDigest::of(KEY.as_bytes())).expect("a holder");
     assert_eq!((holder.name.as_str(), holder.priority), ("hule930", Some(1)));
 }
 
@@ -222,7 +222,7 @@
         let admission = admit(Some(&workspaces), false, read, view(age_ms));
 
         assert_eq!(matches!(admission, Admission::Denied(_)), is_denied, "{admission:?}");
-        assert_eq!(matches!(admission, Admission::Unsure(_)), !is_denied, "{admission:?}");
+        assert_eq!(matches!(admission, Admission::Undetermined(_)), !is_denied, "{admission:?}");
     }
 }
 
@@ -230,15 +230,15 @@
 fn where_known_keys_close_with_the_view_an_old_view_serves_none() {
     let workspaces = workspaces();
     let key = || Ok(KeyDigest::of(KEY.as_bytes()));
-    let at = |age_ms| ViewAge { closed_from_ms: Some(5_000), ..view(age_ms) };
+    let at = |age_ms| ViewAge { fail_closed_after_ms: Some(5_000), ..view(age_ms) };
 
     let young = admit(Some(&workspaces), false, key(), at(Some(5_000)));
     let old = admit(Some(&workspaces), false, key(), at(Some(5_001)));
     let unknown = admit(Some(&workspaces), false, key(), at(None));
 
     assert!(matches!(young, Admission::Workspace(_)), "{young:?}");
-    assert!(matches!(old, Admission::Unsure(_)), "{old:?}");
-    assert!(matches!(unknown, Admission::Unsure(_)), "{unknown:?}");
+    assert!(matches!(old, Admission::Undetermined(_)), "{old:?}");
+    assert!(matches!(unknown, Admission::Undetermined(_)), "{unknown:?}");
 }
 
 #[test]
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -29,7 +29,7 @@
     for at_ms in (from_ms..from_ms + for_ms).step_by(TICK_MS as usize) {
         for order in scaling.plan(UnixMs(at_ms), TERMS, serving) {
             let count = serving.get(&order.pool).copied().unwrap_or(0);
-            scaling.outcome(UnixMs(at_ms), &order, count, outcome);
+            scaling.record_outcome(UnixMs(at_ms), &order, count, outcome);
             orders.push((at_ms, order));
         }
     }
@@ -38,7 +38,7 @@
 
 fn settled(counts: &[(&str, u32)]) -> Scaling {
     let mut scaling = Scaling::open(None);
-    let orders = play(&mut scaling, 0, 4_000, &serving(counts), OrderOutcome::Taken);
+    let orders = play(&mut scaling, 0, 4_000, &serving(counts), OrderOutcome::Accepted);
     assert_eq!(orders, []);
     scaling
 }
@@ -54,13 +54,13 @@
             at_ms,
             1_000,
             &serving(&[("a", second as u32 + 1)]),
-            OrderOutcome::Taken,
+            OrderOutcome::Accepted,
         );
     }
-    assert_eq!(scaling.wanted(), None);
+    assert_eq!(scaling.desired(), None);
 
-    play(&mut scaling, 5_000, 4_000, &serving(&[("a", 9)]), OrderOutcome::Taken);
-    assert_eq!(scaling.wanted(), Some(&serving(&[("a", 9)])));
+    play(&mut scaling, 5_000, 4_000, &serving(&[("a", 9)]), OrderOutcome::Accepted);
+    assert_eq!(scaling.desired(), Some(&serving(&[("a", 9)])));
 }
 
 // Symptom: steps get longer and longer over a day.
@@ -70,7 +70,7 @@
     let mut scaling = settled(&[("a", 15), ("b", 15)]);
 
     let short = serving(&[("a", 11), ("b", 15)]);
-    let orders = play(&mut scaling, 4_000, 20_000, &short, OrderOutcome::Taken);
+    let orders = play(&mut scaling, 4_000, 20_000, &short, OrderOutcome::Accepted);
 
     let expected = TargetOrder { count: 15, pool: pool("a") };
     assert!(orders.iter().all(|(_, order)| *order == expected), "{orders:?}");
@@ -83,8 +83,9 @@
 fn a_target_that_is_replaced_within_a_second_is_not_ordered() {
     let mut scaling = settled(&[("a", 15)]);
 
-    let mut orders = play(&mut scaling, 4_000, 1_000, &serving(&[("a", 14)]), OrderOutcome::Taken);
-    orders.extend(play(&mut scaling, 5_000, 5_000, &serving(&[("a", 16)]), OrderOutcome::Taken));
+    let mut orders =
+        play(&mut scaling, 4_000, 1_000, &serving(&[("a", 14)]), OrderOutcome::Accepted);
+    orders.extend(play(&mut scaling, 5_000, 5_000, &serving(&[("a", 16)]), OrderOutcome::Accepted));
 
     assert_eq!(orders, []);
 }
@@ -92,10 +93,10 @@
 // Symptom: a holder of the duty that follows another one orders what was left when it came.
 #[test]
 fn what_a_service_is_to_have_outlives_the_holder_of_the_duty() {
-    let wanted = settled(&[("a", 15)]).wanted().cloned();
+    let wanted = settled(&[("a", 15)]).desired().cloned();
     let mut scaling = Scaling::open(wanted);
 
-    let orders = play(&mut scaling, 0, 4_000, &serving(&[("a", 9)]), OrderOutcome::Taken);
+    let orders = play(&mut scaling, 0, 4_000, &serving(&[("a", 9)]), OrderOutcome::Accepted);
 
     assert_eq!(orders, [(1_500, TargetOrder { count: 15, pool: pool("a") })]);
 }
@@ -105,9 +106,9 @@
 fn other_data_centres_stand_in_while_none_are_to_be_had_in_one() {
     let mut scaling = settled(&[("a", 10), ("b", 10), ("c", 10)]);
     let short = serving(&[("a", 6), ("b", 10), ("c", 10)]);
-    play(&mut scaling, 4_000, 2_000, &short, OrderOutcome::NoneLeft);
+    play(&mut scaling, 4_000, 2_000, &short, OrderOutcome::NoCapacity);
 
-    let orders = play(&mut scaling, 6_000, 2_000, &short, OrderOutcome::Taken);
+    let orders = play(&mut scaling, 6_000, 2_000, &short, OrderOutcome::Accepted);
 
     let order = |data_centre, count| TargetOrder { count, pool: pool(data_centre) };
     let orders: Vec<TargetOrder> = orders.into_iter().map(|(_, order)| order).collect();
@@ -131,7 +132,7 @@
 
 #[test]
 fn terms_that_allow_no_number_are_an_error_that_names_both() {
-    let error = ScalingConfig { min: 5, max: 4, ..TERMS }.checked().expect_err("unfit");
+    let error = ScalingConfig { min: 5, max: 4, ..TERMS }.validated().expect_err("unfit");
 
     assert_eq!(error, ScalingError { min: 5, max: 4 });
     assert_eq!(error.to_string(), "scaling has min 5 over max 4");
@@ -147,9 +148,9 @@
             counts.iter().enumerate().map(|(index, count)| (pool(&format!("z{index}")), *count)).collect()
         };
         let mut scaling = Scaling::open(None);
-        play(&mut scaling, 0, 4_000, &of(&began), OrderOutcome::Taken);
+        play(&mut scaling, 0, 4_000, &of(&began), OrderOutcome::Accepted);
         for (round, (counts, outcome)) in later.iter().enumerate() {
-            let outcomes = [OrderOutcome::Taken, OrderOutcome::NoneLeft, OrderOutcome::Unknown];
+            let outcomes = [OrderOutcome::Accepted, OrderOutcome::NoCapacity, OrderOutcome::Unknown];
             let outcome = outcomes[usize::from(*outcome)];
             let at_ms = 4_000 + round as u64 * 2_000;
 
