--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -180,7 +180,7 @@
         let ledger = node.usage.ledger.borrow();
         let missing = ledger.missing(window, &alive);
         let missing: Vec<UsageSource> = missing.into_iter().cloned().collect();
-        (ledger.totals(window), missing, ledger.tellers(window))
+        (ledger.totals(window), missing, ledger.source_count(window))
     };
     if may_wait && !missing.is_empty() {
         return None;
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -44,7 +44,7 @@
 impl Usage {
     /// Takes it that a node's clock shows this time of day.
     pub(crate) fn clock_shows(&self, node: SocketAddr, wall: UnixMs) {
-        self.time.borrow_mut().read(node, wall, clock::now());
+        self.time.borrow_mut().record_reading(node, wall, clock::now());
     }
 
     /// Returns the time of day as most clocks have it.
@@ -54,7 +54,7 @@
 
     /// Returns how many clocks that rests on.
     pub(crate) fn witnesses(&self) -> usize {
-        self.time.borrow().witnesses()
+        self.time.borrow().clock_count()
     }
 }
 
@@ -72,19 +72,19 @@
         let at = node.usage.now();
         let mut counts = node.usage.counts.borrow_mut();
         let counts = counts.get_or_insert_with(|| UsageCounts::open(windows));
-        let ticket = Some(counts.sent(at, workspace?));
+        let ticket = Some(counts.request_sent(at, workspace?));
         Some(Self { node: Rc::clone(node), ticket })
     }
 
     /// Takes it that its target began it now, and not when it was sent.
     pub(crate) fn began_now(mut self) {
         let at = Some(self.node.usage.now());
-        self.settle(|counts, ticket| counts.began(ticket, at));
+        self.settle(|counts, ticket| counts.request_started(ticket, at));
     }
 
     /// Takes it that no target began it.
     pub(crate) fn not_run(mut self) {
-        self.settle(UsageCounts::not_run);
+        self.settle(UsageCounts::request_not_run);
     }
 
     fn settle(&mut self, settle: impl FnOnce(&mut UsageCounts, OpenRequestId)) {
@@ -97,7 +97,7 @@
 
 impl<P: Platform> Drop for Counted<P> {
     fn drop(&mut self) {
-        self.settle(|counts, ticket| counts.began(ticket, None));
+        self.settle(|counts, ticket| counts.request_started(ticket, None));
     }
 }
 
@@ -111,7 +111,7 @@
 pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &UsageSource, tables: Vec<WindowCounts>) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
-        ledger.told(teller, table);
+        ledger.record(teller, table);
     }
 }
 
@@ -150,7 +150,7 @@
         let now = node.usage.now();
         let tables = {
             let mut counts = node.usage.counts.borrow_mut();
-            counts.get_or_insert_with(|| UsageCounts::open(windows)).tables(now)
+            counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
         told(&node, &teller, tables.clone());
         let followers: Vec<Owner> =
--- a/crates/usage/src/counts.rs
+++ b/crates/usage/src/counts.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes it that a request is handed to a target at a moment of true time.
-    pub fn sent(&mut self, at: UnixMs, workspace: &str) -> OpenRequestId {
+    pub fn request_sent(&mut self, at: UnixMs, workspace: &str) -> OpenRequestId {
         let ticket = OpenRequestId(self.next);
         self.next += 1;
         self.open.insert(ticket, Open { began_at: at, workspace: workspace.to_owned() });
@@ -45,14 +45,14 @@
     }
 
     /// Takes it that a target began a request, at a later moment than it was sent if one is given.
-    pub fn began(&mut self, ticket: OpenRequestId, at: Option<UnixMs>) {
+    pub fn request_started(&mut self, ticket: OpenRequestId, at: Option<UnixMs>) {
         if let Some(open) = self.open.swap_remove(&ticket) {
             self.count(at.unwrap_or(open.began_at), open.workspace);
         }
     }
 
     /// Takes it that a target did not run a request.
-    pub fn not_run(&mut self, ticket: OpenRequestId) {
+    pub fn request_not_run(&mut self, ticket: OpenRequestId) {
         self.open.swap_remove(&ticket);
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Returns what there is to tell of the windows that are not too old, the open one among them.
-    pub fn tables(&mut self, now: UnixMs) -> Vec<WindowCounts> {
+    pub fn window_counts(&mut self, now: UnixMs) -> Vec<WindowCounts> {
         self.settle(now);
         let current = self.windows.at(now);
         let oldest = Window(current.0.saturating_sub(KEPT_WINDOWS));
@@ -85,7 +85,7 @@
         let late: Vec<OpenRequestId> =
             self.open.iter().filter(|(_, open)| is_late(open)).map(|(ticket, _)| *ticket).collect();
         for ticket in late {
-            self.began(ticket, None);
+            self.request_started(ticket, None);
         }
     }
 
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -43,7 +43,7 @@
 
 impl Ledger {
     /// Takes a node's table.
-    pub fn told(&mut self, teller: &UsageSource, table: WindowCounts) {
+    pub fn record(&mut self, teller: &UsageSource, table: WindowCounts) {
         let window = self.windows.entry(table.window).or_default();
         let told = window.entry(teller.clone()).or_default();
         told.complete |= table.complete;
@@ -83,7 +83,7 @@
     }
 
     /// Returns how many lives have told of a window.
-    pub fn tellers(&self, window: Window) -> usize {
+    pub fn source_count(&self, window: Window) -> usize {
         self.windows.get(&window).map_or(0, IndexMap::len)
     }
 }
--- a/crates/usage/src/time.rs
+++ b/crates/usage/src/time.rs
@@ -30,7 +30,7 @@
 
 impl FleetClock {
     /// Takes it that a node's clock showed `wall` when this process's steady clock showed `steady`.
-    pub fn read(&mut self, node: SocketAddr, wall: UnixMs, steady: UnixMs) {
+    pub fn record_reading(&mut self, node: SocketAddr, wall: UnixMs, steady: UnixMs) {
         let ahead_ms = wall.0 as i64 - steady.0 as i64;
         self.readings.insert(node, Reading { ahead_ms, read_at: steady });
         let is_old = self.refreshed_at.is_none_or(|at| steady.since_ms(at) >= REFRESH_MS);
@@ -56,7 +56,7 @@
     }
 
     /// Returns how many clocks the estimate rests on.
-    pub fn witnesses(&self) -> usize {
+    pub fn clock_count(&self) -> usize {
         self.readings.len()
     }
 }
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -53,7 +53,7 @@
         let mut steady = STEADY;
         for (number, off_ms) in off_ms.iter().enumerate() {
             steady = steady.plus(300);
-            time.read(address(number), wall(steady, *off_ms), steady);
+            time.record_reading(address(number), wall(steady, *off_ms), steady);
         }
 
         let estimate = time.at(steady).expect("an estimate").0 as i64;
@@ -74,7 +74,7 @@
             let held = expected.entry((*node, *life, *window)).or_default();
             *held = (*held).max(*count);
             let teller = teller(&format!("node-{node}"), *life);
-            ledger.told(&teller, table(*window, false, &[("a", *count)]));
+            ledger.record(&teller, table(*window, false, &[("a", *count)]));
         }
 
         for window in 0..3 {
@@ -93,7 +93,7 @@
         for node in 0..50 {
             let jumped = (10..30).contains(&round) && node % 3 == 0;
             let off_ms = (node as i64 % 7) - 3 + if jumped { -2_400 } else { 0 };
-            time.read(address(node), wall(steady, off_ms), steady);
+            time.record_reading(address(node), wall(steady, off_ms), steady);
         }
 
         let estimate = time.at(steady).expect("an estimate");
@@ -101,7 +101,7 @@
         let off_ms = estimate.0 as i64 - wall(steady, 0).0 as i64;
         assert!(off_ms.abs() <= 3, "round {round}: {off_ms} ms off");
     }
-    assert_eq!(time.witnesses(), 50);
+    assert_eq!(time.clock_count(), 50);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let mut time = FleetClock::default();
     assert_eq!(time.at(STEADY), None);
 
-    time.read(address(0), UnixMs(WALL_MS as u64), STEADY);
+    time.record_reading(address(0), UnixMs(WALL_MS as u64), STEADY);
 
     assert_eq!(time.at(STEADY.plus(5)), Some(UnixMs(WALL_MS as u64 + 5)));
 }
@@ -117,27 +117,27 @@
 #[test]
 fn a_request_counts_in_the_window_in_which_a_target_began_it() {
     let mut counts = UsageCounts::open(WINDOWS);
-    let early = counts.sent(UnixMs(4_990), "a");
-    let queued = counts.sent(UnixMs(4_995), "a");
-    let refused = counts.sent(UnixMs(4_996), "b");
+    let early = counts.request_sent(UnixMs(4_990), "a");
+    let queued = counts.request_sent(UnixMs(4_995), "a");
+    let refused = counts.request_sent(UnixMs(4_996), "b");
 
-    counts.began(early, None);
-    counts.began(queued, Some(UnixMs(5_040)));
-    counts.not_run(refused);
+    counts.request_started(early, None);
+    counts.request_started(queued, Some(UnixMs(5_040)));
+    counts.request_not_run(refused);
 
-    let tables = counts.tables(UnixMs(6_000));
+    let tables = counts.window_counts(UnixMs(6_000));
     assert_eq!(tables, [table(0, true, &[("a", 1)]), table(1, false, &[("a", 1)])]);
 }
 
 #[test]
 fn a_window_is_complete_when_nothing_that_was_sent_in_it_is_open() {
     let mut counts = UsageCounts::open(WINDOWS);
-    let open = counts.sent(UnixMs(4_900), "a");
+    let open = counts.request_sent(UnixMs(4_900), "a");
 
-    assert_eq!(counts.tables(UnixMs(5_100)), []);
+    assert_eq!(counts.window_counts(UnixMs(5_100)), []);
 
-    counts.began(open, None);
-    assert_eq!(counts.tables(UnixMs(5_100)), [table(0, true, &[("a", 1)])]);
+    counts.request_started(open, None);
+    assert_eq!(counts.window_counts(UnixMs(5_100)), [table(0, true, &[("a", 1)])]);
 }
 
 // Symptom: a window is never closed.
@@ -145,9 +145,9 @@
 #[test]
 fn a_request_that_stays_unanswered_counts_as_begun() {
     let mut counts = UsageCounts::open(WINDOWS);
-    let _open = counts.sent(UnixMs(4_900), "a");
+    let _open = counts.request_sent(UnixMs(4_900), "a");
 
-    let tables = counts.tables(UnixMs(8_100));
+    let tables = counts.window_counts(UnixMs(8_100));
 
     assert_eq!(tables, [table(0, true, &[("a", 1)])]);
 }
@@ -155,10 +155,10 @@
 #[test]
 fn windows_that_are_over_for_long_are_forgotten() {
     let mut counts = UsageCounts::open(WINDOWS);
-    let sent = counts.sent(UnixMs(100), "a");
-    counts.began(sent, None);
+    let sent = counts.request_sent(UnixMs(100), "a");
+    counts.request_started(sent, None);
 
-    let tables = counts.tables(UnixMs(100_000));
+    let tables = counts.window_counts(UnixMs(100_000));
 
     assert!(tables.iter().all(|table| table.window > Window(0)), "{tables:?}");
 }
@@ -168,24 +168,24 @@
 #[test]
 fn what_a_node_told_before_it_died_stays_beside_what_its_next_life_tells() {
     let mut ledger = Ledger::default();
-    ledger.told(&teller("n", 4), table(7, false, &[("a", 2), ("b", 1)]));
-    ledger.told(&teller("n", 4), table(7, false, &[("a", 3)]));
+    ledger.record(&teller("n", 4), table(7, false, &[("a", 2), ("b", 1)]));
+    ledger.record(&teller("n", 4), table(7, false, &[("a", 3)]));
 
-    ledger.told(&teller("n", 9), table(7, true, &[("a", 1)]));
+    ledger.record(&teller("n", 9), table(7, true, &[("a", 1)]));
 
     assert_eq!(ledger.totals(Window(7)), totals(&[("a", 4), ("b", 1)]));
-    assert_eq!(ledger.tellers(Window(7)), 2);
+    assert_eq!(ledger.source_count(Window(7)), 2);
 }
 
 #[test]
 fn a_window_waits_for_the_lives_that_have_not_told_all_of_it() {
     let mut ledger = Ledger::default();
     let (first, second) = (teller("n", 4), teller("m", 5));
-    ledger.told(&first, table(7, true, &[("a", 2)]));
-    ledger.told(&second, table(7, false, &[("a", 2)]));
+    ledger.record(&first, table(7, true, &[("a", 2)]));
+    ledger.record(&second, table(7, false, &[("a", 2)]));
 
     assert_eq!(ledger.missing(Window(7), [&first, &second]), [&second]);
 
-    ledger.told(&second, table(7, true, &[("a", 2)]));
+    ledger.record(&second, table(7, true, &[("a", 2)]));
     assert!(ledger.missing(Window(7), [&first, &second]).is_empty());
 }
