--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -37,7 +37,7 @@
 
 impl SentTexts {
     /// Returns what is new of some texts, and counts it as told.
-    pub fn news(&mut self, texts: &[(String, Progress)]) -> Vec<TextUpdate> {
+    pub fn updates(&mut self, texts: &[(String, Progress)]) -> Vec<TextUpdate> {
         texts.iter().filter_map(|(item, progress)| self.news_of(item, progress)).collect()
     }
 
@@ -71,7 +71,7 @@
 
 impl CopiedTexts {
     /// Takes news; returns false when a part before them is missing.
-    pub fn take(&mut self, news: Vec<TextUpdate>) -> bool {
+    pub fn apply(&mut self, news: Vec<TextUpdate>) -> bool {
         let mut whole = true;
         for TextUpdate { after_digest, item, progress } in news {
             let held = self.0.entry(item).or_default();
--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -58,11 +58,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConfirmationSource {
     /// This node's own call was answered.
-    Own,
+    OwnCall,
     /// Another node that comes before this one in rank.
-    Senior,
+    EarlierRank,
     /// Another node.
-    Junior,
+    LaterRank,
 }
 
 /// The age of a node's view of the store.
@@ -86,14 +86,14 @@
     pub fn confirm(&mut self, at: UnixMs, by: ConfirmationSource) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
         match by {
-            ConfirmationSource::Own => self.own_at = self.own_at.max(Some(at)),
-            ConfirmationSource::Senior => self.senior_at = self.senior_at.max(Some(at)),
-            ConfirmationSource::Junior => {}
+            ConfirmationSource::OwnCall => self.own_at = self.own_at.max(Some(at)),
+            ConfirmationSource::EarlierRank => self.senior_at = self.senior_at.max(Some(at)),
+            ConfirmationSource::LaterRank => {}
         }
     }
 
     /// Forgets how old the view is, because there is something that it lacks.
-    pub fn doubt(&mut self) {
+    pub fn invalidate(&mut self) {
         *self = Self::default();
     }
 
@@ -105,13 +105,13 @@
 
     /// Returns how long ago a call of this node confirmed the view, in milliseconds; none if none
     /// did, or if that is too long ago to be of use to others.
-    pub fn told_age_ms(&self, now: UnixMs, bound: ChangeBound) -> Option<u64> {
+    pub fn reportable_age_ms(&self, now: UnixMs, bound: ChangeBound) -> Option<u64> {
         let own_ms = now.since_ms(self.own_at?);
         (own_ms < bound.stale_ms()).then_some(own_ms)
     }
 
     /// Returns when a node of this rank looks for itself.
-    pub fn looks_at(&self, rank: usize, bound: ChangeBound) -> UnixMs {
+    pub fn next_read_at(&self, rank: usize, bound: ChangeBound) -> UnixMs {
         match self.confirmed_at {
             None => UnixMs(0),
             Some(at) => at.plus(bound.stale_ms() + bound.turn_ms(rank)),
@@ -120,7 +120,7 @@
 
     /// Tells whether a node of this rank watches the store: by rank, or because none of those that
     /// come before it has told of an answer for too long.
-    pub fn watches(&self, now: UnixMs, rank: usize, bound: ChangeBound) -> bool {
+    pub fn should_watch(&self, now: UnixMs, rank: usize, bound: ChangeBound) -> bool {
         let is_relieved = self.senior_at.is_some_and(|at| now.since_ms(at) < bound.stale_ms());
         rank < WATCHERS || !is_relieved
     }
--- a/crates/dispatch/src/lengths.rs
+++ b/crates/dispatch/src/lengths.rs
@@ -13,7 +13,7 @@
 
 impl RunTimeEstimator {
     /// Takes a run that began at the start of its text and came to its end.
-    pub fn finished(&mut self, estimated_tokens: u64, run_ms: u64) {
+    pub fn record(&mut self, estimated_tokens: u64, run_ms: u64) {
         self.run_ms += run_ms;
         self.tokens += estimated_tokens;
         if self.tokens > REMEMBERED_TOKENS {
--- a/crates/dispatch/src/lookahead.rs
+++ b/crates/dispatch/src/lookahead.rs
@@ -18,7 +18,7 @@
 
 impl Lookahead {
     /// Takes the opening of a batch for `step`, given the steps of the model's batches that are open.
-    pub fn opened(&mut self, model: &str, step: u64, open: impl Iterator<Item = u64>) {
+    pub fn batch_opened(&mut self, model: &str, step: u64, open: impl Iterator<Item = u64>) {
         let ahead = open.min().map_or(0, |oldest| step.saturating_sub(oldest));
         let recent = self.recent.entry(model.to_owned()).or_default();
         recent.push_back(ahead);
@@ -29,7 +29,7 @@
 
     /// Returns the oldest version that the batch will accept in which groups come again that a batch
     /// leaves which accepts `oldest_version`. Steps accept one version more each.
-    pub fn next_oldest(&self, model: &str, oldest_version: u64) -> u64 {
+    pub fn next_oldest_version(&self, model: &str, oldest_version: u64) -> u64 {
         let ahead = self.recent.get(model).and_then(|recent| recent.iter().max().copied());
         oldest_version + 1 + ahead.unwrap_or(0)
     }
--- a/crates/dispatch/src/turns.rs
+++ b/crates/dispatch/src/turns.rs
@@ -61,7 +61,7 @@
 
 impl WaitQueue {
     /// Takes a request that waits, and came `since`.
-    pub fn wait(&mut self, since: UnixMs, workspace: Option<&str>, priority: u32) -> WaiterId {
+    pub fn enqueue(&mut self, since: UnixMs, workspace: Option<&str>, priority: u32) -> WaiterId {
         let id = WaiterId(self.next);
         self.next += 1;
         let workspace = workspace.map(str::to_owned);
@@ -70,12 +70,12 @@
     }
 
     /// Takes a request out that waits no longer.
-    pub fn leave(&mut self, id: WaiterId) {
+    pub fn remove(&mut self, id: WaiterId) {
         self.waiting.retain(|waiting| waiting.id != id);
     }
 
     /// Takes it that a request was served.
-    pub fn served(&mut self, now: UnixMs, workspace: Option<&str>) {
+    pub fn record_served(&mut self, now: UnixMs, workspace: Option<&str>) {
         let workspace = workspace.map(str::to_owned);
         let share = self.shares.entry(workspace).or_insert(Share { at: now, had: 0.0 });
         *share = Share { at: now, had: share.now(now) + 1.0 };
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -241,7 +241,7 @@
             let open = held.batch.submission();
             open.step.filter(|_| open.model.as_ref() == Some(model))
         });
-        self.lookahead.borrow_mut().opened(model, step, steps);
+        self.lookahead.borrow_mut().batch_opened(model, step, steps);
     }
 
     /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -140,7 +140,7 @@
     to: &Owner,
     told: &mut SentTexts,
 ) -> bool {
-    let texts = told.news(&held.borrow().texts(SAVE_AFTER_MS));
+    let texts = told.updates(&held.borrow().texts(SAVE_AFTER_MS));
     if texts.is_empty() {
         return true;
     }
@@ -172,7 +172,7 @@
 /// Keeps what is new of the texts of a copied batch; returns false when something before is missing.
 pub(crate) fn keep_texts<P: Platform>(node: &Node<P>, batch: &str, texts: Vec<TextUpdate>) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
-    copies.get_mut(batch).is_some_and(|held| held.texts.take(texts))
+    copies.get_mut(batch).is_some_and(|held| held.texts.apply(texts))
 }
 
 /// Tells the node that holds the copy of a batch that it is ended.
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -128,7 +128,7 @@
         return 0;
     }
     let rank = peers::rank_for(node, DUTY).unwrap_or(0);
-    let looks_at = known.freshness.looks_at(rank, node.settings().change_bound);
+    let looks_at = known.freshness.next_read_at(rank, node.settings().change_bound);
     looks_at.since_ms(clock::now())
 }
 
@@ -152,14 +152,14 @@
     let Some(rank) = peers::rank_for(node, DUTY) else { return false };
     let freshness = node.feeds.of(subject).known.borrow().freshness;
     peers::settles_in_ms(node) == Some(0)
-        && freshness.watches(clock::now(), rank, node.settings().change_bound)
+        && freshness.should_watch(clock::now(), rank, node.settings().change_bound)
 }
 
 /// Returns how long ago the store confirmed a view to this node itself, as others may be told, in
 /// milliseconds.
 fn told_age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
     let freshness = node.feeds.of(subject).known.borrow().freshness;
-    freshness.told_age_ms(clock::now(), node.settings().change_bound)
+    freshness.reportable_age_ms(clock::now(), node.settings().change_bound)
 }
 
 /// Asks peers for what this node has missed, until the process ends. A node that has lost the store
@@ -175,7 +175,7 @@
         if let Ok(PeerAnswer::Changes(changes)) = node.ask_peer(peer, &call, CATCH_UP_MAX).await {
             take_changes(&node, subject, heard(changes, peer, began_at));
         } else {
-            feed.known.borrow_mut().freshness.doubt();
+            feed.known.borrow_mut().freshness.invalidate();
             feed.doubted.notify_one();
         }
     }
@@ -197,7 +197,8 @@
         // What was deleted since cannot be told any more; the whole list is read from the store.
         return None;
     };
-    let confirmed_ms_ago = known.freshness.told_age_ms(clock::now(), node.settings().change_bound);
+    let confirmed_ms_ago =
+        known.freshness.reportable_age_ms(clock::now(), node.settings().change_bound);
     let events = Some(events);
     Some(Changes { after, after_outage: false, as_of: known.as_of, confirmed_ms_ago, events })
 }
@@ -296,9 +297,11 @@
 
 fn witness<P: Platform>(node: &Node<P>, teller: Teller) -> ConfirmationSource {
     match teller {
-        Teller::Store => ConfirmationSource::Own,
-        Teller::Peer(peer) if peers::comes_before(node, peer, DUTY) => ConfirmationSource::Senior,
-        Teller::Peer(_) => ConfirmationSource::Junior,
+        Teller::Store => ConfirmationSource::OwnCall,
+        Teller::Peer(peer) if peers::comes_before(node, peer, DUTY) => {
+            ConfirmationSource::EarlierRank
+        }
+        Teller::Peer(_) => ConfirmationSource::LaterRank,
     }
 }
 
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -107,7 +107,7 @@
         let model = held.borrow().batch.submission().model.clone();
         let Some(model) = model else { continue };
         let oldest = held.borrow().batch.submission().oldest_version;
-        let next_oldest = node.batches.lookahead.borrow().next_oldest(&model, oldest);
+        let next_oldest = node.batches.lookahead.borrow().next_oldest_version(&model, oldest);
         for index in to_redo(&held.borrow(), now, next_oldest) {
             if node.batches.second_runs.running_count() >= SECONDS_AT_ONCE {
                 return;
--- a/crates/serve/src/turn.rs
+++ b/crates/serve/src/turn.rs
@@ -25,7 +25,7 @@
         priority: u32,
     ) -> Self {
         let mut turns = node.turns.borrow_mut();
-        let id = turns.entry(service.to_owned()).or_default().wait(since, workspace, priority);
+        let id = turns.entry(service.to_owned()).or_default().enqueue(since, workspace, priority);
         Self { id, node: Rc::clone(node), service: service.to_owned() }
     }
 
@@ -39,7 +39,7 @@
 impl<P: Platform> Drop for Turn<P> {
     fn drop(&mut self) {
         if let Some(turns) = self.node.turns.borrow_mut().get_mut(&self.service) {
-            turns.leave(self.id);
+            turns.remove(self.id);
         }
     }
 }
@@ -47,5 +47,5 @@
 /// Takes it that a request of a workspace was served.
 pub(crate) fn served<P: Platform>(node: &Node<P>, service: &str, workspace: Option<&str>) {
     let mut turns = node.turns.borrow_mut();
-    turns.entry(service.to_owned()).or_default().served(clock::now(), workspace);
+    turns.entry(service.to_owned()).or_default().record_served(clock::now(), workspace);
 }
--- a/tests/all/dispatch/copies.rs
+++ b/tests/all/dispatch/copies.rs
@@ -22,9 +22,9 @@
     let mut sent_bytes = 0;
 
     for events in [3, 8, 8, 20] {
-        let news = told.news(&[text("a", 1..=events, "r"), text("b", 1..=2, "r")]);
+        let news = told.updates(&[text("a", 1..=events, "r"), text("b", 1..=2, "r")]);
         sent_bytes += bytes(&news);
-        assert!(copy.take(news));
+        assert!(copy.apply(news));
     }
 
     let expected = [text("a", 1..=20, "r"), text("b", 1..=2, "r")];
@@ -38,9 +38,9 @@
 #[test]
 fn a_text_that_begins_anew_replaces_the_former_one() {
     let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
-    assert!(copy.take(told.news(&[text("a", 1..=5, "first")])));
+    assert!(copy.apply(told.updates(&[text("a", 1..=5, "first")])));
 
-    assert!(copy.take(told.news(&[text("a", 1..=9, "other")])));
+    assert!(copy.apply(told.updates(&[text("a", 1..=9, "other")])));
 
     assert_eq!(copy.into_texts(), [text("a", 1..=9, "other")]);
 }
@@ -48,13 +48,13 @@
 #[test]
 fn a_copy_that_missed_a_part_says_so_and_is_told_all() {
     let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
-    assert!(copy.take(told.news(&[text("a", 1..=2, "r")])));
-    let _lost = told.news(&[text("a", 1..=4, "r")]);
+    assert!(copy.apply(told.updates(&[text("a", 1..=2, "r")])));
+    let _lost = told.updates(&[text("a", 1..=4, "r")]);
 
-    assert!(!copy.take(told.news(&[text("a", 1..=6, "r")])));
+    assert!(!copy.apply(told.updates(&[text("a", 1..=6, "r")])));
     told.forget();
 
-    assert!(copy.take(told.news(&[text("a", 1..=6, "r")])));
+    assert!(copy.apply(told.updates(&[text("a", 1..=6, "r")])));
     assert_eq!(copy.into_texts(), [text("a", 1..=6, "r")]);
 }
 
@@ -68,8 +68,8 @@
         let mut run = 0;
         for (events, begins_anew, is_lost) in steps {
             run += u64::from(begins_anew);
-            let news = told.news(&[text("a", 1..=events, &format!("run{run}"))]);
-            if !is_lost && !copy.take(news) {
+            let news = told.updates(&[text("a", 1..=events, &format!("run{run}"))]);
+            if !is_lost && !copy.apply(news) {
                 told.forget();
             }
         }
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -32,7 +32,7 @@
 impl Fleet {
     fn open(size: usize) -> Self {
         let mut node = Node { reaches_store: true, ..Node::default() };
-        node.freshness.confirm(UnixMs(0), ConfirmationSource::Junior);
+        node.freshness.confirm(UnixMs(0), ConfirmationSource::LaterRank);
         Self { nodes: vec![node; size], now: UnixMs(0), stored: 0 }
     }
 
@@ -56,7 +56,7 @@
             return;
         }
         let looks = rank < WATCHERS && now >= node.watches_again_at;
-        if looks || node.freshness.looks_at(rank, BOUND) <= now {
+        if looks || node.freshness.next_read_at(rank, BOUND) <= now {
             node.calls += 1;
             node.watches_again_at = now.plus(BOUND.wait_ms());
             node.call = node.reaches_store.then_some((now.plus(CALL_MS), stored));
@@ -69,11 +69,14 @@
         let began_at = UnixMs(now.since_ms(UnixMs(CALL_MS)));
         let teller = &mut self.nodes[rank];
         teller.known = teller.known.max(read);
-        teller.freshness.confirm(began_at, ConfirmationSource::Own);
-        let Some(age_ms) = teller.freshness.told_age_ms(now, BOUND) else { return };
+        teller.freshness.confirm(began_at, ConfirmationSource::OwnCall);
+        let Some(age_ms) = teller.freshness.reportable_age_ms(now, BOUND) else { return };
         for (other, node) in self.nodes.iter_mut().enumerate().filter(|(other, _)| *other != rank) {
-            let witness =
-                if rank < other { ConfirmationSource::Senior } else { ConfirmationSource::Junior };
+            let witness = if rank < other {
+                ConfirmationSource::EarlierRank
+            } else {
+                ConfirmationSource::LaterRank
+            };
             node.freshness.confirm(UnixMs(now.since_ms(UnixMs(age_ms))), witness);
             node.known = node.known.max(read);
         }
@@ -145,21 +148,21 @@
 #[test]
 fn two_nodes_that_hear_each_other_do_not_keep_each_other_young() {
     let mut views = [Freshness::default(); 2];
-    views[0].confirm(UnixMs(0), ConfirmationSource::Own);
-    views[1].confirm(UnixMs(0), ConfirmationSource::Own);
+    views[0].confirm(UnixMs(0), ConfirmationSource::OwnCall);
+    views[1].confirm(UnixMs(0), ConfirmationSource::OwnCall);
 
     for now in (100..5_000).step_by(100).map(UnixMs) {
         for (teller, hearer) in [(0, 1), (1, 0)] {
-            if let Some(age_ms) = views[teller].told_age_ms(now, BOUND) {
+            if let Some(age_ms) = views[teller].reportable_age_ms(now, BOUND) {
                 // A datagram takes a while, and seems to be of when it comes.
                 let at = UnixMs(now.plus(10).since_ms(UnixMs(age_ms)));
-                views[hearer].confirm(at, ConfirmationSource::Senior);
+                views[hearer].confirm(at, ConfirmationSource::EarlierRank);
             }
         }
     }
 
     for view in views {
-        assert!(view.looks_at(0, BOUND) < UnixMs(BOUND.as_ms()));
+        assert!(view.next_read_at(0, BOUND) < UnixMs(BOUND.as_ms()));
         assert!(view.age_ms(UnixMs(5_000)).is_some_and(|age_ms| age_ms > 4_900));
     }
 }
@@ -167,32 +170,32 @@
 #[test]
 fn a_node_in_a_watchers_place_goes_on_until_one_that_comes_before_it_is_answered() {
     let mut view = Freshness::default();
-    view.confirm(UnixMs(1_000), ConfirmationSource::Own);
-    view.confirm(UnixMs(1_000), ConfirmationSource::Junior);
-    assert!(view.watches(UnixMs(1_100), 2, BOUND));
+    view.confirm(UnixMs(1_000), ConfirmationSource::OwnCall);
+    view.confirm(UnixMs(1_000), ConfirmationSource::LaterRank);
+    assert!(view.should_watch(UnixMs(1_100), 2, BOUND));
 
-    view.confirm(UnixMs(1_200), ConfirmationSource::Senior);
+    view.confirm(UnixMs(1_200), ConfirmationSource::EarlierRank);
 
-    assert!(!view.watches(UnixMs(1_300), 2, BOUND));
-    assert!(view.watches(UnixMs(1_200 + BOUND.stale_ms()), 2, BOUND));
-    assert!(view.watches(UnixMs(1_300), 1, BOUND), "a watcher watches whoever else does");
+    assert!(!view.should_watch(UnixMs(1_300), 2, BOUND));
+    assert!(view.should_watch(UnixMs(1_200 + BOUND.stale_ms()), 2, BOUND));
+    assert!(view.should_watch(UnixMs(1_300), 1, BOUND), "a watcher watches whoever else does");
 }
 
 #[test]
 fn a_view_that_lacks_something_is_looked_after_at_once() {
     let mut view = Freshness::default();
-    view.confirm(UnixMs(1_000), ConfirmationSource::Senior);
+    view.confirm(UnixMs(1_000), ConfirmationSource::EarlierRank);
 
-    view.doubt();
+    view.invalidate();
 
     assert_eq!(view.age_ms(UnixMs(1_001)), None);
-    assert_eq!(view.looks_at(7, BOUND), UnixMs(0));
+    assert_eq!(view.next_read_at(7, BOUND), UnixMs(0));
 }
 
 #[test]
 fn a_wait_ends_before_the_view_is_old() {
     let mut view = Freshness::default();
-    view.confirm(UnixMs(1_000), ConfirmationSource::Own);
+    view.confirm(UnixMs(1_000), ConfirmationSource::OwnCall);
 
     assert_eq!(view.next_wait_ms(UnixMs(1_000), BOUND), BOUND.wait_ms());
     assert_eq!(view.next_wait_ms(UnixMs(1_400), BOUND), BOUND.wait_ms() - 400);
--- a/tests/all/dispatch/lookahead.rs
+++ b/tests/all/dispatch/lookahead.rs
@@ -6,29 +6,29 @@
 fn groups_of_a_trainer_with_one_open_step_come_again_in_the_next() {
     let mut lookahead = Lookahead::default();
     for step in 3..6 {
-        lookahead.opened("m", step, std::iter::empty());
+        lookahead.batch_opened("m", step, std::iter::empty());
     }
 
-    assert_eq!(lookahead.next_oldest("m", 7), 8);
-    assert_eq!(lookahead.next_oldest("unknown", 7), 8);
+    assert_eq!(lookahead.next_oldest_version("m", 7), 8);
+    assert_eq!(lookahead.next_oldest_version("unknown", 7), 8);
 }
 
 #[test]
 fn groups_of_a_trainer_that_asks_a_step_ahead_come_again_two_steps_later() {
     let mut lookahead = Lookahead::default();
-    lookahead.opened("m", 4, [3].into_iter());
-    lookahead.opened("m", 5, std::iter::empty());
+    lookahead.batch_opened("m", 4, [3].into_iter());
+    lookahead.batch_opened("m", 5, std::iter::empty());
 
-    assert_eq!(lookahead.next_oldest("m", 7), 9, "one step that was late does not count");
+    assert_eq!(lookahead.next_oldest_version("m", 7), 9, "one step that was late does not count");
 }
 
 #[test]
 fn a_trainer_that_changes_its_ways_is_learnt_within_four_steps() {
     let mut lookahead = Lookahead::default();
-    lookahead.opened("m", 4, [3].into_iter());
+    lookahead.batch_opened("m", 4, [3].into_iter());
     for step in 5..9 {
-        lookahead.opened("m", step, std::iter::empty());
+        lookahead.batch_opened("m", step, std::iter::empty());
     }
 
-    assert_eq!(lookahead.next_oldest("m", 7), 8);
+    assert_eq!(lookahead.next_oldest_version("m", 7), 8);
 }
--- a/tests/all/dispatch/turns.rs
+++ b/tests/all/dispatch/turns.rs
@@ -48,7 +48,7 @@
             let before = now_ms * sender.per_s / 1_000;
             let after = (now_ms + TURN_MS) * sender.per_s / 1_000;
             for _ in before..after {
-                let id = turns.wait(now, Some(&sender.name), sender.priority);
+                let id = turns.enqueue(now, Some(&sender.name), sender.priority);
                 waiting.push(Request { id, since: now_ms, workspace });
             }
         }
@@ -66,13 +66,13 @@
             let is_served = due.contains(&request.id);
             let is_over = now_ms - request.since >= WAIT_MAX_MS;
             if is_served {
-                turns.served(now, Some(&senders[request.workspace].name));
+                turns.record_served(now, Some(&senders[request.workspace].name));
                 results[request.workspace].served += 1;
             } else if is_over {
                 results[request.workspace].refused += 1;
             }
             if is_served || is_over {
-                turns.leave(request.id);
+                turns.remove(request.id);
             }
             !is_served && !is_over
         });
@@ -141,7 +141,7 @@
 #[test]
 fn one_that_waits_alone_is_due_at_once() {
     let mut turns = WaitQueue::default();
-    let id = turns.wait(UnixMs(5), None, 9);
+    let id = turns.enqueue(UnixMs(5), None, 9);
 
     assert!(turns.is_due(UnixMs(5), id));
 }
@@ -155,12 +155,12 @@
         let mut held: IndexMap<WaiterId, ()> = IndexMap::new();
         for (workspace, priority, since, leaves) in waits {
             let name = format!("w{workspace}");
-            let id = turns.wait(UnixMs(since), Some(&name), priority);
+            let id = turns.enqueue(UnixMs(since), Some(&name), priority);
             held.insert(id, ());
             if leaves && held.len() > 1 {
-                turns.leave(id);
+                turns.remove(id);
                 held.swap_remove(&id);
-                turns.served(UnixMs(since), Some(&name));
+                turns.record_served(UnixMs(since), Some(&name));
             }
         }
 
