--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -38,7 +38,7 @@
     /// Nothing is learnt, e.g. the caller left.
     Cancelled,
     /// It refused for load.
-    Full,
+    Overloaded,
     /// It did not connect, broke off or fell silent.
     Failed,
 }
@@ -47,14 +47,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadBalancerSettings {
     /// How long a target rests after its first failure; doubled with each in a row.
-    pub rest_ms: u64,
+    pub backoff_ms: u64,
     /// The longest rest.
-    pub rest_max_ms: u64,
+    pub backoff_max_ms: u64,
     /// How long a target that refused for load is passed over.
-    pub full_rest_ms: u64,
+    pub overloaded_backoff_ms: u64,
     /// The same for one that has less than half of its slots taken by us: it refuses because it
     /// loads weights, not because it is full.
-    pub loading_rest_ms: u64,
+    pub loading_backoff_ms: u64,
 }
 
 impl Default for LoadBalancerSettings {
@@ -63,7 +63,12 @@
     /// one request's time; 250 ms: a load takes about a second, and asking fifteen times meanwhile
     /// made a third of all arrivals at engines refusals.
     fn default() -> Self {
-        Self { rest_ms: 400, rest_max_ms: 3_200, full_rest_ms: 60, loading_rest_ms: 250 }
+        Self {
+            backoff_ms: 400,
+            backoff_max_ms: 3_200,
+            overloaded_backoff_ms: 60,
+            loading_backoff_ms: 250,
+        }
     }
 }
 
@@ -84,7 +89,7 @@
     /// The target's id.
     pub id: &'a str,
     /// Whether it stands in our data centre.
-    pub near: bool,
+    pub same_data_centre: bool,
     /// Whether an idle connection to it is there.
     pub connected: bool,
     /// Requests that it runs at once.
@@ -139,7 +144,7 @@
     /// slow each other down by a tenth, which is more than what a prompt that is read again costs.
     /// What counts is the company that a run has for as long as it lasts: by their number alone, five
     /// of a step's longest items met at one target whose other runs soon ended.
-    pub fn choose_free<'a>(
+    pub fn choose_with_free_slot<'a>(
         &self,
         now: UnixMs,
         candidates: &[Candidate<'a>],
@@ -177,7 +182,7 @@
 
     /// Counts the run of an item as sent, which is expected to end at about `end`; returns the number
     /// under which it is [counted off](Self::run_ended).
-    pub fn run_sent(&mut self, id: &str, end: UnixMs) -> u64 {
+    pub fn run_started(&mut self, id: &str, end: UnixMs) -> u64 {
         self.runs += 1;
         let number = self.runs;
         let seen = self.entry(id);
@@ -192,7 +197,7 @@
     }
 
     /// Tells whether a target is passed over after a failure or a refusal.
-    pub fn rests(&self, now: UnixMs, id: &str) -> bool {
+    pub fn is_backing_off(&self, now: UnixMs, id: &str) -> bool {
         self.rests_until(id) > now
     }
 
@@ -201,35 +206,35 @@
     /// Learnt by refusals instead, a step's longest items go first to the emptiest targets, which
     /// are those that load, and lose their turn to shorter ones: the item that ends a step began
     /// 1.1 s after it on the mean of fifteen days.
-    pub fn loads(&mut self, id: &str, until: UnixMs) {
+    pub fn loading_until(&mut self, id: &str, until: UnixMs) {
         self.entry(id).loads_until = until;
     }
 
     /// Counts a call as sent.
-    pub fn sent(&mut self, id: &str) {
+    pub fn call_sent(&mut self, id: &str) {
         self.entry(id).in_flight += 1;
     }
 
     /// Counts the end of a call at a target that runs `slots` requests at once.
-    pub fn finished(&mut self, now: UnixMs, id: &str, slots: u32, outcome: CallOutcome) {
+    pub fn call_ended(&mut self, now: UnixMs, id: &str, slots: u32, outcome: CallOutcome) {
         let settings = self.settings;
         let seen = self.entry(id);
         seen.in_flight = seen.in_flight.saturating_sub(1);
         let full_rest_ms = if seen.in_flight * 2 < slots {
-            settings.loading_rest_ms
+            settings.loading_backoff_ms
         } else {
-            settings.full_rest_ms
+            settings.overloaded_backoff_ms
         };
         match outcome {
             CallOutcome::Answered { latency_ms } => seen.answered(latency_ms),
             CallOutcome::Cancelled => {}
-            CallOutcome::Full => seen.rests_until = now.plus(full_rest_ms),
+            CallOutcome::Overloaded => seen.rests_until = now.plus(full_rest_ms),
             CallOutcome::Failed => seen.failed(now, settings),
         }
     }
 
     /// Takes the pace of a stream that goes on.
-    pub fn paced(&mut self, id: &str, latency_ms: u64) {
+    pub fn record_latency(&mut self, id: &str, latency_ms: u64) {
         self.entry(id).answered(latency_ms);
     }
 
@@ -251,7 +256,7 @@
 
     /// Forgets what was seen of a target's earlier life. Calls that are in flight there still count
     /// until they are given up.
-    pub fn reborn(&mut self, id: &str) {
+    pub fn target_restarted(&mut self, id: &str) {
         let seen = self.entry(id);
         let (in_flight, run_ends) = (seen.in_flight, std::mem::take(&mut seen.run_ends));
         *seen = Seen { in_flight, run_ends, ..Seen::default() };
@@ -299,7 +304,7 @@
         let in_flight = u64::from(self.in_flight(pick.id));
         let load = (in_flight + 1) * 100 / u64::from(pick.slots.max(1));
         load * self.slowness(pick.id, fastest_us) / SLOWNESS_UNIT
-            + u64::from(!pick.near) * FAR_COST
+            + u64::from(!pick.same_data_centre) * FAR_COST
             + u64::from(!pick.connected) * CONNECT_COST
     }
 }
@@ -320,7 +325,7 @@
 
     fn failed(&mut self, now: UnixMs, settings: LoadBalancerSettings) {
         let doublings = self.failures_in_row.min(6);
-        let rest_ms = (settings.rest_ms << doublings).min(settings.rest_max_ms);
+        let rest_ms = (settings.backoff_ms << doublings).min(settings.backoff_max_ms);
         self.failures_in_row += 1;
         self.rests_until = now.plus(rest_ms);
     }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -141,7 +141,7 @@
     pub(crate) const fn outcome(&self) -> CallOutcome {
         match self.cause {
             Cause::Barred { .. } => CallOutcome::Cancelled,
-            Cause::Full => CallOutcome::Full,
+            Cause::Full => CallOutcome::Overloaded,
             Cause::Other => CallOutcome::Failed,
         }
     }
@@ -159,13 +159,13 @@
 
 impl<P: Platform> InFlight<P> {
     pub(crate) fn begin(node: &Rc<Node<P>>, id: &str) -> Self {
-        node.load.borrow_mut().sent(id);
+        node.load.borrow_mut().call_sent(id);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: None }
     }
 
     /// Counts a run of an item, which is expected to end at about `end`.
     pub(crate) fn begin_run(node: &Rc<Node<P>>, id: &str, end: UnixMs) -> Self {
-        let run = node.load.borrow_mut().run_sent(id, end);
+        let run = node.load.borrow_mut().run_started(id, end);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: Some(run) }
     }
 
@@ -179,7 +179,7 @@
         if let Some(run) = self.run {
             self.node.load.borrow_mut().run_ended(&self.id, run);
         }
-        self.node.load.borrow_mut().finished(clock::now(), &self.id, slots, outcome);
+        self.node.load.borrow_mut().call_ended(clock::now(), &self.id, slots, outcome);
     }
 }
 
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -218,7 +218,7 @@
         }
         crashes::target_changed(self, change, &entry);
         if matches!(change, TargetChange::Reborn(_)) {
-            self.load.borrow_mut().reborn(id);
+            self.load.borrow_mut().target_restarted(id);
             // Their connections may stay silent; the texts go on elsewhere at once.
             self.batches.stop_runs_at(id);
         }
@@ -242,7 +242,7 @@
             .map(|entry| Candidate {
                 connected: self.pool.has_idle(entry.address),
                 id: &entry.id,
-                near: entry.data_centre == settings.data_centre,
+                same_data_centre: entry.data_centre == settings.data_centre,
                 slots: entry.slots,
             })
             .collect();
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -260,7 +260,7 @@
 }
 
 fn target_loads<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
-    node.load.borrow_mut().loads(target, clock::now().plus(for_ms));
+    node.load.borrow_mut().loading_until(target, clock::now().plus(for_ms));
 }
 
 /// Returns this life of this node, once it has joined.
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -149,7 +149,7 @@
     let latency_ms = clock::now().since_ms(began_at);
     let (mut head, body) = response.into_parts();
     if let Some(refusal) = forward::refusal(head.status, &marks) {
-        in_flight.end(CallOutcome::Full);
+        in_flight.end(CallOutcome::Overloaded);
         return Err(refusal);
     }
     if head.status.is_success() && marks.signature.is_none() {
--- a/crates/serve/src/runs/place.rs
+++ b/crates/serve/src/runs/place.rs
@@ -176,9 +176,10 @@
         let is_own = |pick: &&Candidate<'_>| own.is_none_or(|ids| ids.contains(pick.id));
         let own_picks: Vec<Candidate<'_>> = picks.iter().filter(is_own).copied().collect();
         // Where all of its own fail or refuse, the others serve rather than none.
-        let all_rest = own_picks.iter().all(|pick| load.rests(now, pick.id));
+        let all_rest = own_picks.iter().all(|pick| load.is_backing_off(now, pick.id));
         let from = if all_rest { picks } else { &own_picks };
         let preferred = preferred.map(String::as_str);
-        load.choose_free(now, from, preferred, run_ms, draw).map(|pick| pick.id.to_owned())
+        load.choose_with_free_slot(now, from, preferred, run_ms, draw)
+            .map(|pick| pick.id.to_owned())
     })
 }
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -221,7 +221,7 @@
     let picked = node.pick(service, fits, |load, now, picks| {
         let others: Vec<Candidate<'_>> =
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
-        load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
+        load.choose_with_free_slot(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
     picked.map(|(id, address)| Chosen { address, id })
 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -134,7 +134,7 @@
         }
         RunEnd::Broken { outcome, .. } => {
             let pause_ms =
-                if outcome == CallOutcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
+                if outcome == CallOutcome::Overloaded { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
             let from = clock::now().plus(pause_ms);
             held.borrow_mut().batch.put_back(index, from, text);
         }
@@ -215,7 +215,7 @@
         if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
             node.pool.keep(connection, &parts.headers);
         }
-        return broken(&refusal.message, CallOutcome::Full);
+        return broken(&refusal.message, CallOutcome::Overloaded);
     }
     match parts.status {
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
@@ -312,7 +312,7 @@
             if !first {
                 let gap_ms = now.since_ms(last_at);
                 self.longest_gap_ms = self.longest_gap_ms.max(gap_ms);
-                node.load.borrow_mut().paced(&chosen.id, gap_ms);
+                node.load.borrow_mut().record_latency(&chosen.id, gap_ms);
             }
             first = false;
             last_at = now;
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -4,19 +4,19 @@
 use catkinmast_model::UnixMs;
 
 fn picks() -> [Candidate<'static>; 3] {
-    ["a", "b", "c"].map(|id| Candidate { connected: true, id, near: true, slots: 4 })
+    ["a", "b", "c"].map(|id| Candidate { connected: true, id, same_data_centre: true, slots: 4 })
 }
 
 fn answered(load: &mut LoadBalancer, id: &str, latency_ms: u64) {
-    load.sent(id);
-    load.finished(UnixMs(0), id, 4, CallOutcome::Answered { latency_ms });
+    load.call_sent(id);
+    load.call_ended(UnixMs(0), id, 4, CallOutcome::Answered { latency_ms });
 }
 
 #[test]
 fn the_emptiest_target_is_chosen() {
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    load.sent("a");
-    load.sent("b");
+    load.call_sent("a");
+    load.call_sent("b");
 
     let chosen = load.choose(UnixMs(0), &picks(), &[], 0).expect("a target");
 
@@ -36,7 +36,7 @@
     for draw in 0..3 {
         assert_eq!(load.choose(UnixMs(0), &picks, &[], draw).expect("a target").id, "b");
     }
-    load.sent("b");
+    load.call_sent("b");
 
     assert_ne!(load.choose(UnixMs(0), &picks, &[], 0).expect("a target").id, "b");
 }
@@ -53,23 +53,23 @@
 #[test]
 fn a_target_that_fails_rests_ever_longer_and_returns() {
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    load.sent("a");
-    load.finished(UnixMs(1_000), "a", 4, CallOutcome::Failed);
-
-    assert!(load.rests(UnixMs(1_399), "a"));
-    assert!(!load.rests(UnixMs(1_400), "a"));
-    load.sent("a");
-    load.finished(UnixMs(2_000), "a", 4, CallOutcome::Failed);
-    assert!(load.rests(UnixMs(2_799), "a"));
-    assert!(!load.rests(UnixMs(2_800), "a"));
+    load.call_sent("a");
+    load.call_ended(UnixMs(1_000), "a", 4, CallOutcome::Failed);
+
+    assert!(load.is_backing_off(UnixMs(1_399), "a"));
+    assert!(!load.is_backing_off(UnixMs(1_400), "a"));
+    load.call_sent("a");
+    load.call_ended(UnixMs(2_000), "a", 4, CallOutcome::Failed);
+    assert!(load.is_backing_off(UnixMs(2_799), "a"));
+    assert!(!load.is_backing_off(UnixMs(2_800), "a"));
 }
 
 #[test]
 fn where_all_rest_all_may_be_chosen() {
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["a", "b", "c"] {
-        load.sent(id);
-        load.finished(UnixMs(0), id, 4, CallOutcome::Failed);
+        load.call_sent(id);
+        load.call_ended(UnixMs(0), id, 4, CallOutcome::Failed);
     }
 
     assert!(load.choose(UnixMs(1), &picks(), &[], 0).is_some());
@@ -81,16 +81,16 @@
 #[test]
 fn a_target_that_refuses_with_free_slots_rests_longer_than_a_full_one() {
     let mut loading = LoadBalancer::open(LoadBalancerSettings::default());
-    loading.sent("a");
-    loading.finished(UnixMs(0), "a", 4, CallOutcome::Full);
+    loading.call_sent("a");
+    loading.call_ended(UnixMs(0), "a", 4, CallOutcome::Overloaded);
     let mut full = LoadBalancer::open(LoadBalancerSettings::default());
     for _ in 0..4 {
-        full.sent("a");
+        full.call_sent("a");
     }
-    full.finished(UnixMs(0), "a", 4, CallOutcome::Full);
+    full.call_ended(UnixMs(0), "a", 4, CallOutcome::Overloaded);
 
-    assert!(loading.rests(UnixMs(249), "a"));
-    assert!(!full.rests(UnixMs(60), "a"));
+    assert!(loading.is_backing_off(UnixMs(249), "a"));
+    assert!(!full.is_backing_off(UnixMs(60), "a"));
 }
 
 #[test]
@@ -100,10 +100,11 @@
     answered(&mut load, "b", 50);
     answered(&mut load, "c", 50);
     for _ in 0..4 {
-        load.sent("b");
+        load.call_sent("b");
     }
 
-    let chosen = load.choose_free(UnixMs(0), &picks(), Some("a"), 1_000, 0).expect("a target");
+    let chosen =
+        load.choose_with_free_slot(UnixMs(0), &picks(), Some("a"), 1_000, 0).expect("a target");
 
     assert_eq!(chosen.id, "c");
 }
@@ -113,11 +114,11 @@
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for pick in picks() {
         for _ in 0..4 {
-            load.sent(pick.id);
+            load.call_sent(pick.id);
         }
     }
 
-    assert_eq!(load.choose_free(UnixMs(0), &picks(), None, 1_000, 0), None);
+    assert_eq!(load.choose_with_free_slot(UnixMs(0), &picks(), None, 1_000, 0), None);
 }
 
 // Symptom: a step's longest items begin 1.1 s after it.
@@ -128,13 +129,14 @@
 fn a_target_that_loads_takes_no_item_until_it_is_expected_to_have_loaded() {
     let mut load = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["b", "c"] {
-        load.sent(id);
+        load.call_sent(id);
     }
-    load.loads("a", UnixMs(900));
+    load.loading_until("a", UnixMs(900));
 
-    let meanwhile = load.choose_free(UnixMs(899), &picks(), Some("a"), 1_000, 0).expect("a target");
+    let meanwhile =
+        load.choose_with_free_slot(UnixMs(899), &picks(), Some("a"), 1_000, 0).expect("a target");
     let afterwards =
-        load.choose_free(UnixMs(900), &picks(), Some("a"), 1_000, 0).expect("a target");
+        load.choose_with_free_slot(UnixMs(900), &picks(), Some("a"), 1_000, 0).expect("a target");
 
     assert_ne!(meanwhile.id, "a");
     assert_eq!(afterwards.id, "a");
