--- a/crates/dispatch/src/batch/mod.rs
+++ b/crates/dispatch/src/batch/mod.rs
@@ -197,7 +197,7 @@
         self.ended = true;
         for Finished { result, .. } in std::mem::take(&mut self.finished) {
             if let Some(at) = self.index.get(&result.id).copied() {
-                let progress = Progress::whole(&result);
+                let progress = Progress::of_finished(&result);
                 self.places[at] = Place::Waiting { from: UnixMs(0), progress };
             }
         }
@@ -314,7 +314,7 @@
                 && group.is_some_and(|group| untaken.contains(group))
         });
         let mut held: Vec<(String, Progress)> =
-            left.map(|result| (result.id.clone(), Progress::whole(result))).collect();
+            left.map(|result| (result.id.clone(), Progress::of_finished(result))).collect();
         for (place, item) in self.places.iter_mut().zip(&self.submission.items) {
             if let Place::Waiting { progress, .. } = place
                 && progress.is_begun()
@@ -330,7 +330,9 @@
     pub fn unlisted_texts(&self) -> Vec<(String, Progress)> {
         let completed =
             self.finished.iter().filter(|held| held.result.state == ItemState::Completed);
-        completed.map(|held| (held.result.id.clone(), Progress::whole(&held.result))).collect()
+        completed
+            .map(|held| (held.result.id.clone(), Progress::of_finished(&held.result)))
+            .collect()
     }
 
     /// Gives out the results of items that are completed and not durable, for another batch that is
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -19,15 +19,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutSettings {
     /// One target in this many may load at once.
-    pub part_at_once: usize,
+    pub targets_per_load: usize,
     /// At least so many may load at once.
-    pub least_at_once: usize,
+    pub min_concurrent_loads: usize,
     /// How long a target rests whose load failed.
-    pub retry_ms: u64,
+    pub retry_backoff_ms: u64,
     /// A load that has not been seen to end after so long is given up.
     pub load_max_ms: u64,
     /// How long a model's loads wait after one of its batches was opened.
-    pub start_ms: u64,
+    pub batch_start_ms: u64,
 }
 
 impl Default for RolloutSettings {
@@ -36,11 +36,11 @@
     /// shows in the target's report by then. 15 s: an order may be carried out up to 12 s late.
     fn default() -> Self {
         Self {
-            part_at_once: 5,
-            least_at_once: 2,
-            retry_ms: 500,
+            targets_per_load: 5,
+            min_concurrent_loads: 2,
+            retry_backoff_ms: 500,
             load_max_ms: 15_000,
-            start_ms: 300,
+            batch_start_ms: 300,
         }
     }
 }
@@ -101,7 +101,7 @@
     }
 
     /// Takes a version that a trainer has published; versions only rise.
-    pub fn named(&mut self, model: &str, version: u64) {
+    pub fn version_published(&mut self, model: &str, version: u64) {
         let held = self.named.entry(model.to_owned()).or_insert(version);
         *held = (*held).max(version);
     }
@@ -109,7 +109,7 @@
     /// Takes the opening of a batch: its items start before targets load, which then go on with
     /// them while they load.
     pub fn batch_opened(&mut self, at: UnixMs, model: &str) {
-        let until = at.plus(self.settings.start_ms);
+        let until = at.plus(self.settings.batch_start_ms);
         let held = self.held_until.entry(model.to_owned()).or_insert(until);
         *held = (*held).max(until);
     }
@@ -145,7 +145,8 @@
     ) -> Vec<LoadOrder> {
         self.forget(now, targets);
         self.assign(targets, models, demand);
-        let at_once = (targets.len() / self.settings.part_at_once).max(self.settings.least_at_once);
+        let at_once = (targets.len() / self.settings.targets_per_load)
+            .max(self.settings.min_concurrent_loads);
         let mut behind: Vec<(u64, LoadOrder)> =
             targets.iter().filter_map(|target| self.lag(now, target)).collect();
         // A model that has few targets for its next step goes first: without one its step stands
@@ -181,10 +182,10 @@
     }
 
     /// Takes the outcome of an order.
-    pub fn outcome(&mut self, now: UnixMs, target: &str, outcome: LoadOutcome) {
+    pub fn record_outcome(&mut self, now: UnixMs, target: &str, outcome: LoadOutcome) {
         self.loading.swap_remove(target);
         if outcome == LoadOutcome::Failed {
-            self.rests_until.insert(target.to_owned(), now.plus(self.settings.retry_ms));
+            self.rests_until.insert(target.to_owned(), now.plus(self.settings.retry_backoff_ms));
         }
     }
 
--- a/crates/dispatch/src/shares.rs
+++ b/crates/dispatch/src/shares.rs
@@ -28,7 +28,7 @@
 
 impl Demand {
     /// Takes a batch of a model, by the tokens that its items are expected to generate.
-    pub fn submitted(&mut self, model: &str, tokens: u64) {
+    pub fn record_batch(&mut self, model: &str, tokens: u64) {
         let tokens = tokens.min(WORK_MAX_TOKENS);
         match self.work_tokens.get_mut(model) {
             Some(held) => *held = (*held * (WORK_PARTS - 1) + tokens) / WORK_PARTS,
--- a/crates/dispatch/src/submission.rs
+++ b/crates/dispatch/src/submission.rs
@@ -123,7 +123,7 @@
 
 impl Progress {
     /// Takes the text of a finished item, of which only the score is to be asked for again.
-    pub fn whole(result: &ItemResult) -> Self {
+    pub fn of_finished(result: &ItemResult) -> Self {
         Self {
             last_event_id: None,
             text: result.text.clone(),
--- a/crates/dispatch/src/targets.rs
+++ b/crates/dispatch/src/targets.rs
@@ -34,7 +34,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// When this life of it began, by its own clock; none where targets do not tell.
-    pub born_at_unix_ms: Option<u64>,
+    pub started_at_unix_ms: Option<u64>,
     /// Where it stands.
     pub data_centre: String,
     /// Whether it leaves.
@@ -95,7 +95,7 @@
     /// Nothing that matters here.
     None,
     /// A target has started again under its id: what was known of it belongs to an earlier life.
-    Reborn(String),
+    Restarted(String),
 }
 
 #[derive(Clone, Debug)]
@@ -129,7 +129,7 @@
 
 impl TargetTable {
     /// Takes an entry.
-    pub fn seen(&mut self, entry: TargetEntry) -> TargetChange {
+    pub fn apply_entry(&mut self, entry: TargetEntry) -> TargetChange {
         let id = entry.id.clone();
         self.counted(&id, |table| table.take(entry))
     }
@@ -148,7 +148,7 @@
     fn tally(&self, id: &str) -> (usize, usize) {
         match self.known.get(id) {
             Some(known) if known.presence == Presence::Listed => {
-                (1, usize::from(known.entry.born_at_unix_ms.is_some()))
+                (1, usize::from(known.entry.started_at_unix_ms.is_some()))
             }
             _ => (0, 0),
         }
@@ -162,7 +162,7 @@
         let Some(known) = self.known.get_mut(&entry.id) else {
             return self.insert(entry);
         };
-        match (entry.born_at_unix_ms, known.entry.born_at_unix_ms) {
+        match (entry.started_at_unix_ms, known.entry.started_at_unix_ms) {
             (Some(new), Some(held)) if new < held => return TargetChange::None,
             (None, Some(_)) => return known.foreign(),
             (new, held) if new != held => return known.reborn(entry),
@@ -191,7 +191,7 @@
 
     /// Takes the removal of an entry; `may_return` tells that it vanished with an outage of the
     /// registry, so that it is used until it has had the time to come back.
-    pub fn removed(&mut self, now: UnixMs, id: &str, may_return: bool) -> TargetChange {
+    pub fn apply_removal(&mut self, now: UnixMs, id: &str, may_return: bool) -> TargetChange {
         self.counted(id, |table| table.take_removal(now, id, may_return))
     }
 
@@ -227,17 +227,21 @@
     ///
     /// Returns whether what is said with it counts: false where it is of an earlier life than the one
     /// that is known.
-    pub fn told_birth(&mut self, id: &str, born_at_unix_ms: Option<u64>) -> (bool, TargetChange) {
+    pub fn apply_start_time(
+        &mut self,
+        id: &str,
+        born_at_unix_ms: Option<u64>,
+    ) -> (bool, TargetChange) {
         self.counted(id, |table| table.take_birth(id, born_at_unix_ms))
     }
 
     fn take_birth(&mut self, id: &str, born_at_unix_ms: Option<u64>) -> (bool, TargetChange) {
         let Some(known) = self.known.get_mut(id) else { return (true, TargetChange::None) };
-        match (born_at_unix_ms, known.entry.born_at_unix_ms) {
+        match (born_at_unix_ms, known.entry.started_at_unix_ms) {
             (Some(told), Some(held)) if told < held => (false, TargetChange::None),
             (Some(told), Some(held)) if told > held => {
                 let entry = TargetEntry {
-                    born_at_unix_ms,
+                    started_at_unix_ms: born_at_unix_ms,
                     draining: false,
                     models: Vec::new(),
                     sequence: 0,
@@ -250,7 +254,7 @@
     }
 
     /// Takes a target's own word that it leaves, or that another has its address.
-    pub fn refused(&mut self, id: &str) -> TargetChange {
+    pub fn mark_left(&mut self, id: &str) -> TargetChange {
         match self.known.get_mut(id) {
             Some(known) if known.usable() => {
                 known.left = true;
@@ -261,7 +265,7 @@
     }
 
     /// Notes the weight version that a target showed for a model; versions only rise.
-    pub fn version_seen(&mut self, id: &str, model: &str, version: u64) {
+    pub fn record_version(&mut self, id: &str, model: &str, version: u64) {
         let Some(known) = self.known.get_mut(id) else { return };
         match known.entry.models.iter_mut().find(|(name, _)| name == model) {
             Some((_, held)) => *held = (*held).max(version),
@@ -278,7 +282,7 @@
     }
 
     const fn is_usable(&self, known: &Known) -> bool {
-        known.usable() && (known.entry.born_at_unix_ms.is_some() || !self.births_are_told())
+        known.usable() && (known.entry.started_at_unix_ms.is_some() || !self.births_are_told())
     }
 
     /// Returns the ids of the targets that are kept current for a model and may serve it, given the
@@ -346,7 +350,7 @@
         let was_usable = self.usable();
         *self = Self { entry, left, presence: Presence::Listed };
         match (was_usable, left) {
-            (_, false) => TargetChange::Reborn(id),
+            (_, false) => TargetChange::Restarted(id),
             (true, true) => TargetChange::Left(id),
             (false, true) => TargetChange::None,
         }
--- a/crates/serve/src/crashes/fate.rs
+++ b/crates/serve/src/crashes/fate.rs
@@ -70,7 +70,7 @@
     if entry.draining {
         return;
     }
-    let life = Life { born_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
+    let life = Life { born_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
     let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
     if is_first {
@@ -98,8 +98,8 @@
 ) {
     match change {
         TargetChange::Left(id) if !entry.draining => take(node, Fate::Gone { id }, "registry"),
-        TargetChange::Reborn(id) => {
-            let born_at_unix_ms = entry.born_at_unix_ms;
+        TargetChange::Restarted(id) => {
+            let born_at_unix_ms = entry.started_at_unix_ms;
             take(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -81,13 +81,15 @@
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
                 let id = P::target_id(key);
-                node.targets.borrow_mut().removed(now, id, after_outage || forgotten)
+                node.targets.borrow_mut().apply_removal(now, id, after_outage || forgotten)
             }
             StoreEvent::Written(item) => match decode_target(node, item) {
-                Some(entry) => node.targets.borrow_mut().seen(entry),
+                Some(entry) => node.targets.borrow_mut().apply_entry(entry),
                 // As it stands the entry names no target. Used on, the target that it named before
                 // could have left without a word of it.
-                None => node.targets.borrow_mut().removed(now, P::target_id(&item.key), false),
+                None => {
+                    node.targets.borrow_mut().apply_removal(now, P::target_id(&item.key), false)
+                }
             },
         };
         node.target_changed(&change, "registry");
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -303,7 +303,7 @@
     let (response, connection, marks) = open(node, chosen, outgoing).await?;
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        let change = node.targets.borrow_mut().refused(&chosen.id);
+        let change = node.targets.borrow_mut().mark_left(&chosen.id);
         node.target_changed(&change, "another target answered at its address");
     }
     let body = read_whole(body, HELD_MAX_BYTES).await.map_err(|error| {
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -160,7 +160,7 @@
     pub(crate) fn note_demand(&self, model: Option<&str>, work_tokens: u64) {
         if let Some(model) = model {
             self.opened.borrow_mut().insert(model.to_owned(), clock::now());
-            self.demand.borrow_mut().submitted(model, work_tokens);
+            self.demand.borrow_mut().record_batch(model, work_tokens);
         }
     }
 
@@ -201,7 +201,7 @@
         let (id, event) = match change {
             TargetChange::Joined(id) => (id, "target_joined"),
             TargetChange::Left(id) => (id, "target_left"),
-            TargetChange::Reborn(id) => (id, "target_reborn"),
+            TargetChange::Restarted(id) => (id, "target_reborn"),
             TargetChange::None => return,
         };
         let entry = self.targets.borrow().entry(id).cloned();
@@ -210,14 +210,14 @@
             event,
             json!({
                 "target": id, "service": entry.service, "address": entry.address,
-                "heartbeat": entry.sequence, "born_at_unix_ms": entry.born_at_unix_ms, "why": why,
+                "heartbeat": entry.sequence, "born_at_unix_ms": entry.started_at_unix_ms, "why": why,
             }),
         );
         if !matches!(change, TargetChange::Joined(_)) {
             self.pool.forget(entry.address);
         }
         crashes::target_changed(self, change, &entry);
-        if matches!(change, TargetChange::Reborn(_)) {
+        if matches!(change, TargetChange::Restarted(_)) {
             self.load.borrow_mut().target_restarted(id);
             // Their connections may stay silent; the texts go on elsewhere at once.
             self.batches.stop_runs_at(id);
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -77,7 +77,7 @@
     /// counts anew: an order that names the former count is refused for good.
     fn accepted(&self, entry: &TargetEntry) -> Option<u64> {
         let accepted = self.accepted.borrow().get(&entry.id).copied()?;
-        (accepted.born_at_unix_ms == entry.born_at_unix_ms).then_some(accepted.orders)
+        (accepted.born_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
     }
 
     fn note_accepted(&self, target: &str, born_at_unix_ms: Option<u64>, orders: u64) {
@@ -130,7 +130,7 @@
                 .entry(service.clone())
                 .or_insert_with(|| Rollout::open(RolloutSettings::default()));
             for (model, version) in node.versions.borrow().iter() {
-                rollout.named(model, *version);
+                rollout.version_published(model, *version);
             }
             for (model, at) in node.opened.borrow().iter() {
                 rollout.batch_opened(*at, model);
@@ -150,7 +150,7 @@
                 let label = if outcome == LoadOutcome::Done { "done" } else { "failed" };
                 count(&node.metrics.orders, label);
                 if let Some(rollout) = holder.rollouts.borrow_mut().get_mut(&service) {
-                    rollout.outcome(clock::now(), &order.target, outcome);
+                    rollout.record_outcome(clock::now(), &order.target, outcome);
                 }
                 node.work.notify_one();
             });
@@ -176,7 +176,7 @@
 ) -> LoadOutcome {
     let entry = node.targets.borrow().entry(&order.target).cloned();
     let Some(entry) = entry else { return LoadOutcome::Failed };
-    let born_at_unix_ms = entry.born_at_unix_ms;
+    let born_at_unix_ms = entry.started_at_unix_ms;
     let known = holder.accepted(&entry);
     let chosen = Chosen { address: entry.address, id: entry.id };
     let expected_orders = match known {
@@ -225,7 +225,7 @@
         }
         Ok((StatusCode::OK, _)) => {
             holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders);
-            node.targets.borrow_mut().version_seen(&chosen.id, &order.model, order.version);
+            node.targets.borrow_mut().record_version(&chosen.id, &order.model, order.version);
             return LoadOutcome::Done;
         }
         Ok(_) => return LoadOutcome::Failed,
@@ -285,7 +285,7 @@
         holder.note_accepted(&chosen.id, report.born_at_unix_ms, report.orders_accepted);
     }
     for (model, version) in &report.models {
-        node.targets.borrow_mut().version_seen(&chosen.id, model, *version);
+        node.targets.borrow_mut().record_version(&chosen.id, model, *version);
     }
 }
 
@@ -299,7 +299,7 @@
     }
     let report = P::report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
     let (of_this_life, change) =
-        node.targets.borrow_mut().told_birth(&chosen.id, report.born_at_unix_ms);
+        node.targets.borrow_mut().apply_start_time(&chosen.id, report.born_at_unix_ms);
     node.target_changed(&change, "its report");
     if !of_this_life {
         return Err(CallError::may_have_run("the report is of an earlier life"));
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -160,7 +160,7 @@
         Ok(Datagram::StoreReturned) => outage::told_over(node),
         Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
             let (of_this_life, change) =
-                node.targets.borrow_mut().told_birth(&target, born_at_unix_ms);
+                node.targets.borrow_mut().apply_start_time(&target, born_at_unix_ms);
             node.target_changed(&change, "a peer");
             if of_this_life {
                 target_loads(node, &target, for_ms);
@@ -252,7 +252,7 @@
 pub(crate) fn tell_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     target_loads(node, target, for_ms);
     let born_at_unix_ms =
-        node.targets.borrow().entry(target).and_then(|entry| entry.born_at_unix_ms);
+        node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
     let datagram = Datagram::TargetLoads { born_at_unix_ms, for_ms, target: target.to_owned() };
     for owner in node.batches.owner_addresses() {
         send(node, &datagram, owner);
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -209,7 +209,7 @@
     let (parts, body) = response.into_parts();
     if let Some(refusal) = forward::refusal(parts.status, &marks) {
         if parts.status == StatusCode::MISDIRECTED_REQUEST {
-            let change = node.targets.borrow_mut().refused(&chosen.id);
+            let change = node.targets.borrow_mut().mark_left(&chosen.id);
             node.target_changed(&change, "another target answered at its address");
         }
         if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
@@ -336,7 +336,7 @@
         }
         if let Some(version) = self.version {
             if let Some(model) = &self.model {
-                node.targets.borrow_mut().version_seen(&chosen.id, model, version);
+                node.targets.borrow_mut().record_version(&chosen.id, model, version);
             }
             if version < self.oldest_version {
                 return Err(format!("version {version} is older than {}", self.oldest_version));
--- a/tests/all/dispatch/batch.rs
+++ b/tests/all/dispatch/batch.rs
@@ -311,7 +311,7 @@
     batch.end();
 
     let left = batch.take_progress();
-    assert_eq!(left, [("i2".to_owned(), Progress::whole(&result("i2")))]);
+    assert_eq!(left, [("i2".to_owned(), Progress::of_finished(&result("i2")))]);
     let mut next = Batch::open(submission(vec![item("i2", "g1", 10)], 1), terms(), |_| true);
     assert!(next.resume_from("i2", left[0].1.clone()));
     assert!(next.next_item(UnixMs(0)).is_some_and(|next| next.progress.whole));
@@ -321,7 +321,7 @@
 fn texts_of_finished_items_are_saved_until_they_are_durable() {
     let mut batch = batch(4);
     batch.finished(UnixMs(0), result("i0"));
-    assert_eq!(batch.unlisted_texts(), [("i0".to_owned(), Progress::whole(&result("i0")))]);
+    assert_eq!(batch.unlisted_texts(), [("i0".to_owned(), Progress::of_finished(&result("i0")))]);
 
     let chunk = batch.chunk_to_write(LATE, usize::MAX).cloned().expect("a chunk");
     batch.merge(&chunk);
--- a/tests/all/dispatch/rollout.rs
+++ b/tests/all/dispatch/rollout.rs
@@ -37,7 +37,7 @@
         }
         for order in &orders {
             loaded(targets, order);
-            rollout.outcome(now, &order.target, LoadOutcome::Done);
+            rollout.record_outcome(now, &order.target, LoadOutcome::Done);
         }
         all.extend(orders);
     }
@@ -49,7 +49,7 @@
     let mut rollout = Rollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
-        rollout.named(&model, 2);
+        rollout.version_published(&model, 2);
     }
 
     let orders = carry_out(&mut rollout, &mut targets);
@@ -66,7 +66,7 @@
 fn never_more_than_a_fifth_load_at_once_nor_more_than_half_of_a_model() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     for model in models() {
-        rollout.named(&model, 2);
+        rollout.version_published(&model, 2);
     }
 
     let orders = rollout.plan(UnixMs(0), &targets(45), &models(), &Demand::default());
@@ -82,9 +82,9 @@
 #[test]
 fn a_model_without_current_targets_goes_first() {
     let mut rollout = Rollout::open(RolloutSettings::default());
-    rollout.named("x", 2);
-    rollout.named("y", 2);
-    rollout.named("z", 3);
+    rollout.version_published("x", 2);
+    rollout.version_published("y", 2);
+    rollout.version_published("z", 3);
 
     let orders = rollout.plan(UnixMs(0), &targets(9), &models(), &Demand::default());
 
@@ -96,7 +96,7 @@
     let mut rollout = Rollout::open(RolloutSettings::default());
     let mut targets = targets(1);
     for model in models() {
-        rollout.named(&model, 2);
+        rollout.version_published(&model, 2);
     }
 
     carry_out(&mut rollout, &mut targets);
@@ -109,7 +109,7 @@
     let mut rollout = Rollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
-        rollout.named(&model, 2);
+        rollout.version_published(&model, 2);
     }
     carry_out(&mut rollout, &mut targets);
     let lost = rollout.model_of("t0").expect("a model").to_owned();
@@ -124,10 +124,10 @@
 #[test]
 fn a_load_that_failed_is_tried_again_after_a_rest() {
     let mut rollout = Rollout::open(RolloutSettings::default());
-    rollout.named("x", 2);
+    rollout.version_published("x", 2);
     let targets = targets(1);
     let first = rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
-    rollout.outcome(UnixMs(10), "t0", LoadOutcome::Failed);
+    rollout.record_outcome(UnixMs(10), "t0", LoadOutcome::Failed);
 
     assert_eq!(first.len(), 1);
     assert!(rollout.plan(UnixMs(400), &targets, &models(), &Demand::default()).is_empty());
@@ -142,7 +142,7 @@
 fn one_target_loads_at_once_as_a_step_opens_and_the_others_once_its_items_have_started() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     let targets = targets(20);
-    rollout.named("x", 2);
+    rollout.version_published("x", 2);
     rollout.batch_opened(UnixMs(0), "x");
     let demand = Demand::default();
 
@@ -162,13 +162,13 @@
 fn a_model_without_a_target_of_its_newest_version_loads_before_one_that_has_some() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     let mut targets = targets(9);
-    rollout.named("x", 2);
+    rollout.version_published("x", 2);
     let first = rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
     for order in &first {
         loaded(&mut targets, order);
-        rollout.outcome(UnixMs(1_000), &order.target, LoadOutcome::Done);
+        rollout.record_outcome(UnixMs(1_000), &order.target, LoadOutcome::Done);
     }
-    rollout.named("y", 2);
+    rollout.version_published("y", 2);
 
     let next = rollout.plan(UnixMs(1_000), &targets, &models(), &Demand::default());
 
--- a/tests/all/dispatch/shares.rs
+++ b/tests/all/dispatch/shares.rs
@@ -13,9 +13,9 @@
 /// The work of three models whose steps have 200 to 230 items of 11 and 20 events.
 fn uneven() -> Demand {
     let mut demand = Demand::default();
-    demand.submitted("short", 200 * 11);
-    demand.submitted("long", 224 * 20);
-    demand.submitted("longer", 232 * 20);
+    demand.record_batch("short", 200 * 11);
+    demand.record_batch("long", 224 * 20);
+    demand.record_batch("longer", 232 * 20);
     demand
 }
 
@@ -32,9 +32,9 @@
 fn table(targets: &[RolloutTarget]) -> TargetTable {
     let mut table = TargetTable::default();
     for target in targets {
-        table.seen(TargetEntry {
+        table.apply_entry(TargetEntry {
             address: "127.0.0.1:1".parse().expect("an address"),
-            born_at_unix_ms: None,
+            started_at_unix_ms: None,
             data_centre: target.data_centre.clone(),
             draining: false,
             id: target.id.clone(),
@@ -70,7 +70,7 @@
 #[test]
 fn a_model_with_little_work_keeps_half_of_an_equal_share() {
     let mut demand = uneven();
-    demand.submitted("idle", 1);
+    demand.record_batch("idle", 1);
     let models = ["idle", "long", "longer", "short"].map(str::to_owned);
 
     let shares = demand.shares(&models, 40);
@@ -83,7 +83,7 @@
 fn an_absurd_estimate_leaves_the_others_their_least_share() {
     let mut demand = uneven();
     for _ in 0..50 {
-        demand.submitted("short", u64::MAX);
+        demand.record_batch("short", u64::MAX);
     }
 
     let shares = demand.shares(&models(), 1_000_000);
@@ -94,7 +94,7 @@
 #[test]
 fn one_large_step_moves_a_share_by_a_quarter_only() {
     let mut demand = uneven();
-    demand.submitted("short", 200 * 11 * 5);
+    demand.record_batch("short", 200 * 11 * 5);
 
     let shares = demand.shares(&models(), 45);
 
@@ -152,7 +152,7 @@
         target.models[(number + 1) % 3].1 = 7;
     }
     for model in models() {
-        rollout.named(&model, 7);
+        rollout.version_published(&model, 7);
         versions.insert(model, 7);
     }
 
@@ -169,10 +169,10 @@
     let mut rollout = Rollout::open(RolloutSettings::default());
     let targets = targets(45);
     let mut demand = uneven();
-    rollout.named("long", 1);
+    rollout.version_published("long", 1);
     rollout.plan(UnixMs(0), &targets, &models(), &demand);
     let before = counts(&rollout, &targets);
-    demand.submitted("long", 224 * 20 * 12 / 10);
+    demand.record_batch("long", 224 * 20 * 12 / 10);
 
     rollout.plan(UnixMs(100), &targets, &models(), &demand);
 
