--- a/crates/dispatch/src/batch/mod.rs
+++ b/crates/dispatch/src/batch/mod.rs
@@ -57,7 +57,7 @@
     /// When items that have no result are given up.
     pub give_up_at: UnixMs,
     /// From when on items that are not done count as long.
-    pub redo_from: UnixMs,
+    pub rerun_from: UnixMs,
     /// Whether one weight version must have produced a whole text.
     pub single_version: bool,
 }
@@ -176,7 +176,7 @@
     }
 
     /// Returns the terms.
-    pub const fn terms(&self) -> &BatchPolicy {
+    pub const fn policy(&self) -> &BatchPolicy {
         &self.terms
     }
 
@@ -235,13 +235,13 @@
     }
 
     /// Counts an answer of failure; returns true when that was the last attempt.
-    pub fn failed(&mut self, index: usize) -> bool {
+    pub fn record_failure(&mut self, index: usize) -> bool {
         self.failures[index] += 1;
         self.failures[index] >= self.terms.attempts
     }
 
     /// Takes an item's result, to be made durable.
-    pub fn finished(&mut self, now: UnixMs, result: ItemResult) {
+    pub fn record_result(&mut self, now: UnixMs, result: ItemResult) {
         let Some(at) = self.index.get(&result.id).copied() else { return };
         if !self.ended && matches!(self.places[at], Place::Running | Place::Waiting { .. }) {
             self.places[at] = Place::Finished;
@@ -263,20 +263,20 @@
             .collect();
         let count = over.len();
         for id in over {
-            self.finished(now, ItemResult::errored(id));
+            self.record_result(now, ItemResult::errored(id));
         }
         count
     }
 
     /// Returns the groups that the trainer has not taken: those of which an item has no durable
     /// result, and those that were whole only after all that it waited for.
-    pub fn untaken_groups(&self) -> IndexSet<&str> {
+    pub fn unconsumed_groups(&self) -> IndexSet<&str> {
         self.groups
             .untaken(self.listed.iter().filter_map(|result| self.index.get(&result.id).copied()))
     }
 
     /// Tells whether the trainer has all groups that it waits for, durable or about to be.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.missing_groups() == Some(0)
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// Returns the groups that the trainer will have taken once all that is finished is durable.
-    pub fn taken_groups(&self) -> IndexSet<&str> {
+    pub fn consumed_groups(&self) -> IndexSet<&str> {
         let finished = self.finished.iter().map(|held| &held.result);
         let flushing = self.flushing.iter().flat_map(|chunk| &chunk.results);
         let done = self.listed.iter().chain(flushing).chain(finished);
@@ -307,7 +307,7 @@
     /// Gives out what is held of the texts of items that wait, and the whole texts of groups that
     /// the trainer has not taken; for a later batch of the same items.
     pub fn take_progress(&mut self) -> Vec<(String, Progress)> {
-        let untaken = self.untaken_groups();
+        let untaken = self.unconsumed_groups();
         let left = self.listed.iter().filter(|result| {
             let group = self.item(&result.id).map(group_of);
             result.state == ItemState::Completed
@@ -317,7 +317,7 @@
             left.map(|result| (result.id.clone(), Progress::of_finished(result))).collect();
         for (place, item) in self.places.iter_mut().zip(&self.submission.items) {
             if let Place::Waiting { progress, .. } = place
-                && progress.is_begun()
+                && progress.is_started()
             {
                 held.push((item.id.clone(), std::mem::take(progress)));
             }
@@ -358,7 +358,7 @@
     }
 
     /// Returns when the next results are listed, should nothing else finish.
-    pub fn list_by(&self) -> Option<UnixMs> {
+    pub fn next_listing_at(&self) -> Option<UnixMs> {
         let plan = self.listing();
         self.finished.iter().map(|held| self.list_one_at(&plan, held)).min()
     }
@@ -404,7 +404,7 @@
     }
 
     /// The same for all results, e.g. because this owner leaves.
-    pub fn chunk_of_all(&mut self, max_bytes: usize) -> Option<&Chunk> {
+    pub fn chunk_of_all_results(&mut self, max_bytes: usize) -> Option<&Chunk> {
         if self.flushing.is_none() {
             self.begin_chunk(&vec![true; self.finished.len()], max_bytes);
         }
--- a/crates/dispatch/src/batch/redo.rs
+++ b/crates/dispatch/src/batch/redo.rs
@@ -18,14 +18,14 @@
     /// Returns the items that are worth a second run under `next_oldest`, the oldest version that
     /// the next batch will accept, those most likely to be left first; `text_version` tells the
     /// oldest version of the text that an item's run has produced.
-    pub fn worth_redoing(
+    pub fn rerun_candidates(
         &self,
         now: UnixMs,
         next_oldest: u64,
         text_version: impl Fn(usize) -> Option<u64>,
     ) -> Vec<usize> {
         let spare = self.groups.spare();
-        if self.ended || self.terms.single_version || spare == 0 || now < self.terms.redo_from {
+        if self.ended || self.terms.single_version || spare == 0 || now < self.terms.rerun_from {
             return Vec::new();
         }
         let is_stale = |at: &usize| {
--- a/crates/dispatch/src/submission.rs
+++ b/crates/dispatch/src/submission.rs
@@ -118,7 +118,7 @@
     /// The versions that produced them, rising.
     pub versions: Vec<u64>,
     /// Whether the text is whole and waits for its score only.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Progress {
@@ -128,13 +128,13 @@
             last_event_id: None,
             text: result.text.clone(),
             versions: result.versions.clone(),
-            whole: result.state == ItemState::Completed,
+            complete: result.state == ItemState::Completed,
         }
     }
 
     /// Tells whether there is anything to go on from.
-    pub const fn is_begun(&self) -> bool {
-        self.last_event_id.is_some() || self.whole
+    pub const fn is_started(&self) -> bool {
+        self.last_event_id.is_some() || self.complete
     }
 
     /// Adds the data of one event.
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -57,7 +57,7 @@
         attempts: route.attempts.max(reward_attempts).max(1),
         due_at: accepted_at.plus(due_ms),
         give_up_at: accepted_at.plus(give_up_ms + slack_ms),
-        redo_from: accepted_at.plus(due_ms / LONG_PARTS),
+        rerun_from: accepted_at.plus(due_ms / LONG_PARTS),
         single_version: route.single_version,
     }
 }
@@ -320,7 +320,7 @@
     let workspace = record.origin.workspace.as_deref();
     let (mut batch, resumed) = open_batch(node, workspace, submission, terms, chunks, texts);
     for result in results {
-        batch.finished(clock::now(), result);
+        batch.record_result(clock::now(), result);
     }
     let held = Held {
         accepted_at,
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -89,7 +89,7 @@
         let now = clock::now();
         let items = &self.batch.submission().items;
         let old = |run: &Run| now.since_ms(run.began_at) >= least_age_ms;
-        let begun = |run: &Run| run.progress.borrow().is_begun();
+        let begun = |run: &Run| run.progress.borrow().is_started();
         let running = self
             .runs
             .iter()
@@ -272,7 +272,7 @@
             .filter(|held| !held.borrow().batch.is_settled() && !held.borrow().batch.is_ended())
             .cloned()
             .collect();
-        open.sort_by_key(|held| held.borrow().batch.terms().due_at);
+        open.sort_by_key(|held| held.borrow().batch.policy().due_at);
         open
     }
 }
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -17,7 +17,7 @@
 pub(super) fn keep_leftovers<P: Platform>(node: &Node<P>, held: &mut Held) {
     let now = clock::now();
     let mut leftovers = node.batches.leftovers.borrow_mut();
-    let untaken = held.batch.untaken_groups();
+    let untaken = held.batch.unconsumed_groups();
     for group in &untaken {
         leftovers.groups.insert((*group).to_owned(), now);
     }
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -218,7 +218,7 @@
 ) -> Vec<(String, Progress)> {
     let mut longest: IndexMap<String, Progress> = IndexMap::new();
     for (item, progress) in texts.into_iter().chain(others) {
-        let reach = |progress: &Progress| (progress.whole, progress.last_event_id);
+        let reach = |progress: &Progress| (progress.complete, progress.last_event_id);
         match longest.get_mut(&item) {
             Some(held) if reach(held) >= reach(&progress) => {}
             Some(held) => *held = progress,
--- a/crates/serve/src/batches/succession.rs
+++ b/crates/serve/src/batches/succession.rs
@@ -300,7 +300,7 @@
         held.stop_runs();
         texts
     };
-    while held.borrow_mut().batch.chunk_of_all(part_max_bytes(node)).is_some() {
+    while held.borrow_mut().batch.chunk_of_all_results(part_max_bytes(node)).is_some() {
         if !write_chunk(node, held).await {
             return;
         }
--- a/crates/serve/src/batches/write.rs
+++ b/crates/serve/src/batches/write.rs
@@ -89,7 +89,7 @@
                 held.borrow_mut().settled_at.get_or_insert_with(clock::now);
                 return;
             }
-            let list_by = held.borrow().batch.list_by();
+            let list_by = held.borrow().batch.next_listing_at();
             if let Some(list_by) = list_by {
                 let left = Duration::from_millis(list_by.since_ms(now));
                 if timeout(left, finished.notified()).await.is_err() {
@@ -115,7 +115,7 @@
     loop {
         let left_ms = until.since_ms(clock::now());
         let (waiting, running, _) = held.borrow().batch.counts();
-        if left_ms == 0 || held.borrow().batch.is_whole() || waiting + running == 0 {
+        if left_ms == 0 || held.borrow().batch.is_complete() || waiting + running == 0 {
             return;
         }
         // Whatever came, the batch is looked at again.
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -62,7 +62,7 @@
     }
     loop {
         let Some(next) = held.borrow_mut().batch.next_item(now) else { return };
-        if next.progress.whole {
+        if next.progress.complete {
             start_scoring(node, held, next);
             continue;
         }
@@ -105,6 +105,6 @@
     let now = clock::now();
     let ms = now.since_ms(held.accepted_at);
     node.metrics.item_seconds.observe(ms as f64 / 1_000.0);
-    held.batch.finished(now, result);
+    held.batch.record_result(now, result);
     held.finished.notify_one();
 }
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -62,7 +62,7 @@
             None => return finish(node, held, ItemResult::errored(&*item.id)),
         },
     };
-    let single = held.borrow().batch.terms().single_version;
+    let single = held.borrow().batch.policy().single_version;
     if single && progress.versions.len() > 1 {
         let from = clock::now();
         held.borrow_mut().batch.put_back(index, from, Progress::default());
@@ -85,7 +85,7 @@
     held: &RefCell<Held>,
     reward: &Reward,
 ) -> Option<String> {
-    let attempts = held.borrow().batch.terms().attempts;
+    let attempts = held.borrow().batch.policy().attempts;
     let mut failures = 0;
     let mut pause_ms = SCORE_PAUSE_MS;
     let mut tried: Vec<String> = Vec::new();
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -71,7 +71,7 @@
         let second = held.swap_remove(item)?;
         second.task.abort();
         let progress = second.progress.borrow().clone();
-        progress.is_begun().then_some(progress)
+        progress.is_started().then_some(progress)
     }
 
     fn is_running(&self, item: &str) -> bool {
@@ -95,7 +95,7 @@
     let open = node.batches.open();
     for held in &open {
         let held = held.borrow();
-        let taken = held.batch.taken_groups();
+        let taken = held.batch.consumed_groups();
         let is_taken =
             |item: &str| held.batch.item(item).is_some_and(|item| taken.contains(group_of(item)));
         node.batches
@@ -122,7 +122,7 @@
         let run = held.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
     };
-    held.batch.worth_redoing(now, next_oldest, text_version)
+    held.batch.rerun_candidates(now, next_oldest, text_version)
 }
 
 fn start<P: Platform>(node: &Rc<Node<P>>, held: &RefCell<Held>, index: usize, next_oldest: u64) {
@@ -134,7 +134,7 @@
         (item, held.id.clone(), terms, target)
     };
     let progress = node.batches.second_runs.text(&item.id);
-    if node.batches.second_runs.is_running(&item.id) || progress.whole {
+    if node.batches.second_runs.is_running(&item.id) || progress.complete {
         return;
     }
     // Digests of all candidates at every look would cost more than what they guard against.
@@ -178,7 +178,7 @@
             "second_run",
             json!({
                 "request": item.id, "batch": batch_too, "target": chosen.id, "why": why,
-                "whole": text.whole, "versions": text.versions, "last_event": text.last_event_id,
+                "whole": text.complete, "versions": text.versions, "last_event": text.last_event_id,
                 "oldest_version": terms.oldest_version, "ms": clock::now().since_ms(began_at),
             }),
         );
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -52,7 +52,7 @@
     pub(super) fn of(held: &Held) -> Self {
         let submission = held.batch.submission();
         Self {
-            give_up_at: held.batch.terms().give_up_at,
+            give_up_at: held.batch.policy().give_up_at,
             host: held.origin().host.clone(),
             model: submission.model.clone(),
             oldest_version: submission.oldest_version,
@@ -140,7 +140,7 @@
         }
         RunEnd::Impossible => finish(&node, &held, ItemResult::errored(item.id)),
         RunEnd::Failed => {
-            if held.borrow_mut().batch.failed(index) {
+            if held.borrow_mut().batch.record_failure(index) {
                 finish(&node, &held, ItemResult::errored(item.id));
             } else {
                 let from = clock::now().plus(FAILED_PAUSE_MS);
@@ -247,7 +247,7 @@
     match read {
         Ok(()) => {
             node.pool.keep(connection, &parts.headers);
-            stream.progress.borrow_mut().whole = true;
+            stream.progress.borrow_mut().complete = true;
             sent.ended_whole(node);
             RunEnd::Whole
         }
--- a/tests/all/dispatch/batch.rs
+++ b/tests/all/dispatch/batch.rs
@@ -38,7 +38,7 @@
         attempts: 2,
         due_at: UnixMs(7_500),
         give_up_at: UnixMs(40_000),
-        redo_from: UnixMs(3_750),
+        rerun_from: UnixMs(3_750),
         single_version: false,
     }
 }
@@ -59,7 +59,7 @@
 
 fn finish_groups(batch: &mut Batch, at: UnixMs, groups: std::ops::Range<usize>) {
     for number in groups.start * 2..groups.end * 2 {
-        batch.finished(at, result(&format!("i{number}")));
+        batch.record_result(at, result(&format!("i{number}")));
     }
 }
 
@@ -112,7 +112,7 @@
     let mut batch = batch(4);
     for id in ["i0", "i1"] {
         batch.next_item(UnixMs(0));
-        batch.finished(UnixMs(0), result(id));
+        batch.record_result(UnixMs(0), result(id));
     }
     let ours = batch.chunk_to_write(LATE, usize::MAX).cloned().expect("a chunk");
     let theirs = Chunk { number: 0, results: vec![result("i1"), result("i2")] };
@@ -131,9 +131,9 @@
 #[test]
 fn a_chunk_stays_the_same_until_it_is_known_to_be_durable() {
     let mut batch = batch(4);
-    batch.finished(UnixMs(0), result("i0"));
+    batch.record_result(UnixMs(0), result("i0"));
     let first = batch.chunk_to_write(LATE, usize::MAX).cloned();
-    batch.finished(UnixMs(0), result("i1"));
+    batch.record_result(UnixMs(0), result("i1"));
 
     assert_eq!(batch.chunk_to_write(LATE, usize::MAX).cloned(), first);
 }
@@ -146,11 +146,11 @@
 #[test]
 fn a_result_is_listed_with_its_whole_group() {
     let mut batch = batch(4);
-    batch.finished(UnixMs(0), result("i0"));
-    batch.finished(UnixMs(0), result("i2"));
+    batch.record_result(UnixMs(0), result("i0"));
+    batch.record_result(UnixMs(0), result("i2"));
     assert_eq!(batch.chunk_to_write(UnixMs(10), usize::MAX), None);
 
-    batch.finished(UnixMs(20), result("i1"));
+    batch.record_result(UnixMs(20), result("i1"));
 
     let chunk = batch.chunk_to_write(UnixMs(20), usize::MAX).cloned().expect("a whole group");
     assert_eq!(chunk, Chunk { number: 0, results: vec![result("i0"), result("i1")] });
@@ -159,10 +159,10 @@
 #[test]
 fn a_result_waits_for_its_group_until_two_seconds_from_when_all_are_due_and_no_longer() {
     let mut batch = batch(4);
-    batch.finished(UnixMs(100), result("i0"));
-    batch.finished(UnixMs(1_900), result("i2"));
+    batch.record_result(UnixMs(100), result("i0"));
+    batch.record_result(UnixMs(1_900), result("i2"));
 
-    assert_eq!(batch.list_by(), Some(UnixMs(8_800)));
+    assert_eq!(batch.next_listing_at(), Some(UnixMs(8_800)));
     assert_eq!(batch.chunk_to_write(UnixMs(8_799), usize::MAX), None);
     let chunk = batch.chunk_to_write(UnixMs(8_800), usize::MAX).expect("a chunk");
     assert_eq!(chunk.results, [result("i0"), result("i2")], "one write for all that is there");
@@ -194,7 +194,7 @@
     let mut batch = batch_of_groups(10, 9);
     finish_groups(&mut batch, UnixMs(1_000), 0..8);
 
-    assert_eq!(batch.list_by(), Some(UnixMs(6_800)));
+    assert_eq!(batch.next_listing_at(), Some(UnixMs(6_800)));
     let chunk = batch.chunk_to_write(UnixMs(6_800), usize::MAX).cloned().expect("a chunk");
     batch.merge(&chunk);
     assert_eq!(chunk.results.len(), 16);
@@ -213,7 +213,7 @@
 
     finish_groups(&mut batch, UnixMs(at_ms), 7..8);
 
-    assert_eq!(batch.list_by(), Some(UnixMs(listed_ms)));
+    assert_eq!(batch.next_listing_at(), Some(UnixMs(listed_ms)));
 }
 
 // Symptom: a group that was whole as its step ended is generated anew in a later step.
@@ -231,19 +231,19 @@
 
     let left: Vec<String> = batch.take_progress().into_iter().map(|(id, _)| id).collect();
     assert_eq!(left, ["i4", "i5"]);
-    assert_eq!(batch.untaken_groups().into_iter().collect::<Vec<_>>(), ["g2"]);
+    assert_eq!(batch.unconsumed_groups().into_iter().collect::<Vec<_>>(), ["g2"]);
 }
 
 #[test]
 fn a_group_that_came_again_is_waited_for_whichever_others_are_whole() {
     let mut batch = Batch::open(submission(items(3), 2), terms(), |group| group == "g2");
     finish_groups(&mut batch, UnixMs(0), 0..2);
-    assert!(!batch.is_whole());
+    assert!(!batch.is_complete());
 
     finish_groups(&mut batch, UnixMs(10), 2..3);
 
-    assert!(batch.is_whole());
-    assert_eq!(batch.taken_groups().len(), 3);
+    assert!(batch.is_complete());
+    assert_eq!(batch.consumed_groups().len(), 3);
 }
 
 // Symptom: a step takes as long as its longest item, and that item's group is one that the step
@@ -263,9 +263,9 @@
     ];
     let mut batch = Batch::open(submission(items, 5), terms(), |group| group == "g5");
     while batch.next_item(UnixMs(0)).is_some() {}
-    batch.finished(UnixMs(500), result("e"));
+    batch.record_result(UnixMs(500), result("e"));
     let of = |batch: &Batch, now, version| -> Vec<String> {
-        let indices = batch.worth_redoing(UnixMs(now), 5, |_| Some(version));
+        let indices = batch.rerun_candidates(UnixMs(now), 5, |_| Some(version));
         indices.into_iter().map(|index| batch.submission().items[index].id.clone()).collect()
     };
 
@@ -281,15 +281,15 @@
     let mut batch = batch_of_groups(4, 4);
     while batch.next_item(UnixMs(0)).is_some() {}
 
-    assert_eq!(batch.worth_redoing(UnixMs(7_000), 9, |_| Some(3)), Vec::<usize>::new());
+    assert_eq!(batch.rerun_candidates(UnixMs(7_000), 9, |_| Some(3)), Vec::<usize>::new());
 }
 
 #[test]
 fn an_owner_that_leaves_lists_what_it_has() {
     let mut batch = batch(4);
-    batch.finished(UnixMs(0), result("i0"));
+    batch.record_result(UnixMs(0), result("i0"));
 
-    let chunk = batch.chunk_of_all(usize::MAX).cloned().expect("a chunk");
+    let chunk = batch.chunk_of_all_results(usize::MAX).cloned().expect("a chunk");
 
     assert_eq!(chunk.results, [result("i0")]);
 }
@@ -302,11 +302,11 @@
 fn finished_texts_of_incomplete_groups_are_left_for_the_next_batch() {
     let mut batch = batch(4);
     for id in ["i0", "i1"] {
-        batch.finished(UnixMs(0), result(id));
+        batch.record_result(UnixMs(0), result(id));
     }
     let listed = batch.chunk_to_write(UnixMs(0), usize::MAX).cloned().expect("a whole group");
     batch.merge(&listed);
-    batch.finished(UnixMs(0), result("i2"));
+    batch.record_result(UnixMs(0), result("i2"));
 
     batch.end();
 
@@ -314,13 +314,13 @@
     assert_eq!(left, [("i2".to_owned(), Progress::of_finished(&result("i2")))]);
     let mut next = Batch::open(submission(vec![item("i2", "g1", 10)], 1), terms(), |_| true);
     assert!(next.resume_from("i2", left[0].1.clone()));
-    assert!(next.next_item(UnixMs(0)).is_some_and(|next| next.progress.whole));
+    assert!(next.next_item(UnixMs(0)).is_some_and(|next| next.progress.complete));
 }
 
 #[test]
 fn texts_of_finished_items_are_saved_until_they_are_durable() {
     let mut batch = batch(4);
-    batch.finished(UnixMs(0), result("i0"));
+    batch.record_result(UnixMs(0), result("i0"));
     assert_eq!(batch.unlisted_texts(), [("i0".to_owned(), Progress::of_finished(&result("i0")))]);
 
     let chunk = batch.chunk_to_write(LATE, usize::MAX).cloned().expect("a chunk");
@@ -332,7 +332,7 @@
 #[test]
 fn what_is_not_durable_is_not_shown() {
     let mut batch = batch(2);
-    batch.finished(UnixMs(0), result("i0"));
+    batch.record_result(UnixMs(0), result("i0"));
     batch.chunk_to_write(LATE, usize::MAX);
 
     assert!(batch.page(0, usize::MAX).is_empty());
@@ -351,14 +351,14 @@
 fn an_item_fails_for_good_only_after_its_attempts() {
     let mut batch = batch(1);
 
-    assert!(!batch.failed(0));
-    assert!(batch.failed(0));
+    assert!(!batch.record_failure(0));
+    assert!(batch.record_failure(0));
 }
 
 #[test]
 fn items_are_given_up_when_their_time_is_over_and_not_before() {
     let mut batch = batch(3);
-    batch.finished(UnixMs(0), result("i0"));
+    batch.record_result(UnixMs(0), result("i0"));
 
     assert_eq!(batch.expire(UnixMs(39_999)), 0);
     assert_eq!(batch.expire(UnixMs(40_000)), 2);
@@ -384,7 +384,7 @@
         for (owner, number, writes) in steps {
             let batch = &mut owners[owner];
             if !writes {
-                batch.finished(UnixMs(0), result(&format!("i{number}")));
+                batch.record_result(UnixMs(0), result(&format!("i{number}")));
                 continue;
             }
             let Some(chunk) = batch.chunk_to_write(LATE, usize::MAX).cloned() else { continue };
