--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -39,7 +39,7 @@
 pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
 pub use rollout::{LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget};
-pub use shares::{Demand, deal};
+pub use shares::{Demand, interleave};
 pub use stream::{EventReader, StreamEvent};
 pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -6,7 +6,7 @@
 //! only for its model, the one that lags most goes first, and never more than a part of a model's
 //! targets load at once.
 
-use crate::shares::{Demand, SHARE_UNIT, deal};
+use crate::shares::{Demand, SHARE_UNIT, interleave};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use std::collections::BTreeMap;
@@ -256,7 +256,7 @@
         let shares = demand.shares(&models, targets.len());
         let mut sorted: Vec<&RolloutTarget> = targets.iter().collect();
         sorted.sort_by(|a, b| (&a.data_centre, &a.id).cmp(&(&b.data_centre, &b.id)));
-        for (target, dealt) in sorted.iter().zip(deal(&shares, targets.len())) {
+        for (target, dealt) in sorted.iter().zip(interleave(&shares, targets.len())) {
             if !self.assigned.contains_key(&target.id) {
                 let model = self.freshest(target, &models).unwrap_or(&models[dealt]);
                 self.assigned.insert(target.id.clone(), model.clone());
--- a/crates/dispatch/src/shares.rs
+++ b/crates/dispatch/src/shares.rs
@@ -70,7 +70,7 @@
 
 /// Deals `count` places out to shares, so that each stretch of places holds them in proportion;
 /// returns for each place the index of its share.
-pub fn deal(shares: &[u64], count: usize) -> Vec<usize> {
+pub fn interleave(shares: &[u64], count: usize) -> Vec<usize> {
     let whole: u64 = shares.iter().sum::<u64>().max(1);
     let mut dealt = vec![0_u64; shares.len()];
     let mut places = Vec::with_capacity(count);
--- a/crates/dispatch/src/targets.rs
+++ b/crates/dispatch/src/targets.rs
@@ -19,7 +19,7 @@
 //! - *An entry that another program wrote is used.* It would be noticed as work sent to something
 //!   that is no target. Where most targets tell when they started, an entry that does not names none.
 
-use crate::shares::{Demand, SHARE_UNIT, deal};
+use crate::shares::{Demand, SHARE_UNIT, interleave};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
@@ -303,7 +303,7 @@
         usable.sort_by(|a, b| (&a.data_centre, &a.id).cmp(&(&b.data_centre, &b.id)));
         let models = models_of(&usable);
         let shares = demand.shares(&models, usable.len());
-        let dealt = deal(&shares, usable.len());
+        let dealt = interleave(&shares, usable.len());
         let own: Vec<&str> = usable
             .iter()
             .zip(dealt)
--- a/tests/all/dispatch/shares.rs
+++ b/tests/all/dispatch/shares.rs
@@ -1,7 +1,7 @@
 //! Targets shared among models by the work that each brings.
 
 use catkinmast_dispatch::{
-    Demand, Rollout, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, deal,
+    Demand, Rollout, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, interleave,
 };
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
@@ -103,7 +103,7 @@
 
 #[test]
 fn places_are_dealt_in_proportion_from_the_first_on() {
-    let places = deal(&[18_000, 18_000, 9_000], 45);
+    let places = interleave(&[18_000, 18_000, 9_000], 45);
 
     let of = |index: usize, upto: usize| places[..upto].iter().filter(|p| **p == index).count();
     assert_eq!([of(0, 45), of(1, 45), of(2, 45)], [18, 18, 9]);
