--- a/crates/dispatch/src/batch/mod.rs
+++ b/crates/dispatch/src/batch/mod.rs
@@ -17,7 +17,7 @@
 //! no gain of it shows by itself: a mean worth of 0.778 without it on forty days, 0.764 to 0.780 with.
 
 mod groups;
-mod redo;
+mod rerun;
 
 use groups::Groups;
 pub use groups::group_of;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -19,15 +19,15 @@
 mod copies;
 mod document;
 mod freshness;
-mod lengths;
 mod load;
 mod lookahead;
 mod rollout;
+mod run_time;
 mod shares;
 mod stream;
 mod submission;
 mod targets;
-mod turns;
+mod wait_queue;
 
 pub use batch::{Batch, BatchPolicy, Chunk, Merge, NextItem, group_of};
 pub use copies::{CopiedTexts, SentTexts, TextUpdate};
@@ -35,12 +35,12 @@
     Document, EngineConfig, Limits, Route, RouteKind, ServiceConfig, WeightedService,
 };
 pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
-pub use lengths::RunTimeEstimator;
 pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
 pub use rollout::{LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget};
+pub use run_time::RunTimeEstimator;
 pub use shares::{Demand, interleave};
 pub use stream::{EventReader, StreamEvent};
 pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
-pub use turns::{WaitQueue, WaiterId};
+pub use wait_queue::{WaitQueue, WaiterId};
--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -8,11 +8,11 @@
 
 use serde::{Deserialize, Serialize};
 
+mod config;
 mod plan;
-mod terms;
 
+pub use config::{ScalingConfig, ScalingError};
 pub use plan::{DesiredCounts, OrderOutcome, Scaling};
-pub use terms::{ScalingConfig, ScalingError};
 
 /// A kind of target in a data centre; each is ordered by itself.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -7,12 +7,12 @@
 //!
 //! Nothing here owns a socket or a clock.
 
+mod clock;
 mod counts;
 mod ledger;
-mod time;
 mod window;
 
+pub use clock::FleetClock;
 pub use counts::{OpenRequestId, UsageCounts};
 pub use ledger::{Ledger, UsageSource, WindowCounts};
-pub use time::FleetClock;
 pub use window::{Window, Windows};
--- a/tests/all/dispatch/mod.rs
+++ b/tests/all/dispatch/mod.rs
@@ -10,4 +10,4 @@
 mod shares;
 mod stream;
 mod targets;
-mod turns;
+mod wait_queue;
