--- a/crates/member/src/fact.rs
+++ b/crates/member/src/fact.rs
@@ -46,7 +46,7 @@
 /// Where the news of a target comes from.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TargetReport {
+pub enum TargetFactSource {
     /// The platform's lagging list.
     List,
     /// The target refused a call because it leaves.
@@ -71,7 +71,8 @@
     /// Its name.
     pub name: Name,
     /// Who said so.
-    pub report: TargetReport,
+    #[serde(rename = "report")]
+    pub source: TargetFactSource,
     /// Whether it takes work. Leaving is sticky: the list may still call it live for a while.
     pub state: InstanceState,
 }
@@ -161,7 +162,7 @@
     /// Adds what is held of the same subject, where facts grow instead of superseding each other: two
     /// nodes may each know of ends that the other has not seen.
     #[must_use]
-    pub fn joined(self, held: &Self) -> Self {
+    pub fn merged_with(self, held: &Self) -> Self {
         match (self, held) {
             (Self::Crash(mut new), Self::Crash(old)) => {
                 new.evidence.join(&old.evidence);
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -13,11 +13,11 @@
 use catkinmast_config::FollowerEvent;
 use catkinmast_lease::Report;
 use catkinmast_member::{Fact, Membership, Message, NodeFact, Output, OwnerFact, TargetFact};
-use catkinmast_member::{NodeState, TargetReport};
+use catkinmast_member::{NodeState, TargetFactSource};
 use catkinmast_model::{Instance, InstanceState, Name, UnixMs};
 use catkinmast_platform::LeaseId;
 use catkinmast_rollout::{Command, Event, Reply};
-use catkinmast_route::rank;
+use catkinmast_route::rendezvous_rank;
 use catkinmast_wire::{DATAGRAM_MAX_BYTES, seal};
 use configuration::Configuration;
 use indexmap::IndexMap;
@@ -182,7 +182,7 @@
                 self.carry_out(now, outputs);
             }
             Input::DrainTarget { reply, target } => {
-                let known = self.target_leaves(now, &target, TargetReport::Operator);
+                let known = self.target_leaves(now, &target, TargetFactSource::Operator);
                 // The operator may have hung up; the drain stands.
                 let _unheard = reply.send(known);
             }
@@ -195,7 +195,7 @@
             Input::Rollout { event, trainer } => self.rollout_event(now, &trainer, event),
             Input::Stop { .. } => {}
             Input::TargetRefused { target } => {
-                self.target_leaves(now, &target, TargetReport::Refusal);
+                self.target_leaves(now, &target, TargetFactSource::Refusal);
             }
         }
     }
@@ -240,7 +240,7 @@
             Fact::Crash(_) => {}
             Fact::Owner(owner) => self.owner_announced(owner),
             Fact::Target(target) => {
-                log::info!("target {} is {:?} ({:?})", target.name, target.state, target.report);
+                log::info!("target {} is {:?} ({:?})", target.name, target.state, target.source);
                 self.trainers.targets_changed = true;
             }
         }
@@ -256,8 +256,8 @@
             node.data_centre == me.data_centre
                 && matches!(node.state, NodeState::Live | NodeState::Suspect)
         });
-        let mine = rank("watch", me.name.as_str());
-        let before = alive.filter(|node| rank("watch", node.name.as_str()) < mine);
+        let mine = rendezvous_rank("watch", me.name.as_str());
+        let before = alive.filter(|node| rendezvous_rank("watch", node.name.as_str()) < mine);
         before.count() < WATCHERS_PER_DATA_CENTRE
     }
 
@@ -288,16 +288,16 @@
 
     fn target(&self, name: &Name) -> Option<&TargetFact> {
         let key = catkinmast_member::FactKey::Target(name.clone());
-        match self.membership.board().get(&key) {
+        match self.membership.facts().get(&key) {
             Some(Fact::Target(target)) => Some(target),
             _ => None,
         }
     }
 
-    fn target_leaves(&mut self, now: UnixMs, name: &Name, report: TargetReport) -> bool {
+    fn target_leaves(&mut self, now: UnixMs, name: &Name, source: TargetFactSource) -> bool {
         let Some(target) = self.target(name).cloned() else { return false };
         if target.state == InstanceState::Live {
-            let leaving = TargetFact { report, state: InstanceState::Leaving, ..target };
+            let leaving = TargetFact { source, state: InstanceState::Leaving, ..target };
             self.observe(now, Fact::Target(leaving));
         }
         true
@@ -320,7 +320,7 @@
         let nodes: Vec<NodeFact> = self.membership.nodes().cloned().collect();
         let mut owners: IndexMap<Name, OwnerFact> = IndexMap::new();
         let mut targets = IndexMap::new();
-        for fact in self.membership.board().iter() {
+        for fact in self.membership.facts().iter() {
             match fact {
                 Fact::Owner(owner) => {
                     owners.insert(owner.trainer.clone(), owner.clone());
@@ -349,7 +349,7 @@
         kind: instance.kind,
         labels: instance.labels.clone(),
         name: instance.name.clone(),
-        report: TargetReport::List,
+        source: TargetFactSource::List,
         state: instance.state,
     }
 }
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -1,6 +1,6 @@
 //! Ending a batch, and forgetting it when nobody reads it any more.
 
-use super::Held;
+use super::LocalBatch;
 use super::accept::ACCEPT_TRIES;
 use super::keys::{
     Record, RecordWrite, Scope, TRANSACTION_MAX_KEYS, chunk_key, encode, part_key, part_max_bytes,
@@ -95,17 +95,19 @@
     match end_owned(node, batch, scope).await {
         PeerAnswer::Ended => return Lookup::Found(()),
         PeerAnswer::NoBatch => return Lookup::Missing,
-        PeerAnswer::Unavailable => return Lookup::Unsure("the store did not take it".to_owned()),
+        PeerAnswer::Unavailable => {
+            return Lookup::Unavailable("the store did not take it".to_owned());
+        }
         _ => {}
     }
     let call = PeerCall::End { batch: batch.to_owned(), scope: scope.clone() };
     let (record, revision) = match ask_owner(node, batch, &call, 0).await {
         Asked::Answer(PeerAnswer::Ended) => return Lookup::Found(()),
         Asked::Answer(PeerAnswer::NoBatch) | Asked::Missing => return Lookup::Missing,
-        Asked::Answer(_) => return Lookup::Unsure("the owner could not write it".to_owned()),
+        Asked::Answer(_) => return Lookup::Unavailable("the owner could not write it".to_owned()),
         Asked::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
         Asked::Record(record, revision) => (record, revision),
-        Asked::Unsure(why) => return Lookup::Unsure(why),
+        Asked::Unavailable(why) => return Lookup::Unavailable(why),
     };
     if record.ended {
         return Lookup::Found(());
@@ -121,8 +123,8 @@
             Lookup::Found(())
         }
         Ok(RecordWrite::Changed(found, _)) if found.ended => Lookup::Found(()),
-        Ok(RecordWrite::Changed(..)) => Lookup::Unsure("the owner is changing".to_owned()),
-        Err(refusal) => Lookup::Unsure(refusal.message),
+        Ok(RecordWrite::Changed(..)) => Lookup::Unavailable("the owner is changing".to_owned()),
+        Err(refusal) => Lookup::Unavailable(refusal.message),
     }
 }
 
@@ -143,7 +145,7 @@
 /// Gives up items whose time is over, and forgets batches that nobody reads any more.
 pub(super) async fn forget_old<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
-    let all: Vec<Rc<RefCell<Held>>> = node.batches.owned.borrow().values().cloned().collect();
+    let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     for held in all {
         let old = held.borrow().settled_at.is_some_and(|at| now.since_ms(at) > KEPT_MS);
         if old {
@@ -152,7 +154,7 @@
     }
 }
 
-pub(super) async fn forget<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) async fn forget<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     let (id, chunks) = (held.borrow().id.clone(), held.borrow().batch.next_chunk());
     let parts = encode(held.borrow().batch.submission())
         .map_or(1, |body| body.len().div_ceil(part_max_bytes(node)));
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -2,7 +2,7 @@
 
 use super::keys::{Record, read_record};
 use super::write::RETRY;
-use super::{Held, LeftText};
+use super::{LeftText, LocalBatch};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Owner};
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 /// Keeps what an ended batch leaves of its items: a later one may ask for the same ones.
-pub(super) fn keep_leftovers<P: Platform>(node: &Node<P>, held: &mut Held) {
+pub(super) fn keep_leftovers<P: Platform>(node: &Node<P>, held: &mut LocalBatch) {
     let now = clock::now();
     let mut leftovers = node.batches.leftovers.borrow_mut();
     let untaken = held.batch.unconsumed_groups();
@@ -35,7 +35,7 @@
 /// Takes a batch's record as it stands in the store.
 pub(super) fn take_record<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     record: Record,
     revision: u64,
 ) {
@@ -60,15 +60,15 @@
 }
 
 /// Takes the word that a batch has another owner: asks the store whether it is so.
-pub(crate) fn told_owner<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
+pub(crate) fn on_owner_reported<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     match node.batches.get(batch) {
-        Some(held) => doubt(node, &held),
+        Some(held) => verify_ownership(node, &held),
         None => node.batches.note_owner(batch, owner),
     }
 }
 
 /// Takes the word that a batch is ended, which is only given once that is durable.
-pub(crate) fn told_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
+pub(crate) fn on_batch_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     node.batches.note_ended(batch);
     node.batches.standby.forget(batch);
     let Some(held) = node.batches.get(batch) else { return };
@@ -77,11 +77,11 @@
     }
     stop(node, &mut held.borrow_mut());
     node.note("batch_ended_elsewhere", json!({ "request": batch }));
-    doubt(node, &held);
+    verify_ownership(node, &held);
 }
 
 /// Stops a batch: nothing of it runs any more, and what it has of its texts is kept.
-pub(super) fn stop<P: Platform>(node: &Node<P>, held: &mut Held) {
+pub(super) fn stop<P: Platform>(node: &Node<P>, held: &mut LocalBatch) {
     held.batch.end();
     held.stop_runs();
     keep_leftovers(node, held);
@@ -91,16 +91,16 @@
 
 /// Asks the store whether this node still owns its batches, after a sign that others may have
 /// taken it for dead.
-pub(crate) fn doubt_all<P: Platform>(node: &Rc<Node<P>>) {
-    let all: Vec<Rc<RefCell<Held>>> = node.batches.owned.borrow().values().cloned().collect();
+pub(crate) fn verify_ownership_of_all<P: Platform>(node: &Rc<Node<P>>) {
+    let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     node.note("ownership_doubted", json!({ "batches": all.len() }));
     for held in all {
-        doubt(node, &held);
+        verify_ownership(node, &held);
     }
 }
 
-pub(super) fn doubt<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
-    if std::mem::replace(&mut held.borrow_mut().doubted, true) {
+pub(super) fn verify_ownership<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
+    if std::mem::replace(&mut held.borrow_mut().unverified, true) {
         return;
     }
     let (node, held) = (Rc::clone(node), Rc::clone(held));
@@ -110,7 +110,7 @@
             match read_record(&node, &id).await {
                 Ok(Some((record, revision))) => {
                     take_record(&node, &held, record, revision);
-                    held.borrow_mut().doubted = false;
+                    held.borrow_mut().unverified = false;
                     return;
                 }
                 Ok(None) => return,
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -6,11 +6,11 @@
 use crate::clock;
 use crate::crashes;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, Chosen, Outgoing, WholeAnswer};
+use crate::forward::{self, AttemptFailure, Cause, ChosenTarget, CompleteAnswer, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use crate::turn::{self, Turn};
+use crate::wait_queue::{self, QueuePlace};
 use bytes::Bytes;
 use catkinmast_dispatch::{Document, Route, RouteKind};
 use catkinmast_model::{UnixMs, Verdict};
@@ -35,7 +35,7 @@
 
 /// When to come back after a refusal because this node has no configuration, or the store does
 /// not answer: about the time in which either returns after a restart.
-pub(crate) const COME_BACK_MS: u64 = 500;
+pub(crate) const RETRY_AFTER_MS: u64 = 500;
 /// When to come back after all targets refused for load: about one usual request's time.
 const FULL_COME_BACK_MS: u64 = 100;
 /// Pause before targets that have all been tried are tried again: a slot frees about that often. Targets
@@ -67,27 +67,27 @@
 
 /// A refusal or failure of our own.
 #[derive(Clone, Debug)]
-pub(crate) struct Ending {
-    come_back_ms: Option<u64>,
+pub(crate) struct ErrorAnswer {
+    retry_after_ms: Option<u64>,
     message: String,
     status: StatusCode,
 }
 
-impl Ending {
+impl ErrorAnswer {
     pub(crate) fn new(status: StatusCode, message: impl Into<String>) -> Self {
-        Self { come_back_ms: None, message: message.into(), status }
+        Self { retry_after_ms: None, message: message.into(), status }
     }
 
     /// Not run, and never will be.
-    pub(crate) fn not_run(message: impl Into<String>, come_back_ms: u64) -> Self {
-        let come_back_ms = Some(come_back_ms);
-        Self { come_back_ms, message: message.into(), status: StatusCode::SERVICE_UNAVAILABLE }
+    pub(crate) fn not_run(message: impl Into<String>, retry_after_ms: u64) -> Self {
+        let retry_after_ms = Some(retry_after_ms);
+        Self { retry_after_ms, message: message.into(), status: StatusCode::SERVICE_UNAVAILABLE }
     }
 
     pub(crate) fn of(refusal: Refusal) -> Self {
         match refusal {
             Refusal::Denied(why) => Self::new(StatusCode::UNAUTHORIZED, why),
-            Refusal::Unsure(why) => Self::not_run(why, COME_BACK_MS),
+            Refusal::Unsure(why) => Self::not_run(why, RETRY_AFTER_MS),
         }
     }
 
@@ -98,7 +98,7 @@
             let scheme = HeaderValue::from_static("Bearer");
             answer.headers_mut().insert(WWW_AUTHENTICATE, scheme);
         }
-        if let Some(ms) = self.come_back_ms
+        if let Some(ms) = self.retry_after_ms
             && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", ms as f64 / 1_000.0))
         {
             answer.headers_mut().insert(RETRY_AFTER, value);
@@ -148,7 +148,7 @@
             node,
             id.as_deref(),
             None,
-            &Ending::not_run("no configuration yet", COME_BACK_MS),
+            &ErrorAnswer::not_run("no configuration yet", RETRY_AFTER_MS),
         );
     };
     let host = host(&head.headers).to_owned();
@@ -158,7 +158,7 @@
     };
     let workspace = match access::workspace(node, &document, route.is_public, &head.headers) {
         Ok(workspace) => workspace,
-        Err(refusal) => return ended(node, id.as_deref(), Some(&route), &Ending::of(refusal)),
+        Err(refusal) => return ended(node, id.as_deref(), Some(&route), &ErrorAnswer::of(refusal)),
     };
     let own_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
     let priority = own_rank.unwrap_or(route.priority);
@@ -182,7 +182,7 @@
         headers.remove(AUTHORIZATION);
     }
     let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str).to_owned();
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         body,
         deadline_at,
         headers,
@@ -208,27 +208,34 @@
     host.split(':').next().unwrap_or_default()
 }
 
-fn no_route<P: Platform>(node: &Node<P>, document: &Document, host: &str, path: &str) -> Ending {
+fn no_route<P: Platform>(
+    node: &Node<P>,
+    document: &Document,
+    host: &str,
+    path: &str,
+) -> ErrorAnswer {
     let message = format!("no route for {host}{path} in version {}", document.version);
     if feed::is_current(node, Subject::Operators) {
-        Ending::new(StatusCode::NOT_FOUND, message)
+        ErrorAnswer::new(StatusCode::NOT_FOUND, message)
     } else {
         // A newer version may have the route, and no caller asks again after a 404.
-        Ending::not_run(message, COME_BACK_MS)
+        ErrorAnswer::not_run(message, RETRY_AFTER_MS)
     }
 }
 
-async fn read_body(body: Incoming, max_bytes: u64, until: UnixMs) -> Result<Bytes, Ending> {
+async fn read_body(body: Incoming, max_bytes: u64, until: UnixMs) -> Result<Bytes, ErrorAnswer> {
     let left_ms = until.since_ms(clock::now());
     let read = Limited::new(body, max_bytes as usize).collect();
     match tokio::time::timeout(Duration::from_millis(left_ms), read).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let message = format!("the body is larger than {max_bytes} bytes");
-            Err(Ending::new(StatusCode::PAYLOAD_TOO_LARGE, message))
+            Err(ErrorAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, message))
+        }
+        Ok(Err(error)) => Err(ErrorAnswer::new(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(_) => {
+            Err(ErrorAnswer::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"))
         }
-        Ok(Err(error)) => Err(Ending::new(StatusCode::BAD_REQUEST, error.to_string())),
-        Err(_) => Err(Ending::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
     }
 }
 
@@ -242,17 +249,17 @@
     ended(node, id, Some(route), &ending_of(failure))
 }
 
-fn ending_of(failure: &AttemptFailure) -> Ending {
+fn ending_of(failure: &AttemptFailure) -> ErrorAnswer {
     match failure.verdict {
         Verdict::NotRun => {
-            let come_back_ms = match failure.cause {
-                Cause::Barred { come_back_ms } => come_back_ms,
+            let retry_after_ms = match failure.cause {
+                Cause::Blocked { retry_after_ms } => retry_after_ms,
                 Cause::Full | Cause::Other => FULL_COME_BACK_MS,
             };
-            Ending::not_run(failure.message.clone(), come_back_ms)
+            ErrorAnswer::not_run(failure.message.clone(), retry_after_ms)
         }
         Verdict::MayHaveRun | Verdict::Ran => {
-            Ending::new(StatusCode::BAD_GATEWAY, failure.message.clone())
+            ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone())
         }
     }
 }
@@ -261,7 +268,7 @@
     node: &Node<P>,
     id: Option<&str>,
     route: Option<&Route>,
-    ending: &Ending,
+    ending: &ErrorAnswer,
 ) -> Answer<P> {
     let version = node.document().map(|document| document.version);
     node.note(
@@ -270,7 +277,7 @@
             "request": id, "status": ending.status.as_u16(), "why": ending.message,
             "route": route.map(|route| &route.name), "document_version": version,
             "document_age_ms": feed::age_ms(node, Subject::Operators),
-            "come_back_ms": ending.come_back_ms,
+            "come_back_ms": ending.retry_after_ms,
         }),
     );
     let reason = match ending.status.as_u16() {
@@ -285,7 +292,7 @@
     ending.answer()
 }
 
-fn passed_on<P: Platform>(node: &Node<P>, answer: WholeAnswer) -> Answer<P> {
+fn passed_on<P: Platform>(node: &Node<P>, answer: CompleteAnswer) -> Answer<P> {
     count(&node.metrics.answers, "passed_on");
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = answer.status;
@@ -297,8 +304,8 @@
 async fn serve<P: Platform>(
     node: &Rc<Node<P>>,
     route: &Route,
-    outgoing: &Outgoing,
-) -> Result<WholeAnswer, Ending> {
+    outgoing: &OutgoingRequest,
+) -> Result<CompleteAnswer, ErrorAnswer> {
     let began_at = clock::now();
     let budget_ms = outgoing.deadline_at.since_ms(began_at);
     let mut tried: Vec<String> = Vec::new();
@@ -308,7 +315,7 @@
         let left_ms = outgoing.deadline_at.since_ms(clock::now());
         if left_ms <= ANSWER_BEFORE_MS {
             let status = StatusCode::GATEWAY_TIMEOUT;
-            return Err(Ending::new(status, format!("no answer in {budget_ms} ms")));
+            return Err(ErrorAnswer::new(status, format!("no answer in {budget_ms} ms")));
         }
         crashes::check(node, outgoing).map_err(|failure| barred(&failure, ran_somewhere))?;
         let service = route.service(node.draw()).unwrap_or_default();
@@ -318,7 +325,7 @@
                 tried.push(chosen.id.clone());
                 match forward::attempt(node, &chosen, outgoing).await {
                     Ok(answer) => {
-                        turn::served(node, service, outgoing.workspace.as_deref());
+                        wait_queue::request_served(node, service, outgoing.workspace.as_deref());
                         return Ok(answer);
                     }
                     Err(failure) => failure,
@@ -328,7 +335,7 @@
                 AttemptFailure::not_run(Cause::Full, format!("service {service} has no target"))
             }
         };
-        if failure.is_barred() {
+        if failure.is_blocked() {
             return Err(barred(&failure, ran_somewhere));
         }
         if failure.verdict.may_have_run() {
@@ -349,7 +356,7 @@
             sleep(TRIED_PAUSE).await;
             if is_full {
                 let workspace = outgoing.workspace.as_deref();
-                let turn = Turn::wait(node, service, began_at, workspace, outgoing.priority);
+                let turn = QueuePlace::wait(node, service, began_at, workspace, outgoing.priority);
                 while !turn.is_due() && clock::now() <= refuse_at {
                     sleep(TRIED_PAUSE).await;
                 }
@@ -365,9 +372,9 @@
 }
 
 /// How a request ends that is sent to no more targets: a target of this very call may have run it.
-fn barred(failure: &AttemptFailure, ran_somewhere: bool) -> Ending {
+fn barred(failure: &AttemptFailure, ran_somewhere: bool) -> ErrorAnswer {
     if ran_somewhere {
-        return Ending::new(StatusCode::BAD_GATEWAY, failure.message.clone());
+        return ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone());
     }
     ending_of(failure)
 }
@@ -382,12 +389,12 @@
     node: &Node<P>,
     service: &str,
     tried: &[String],
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     let draw = node.draw();
     let chosen = node.pick(
         service,
         |_| true,
         |load, now, picks| load.choose(now, picks, tried, draw).map(|pick| pick.id.to_owned()),
     );
-    chosen.map(|(id, address)| Chosen { address, id })
+    chosen.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -121,7 +121,7 @@
     }
 
     /// Gives a connection back whose answer was read whole.
-    pub(crate) fn keep(&self, mut connection: Connection, answer: &HeaderMap) {
+    pub(crate) fn release(&self, mut connection: Connection, answer: &HeaderMap) {
         let closes = answer
             .get(http::header::CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
@@ -145,7 +145,7 @@
     }
 
     /// Closes all idle connections to an address.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().swap_remove(&address);
     }
 
@@ -165,7 +165,7 @@
 
     /// Tells whether nobody listens at an address: the process that did has ended. One that does not
     /// answer may be cut off.
-    pub(crate) async fn is_closed(&self, address: SocketAddr) -> bool {
+    pub(crate) async fn refuses_connections(&self, address: SocketAddr) -> bool {
         self.opened.inc();
         let opened = timeout(CONNECT_MAX, TcpStream::connect(address)).await;
         let refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
@@ -179,7 +179,7 @@
             Ok(Err(error)) => return Err(CallError::not_run(error.to_string())),
             Err(_) => return Err(CallError::not_run("no connection in time")),
         };
-        if let Err(error) = guard_against_silence(&stream) {
+        if let Err(error) = set_timeouts_and_keepalive(&stream) {
             return Err(CallError::not_run(error.to_string()));
         }
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
@@ -193,7 +193,7 @@
 
 /// A peer that lost power, or is cut off, sends nothing: without these a call on the connection
 /// hangs for good. It is noticed as requests that take until their deadline.
-pub(crate) fn guard_against_silence(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn set_timeouts_and_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))?;
@@ -214,7 +214,7 @@
 }
 
 /// Reads a whole body of at most `max_bytes`.
-pub(crate) async fn read_whole(body: Incoming, max_bytes: usize) -> Result<Bytes, CallError> {
+pub(crate) async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, CallError> {
     let limited = http_body_util::Limited::new(body, max_bytes);
     match limited.collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -4,11 +4,13 @@
 use crate::clock;
 use crate::crashes::StreamRun;
 use crate::feed::{self, Subject};
-use crate::forward::{self, AttemptFailure, Cause, Chosen, InFlight, Outgoing, WholeAnswer};
+use crate::forward::{
+    self, AttemptFailure, Cause, ChosenTarget, CompleteAnswer, InFlight, OutgoingRequest,
+};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
-use crate::pool::{Connection, read_whole};
+use crate::pool::{Connection, read_body};
 use crate::usage::Counted;
 use bytes::Bytes;
 use catkinmast_dispatch::{CallOutcome, Route};
@@ -51,7 +53,7 @@
             Poll::Ready(None) => self.finish(true),
             Poll::Ready(Some(Err(_))) => self.finish(false),
             Poll::Ready(Some(Ok(_))) => {
-                self.run.heard();
+                self.run.received();
                 if let Some(counted) = self.counted.take() {
                     counted.began_now();
                 }
@@ -77,14 +79,14 @@
             in_flight.end(if whole { answered } else { CallOutcome::Failed });
         }
         if whole {
-            self.run.ended_whole(&self.node);
+            self.run.completed(&self.node);
         } else {
-            self.run.broke_off(&self.node);
+            self.run.connection_broke(&self.node);
         }
         if let Some(connection) = self.connection.take()
             && whole
         {
-            self.node.pool.keep(connection, &self.head);
+            self.node.pool.release(connection, &self.head);
         }
         count(&self.node.metrics.answers, if whole { "streamed" } else { "stream_broken" });
     }
@@ -94,7 +96,7 @@
 pub(crate) async fn stream<P: Platform>(
     node: &Rc<Node<P>>,
     route: &Route,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
 ) -> Answer<P> {
     let id = outgoing.request_id.clone();
     let mut tried = Vec::new();
@@ -111,7 +113,7 @@
         tried.push(chosen.id.clone());
         match start(node, &chosen, &outgoing).await {
             Ok(answer) => return answer,
-            Err(failure) if failure.verdict == Verdict::NotRun && !failure.is_barred() => {}
+            Err(failure) if failure.verdict == Verdict::NotRun && !failure.is_blocked() => {}
             Err(failure) => return caller::failed(node, id.as_deref(), route, &failure),
         }
     }
@@ -123,8 +125,8 @@
 
 async fn start<P: Platform>(
     node: &Rc<Node<P>>,
-    chosen: &Chosen,
-    outgoing: &Outgoing,
+    chosen: &ChosenTarget,
+    outgoing: &OutgoingRequest,
 ) -> Result<Answer<P>, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
     let began_at = clock::now();
@@ -172,13 +174,13 @@
         return Ok(Response::from_parts(head, Either::Right(relay)));
     }
     in_flight.end(CallOutcome::Answered { latency_ms });
-    let body = read_whole(body, forward::HELD_MAX_BYTES).await.unwrap_or_default();
-    node.pool.keep(connection, &kept);
-    let answer = WholeAnswer { body, headers: head.headers, marks, status: head.status };
+    let body = read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
+    node.pool.release(connection, &kept);
+    let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
     Ok(failure_passed_on(answer))
 }
 
-fn failure_passed_on<P: Platform>(answer: WholeAnswer) -> Answer<P> {
+fn failure_passed_on<P: Platform>(answer: CompleteAnswer) -> Answer<P> {
     let status: StatusCode = answer.status;
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = status;
--- a/crates/serve/src/runs/place.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -1,9 +1,9 @@
 //! Where runs take place, and when one moves to another target.
 
 use super::start_run;
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
-use crate::forward::Chosen;
+use crate::forward::ChosenTarget;
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -63,7 +63,7 @@
 /// A run is started at the free target as soon as it has stopped. Put back to wait for the next
 /// look, several runs left slow targets for one free slot, and all but one went back to where they
 /// had been: some moved every 300 ms and generated nothing.
-pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<Held>>) {
+pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
     if held.borrow().batch.has_waiting() {
         return;
     }
@@ -90,10 +90,10 @@
 
 fn move_run<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<Held>>,
+    held: &Rc<RefCell<LocalBatch>>,
     index: usize,
     from: &str,
-    faster: Chosen,
+    faster: ChosenTarget,
 ) {
     let next = {
         let mut held = held.borrow_mut();
@@ -118,11 +118,11 @@
 /// Returns a free target that is worth the move of a run.
 fn faster_target<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     index: usize,
     target: &str,
     own: &mut OwnTargets,
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     // Most runs are at targets like any other; a free one is looked for only for the rest.
     let (here_ms, fastest_ms) = {
         let load = node.load.borrow();
@@ -133,27 +133,28 @@
     }
     let (id, address) = pick_free(node, held, index, MOVED_RUN_MS, own)?;
     let there_ms = node.load.borrow().latency_ms(&id);
-    (there_ms > 0 && here_ms * 10 >= there_ms * MOVE_FROM_TENTHS).then_some(Chosen { address, id })
+    (there_ms > 0 && here_ms * 10 >= there_ms * MOVE_FROM_TENTHS)
+        .then_some(ChosenTarget { address, id })
 }
 
 pub(super) fn choose<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     next: &NextItem,
     own: &mut OwnTargets,
-) -> Option<Chosen> {
+) -> Option<ChosenTarget> {
     let run_ms = {
         let held = held.borrow();
         let item = &held.batch.submission().items[next.index];
         node.expected_run_ms(item, next.progress.last_event_id)
     };
-    pick_free(node, held, next.index, run_ms, own).map(|(id, address)| Chosen { address, id })
+    pick_free(node, held, next.index, run_ms, own).map(|(id, address)| ChosenTarget { address, id })
 }
 
 /// Chooses a target with a free slot whose weights are new enough.
 fn pick_free<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<Held>,
+    held: &RefCell<LocalBatch>,
     index: usize,
     run_ms: u64,
     own: &mut OwnTargets,
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -2,10 +2,10 @@
 
 use super::score::score_item;
 use super::{FAILED_PAUSE_MS, FULL_PAUSE_MS, finish};
-use crate::batches::Held;
+use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes::StreamRun;
-use crate::forward::{self, Chosen, InFlight, Outgoing};
+use crate::forward::{self, ChosenTarget, InFlight, OutgoingRequest};
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::Platform;
@@ -49,7 +49,7 @@
 
 impl RunTerms {
     /// Returns those of a batch's own runs.
-    pub(super) fn of(held: &Held) -> Self {
+    pub(super) fn of(held: &LocalBatch) -> Self {
         let submission = held.batch.submission();
         Self {
             give_up_at: held.batch.policy().give_up_at,
@@ -78,10 +78,10 @@
 
 pub(super) async fn run_item<P: Platform>(
     node: Rc<Node<P>>,
-    held: Rc<RefCell<Held>>,
+    held: Rc<RefCell<LocalBatch>>,
     index: usize,
     progress: Rc<RefCell<Progress>>,
-    chosen: Chosen,
+    chosen: ChosenTarget,
     in_flight: InFlight<P>,
 ) {
     let began_at = clock::now();
@@ -157,7 +157,7 @@
     Fingerprint::of(Method::POST.as_str(), host, &item.path, &item.body)
 }
 
-fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> Outgoing {
+fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -171,7 +171,7 @@
     }
     forward::strip_hop_by_hop(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
-    Outgoing {
+    OutgoingRequest {
         body: item.body.clone().into(),
         deadline_at: terms.give_up_at.min(clock::now().plus(RUN_MAX_MS)),
         headers,
@@ -189,7 +189,7 @@
     terms: &RunTerms,
     item: &Item,
     progress: &Rc<RefCell<Progress>>,
-    chosen: &Chosen,
+    chosen: &ChosenTarget,
     longest_gap_ms: &Cell<u64>,
 ) -> RunEnd {
     let after = progress.borrow().last_event_id;
@@ -201,7 +201,7 @@
     let broken = |why: &str, outcome| RunEnd::Broken { outcome, why: why.to_owned() };
     let opened = match timeout(FIRST_EVENT_MAX, forward::open(node, chosen, &request)).await {
         Ok(Ok(opened)) => opened,
-        Ok(Err(failure)) if failure.is_barred() => return RunEnd::Barred { why: failure.message },
+        Ok(Err(failure)) if failure.is_blocked() => return RunEnd::Barred { why: failure.message },
         Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
         Err(_) => return broken("no head in time", CallOutcome::Failed),
     };
@@ -212,16 +212,16 @@
             let change = node.targets.borrow_mut().mark_left(&chosen.id);
             node.target_changed(&change, "another target answered at its address");
         }
-        if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
-            node.pool.keep(connection, &parts.headers);
+        if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
+            node.pool.release(connection, &parts.headers);
         }
         return broken(&refusal.message, CallOutcome::Overloaded);
     }
     match parts.status {
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => {
-            if crate::pool::read_whole(body, forward::HELD_MAX_BYTES).await.is_ok() {
-                node.pool.keep(connection, &parts.headers);
+            if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
+                node.pool.release(connection, &parts.headers);
             }
             return RunEnd::Failed;
         }
@@ -246,13 +246,13 @@
     longest_gap_ms.set(stream.longest_gap_ms);
     match read {
         Ok(()) => {
-            node.pool.keep(connection, &parts.headers);
+            node.pool.release(connection, &parts.headers);
             stream.progress.borrow_mut().complete = true;
-            sent.ended_whole(node);
+            sent.completed(node);
             RunEnd::Whole
         }
         Err(ReadEnd::BrokeOff(why)) => {
-            sent.broke_off(node);
+            sent.connection_broke(node);
             broken(&why, CallOutcome::Failed)
         }
         Err(ReadEnd::Other(why)) => broken(&why, CallOutcome::Failed),
@@ -283,7 +283,7 @@
     async fn read<P: Platform>(
         &mut self,
         node: &Node<P>,
-        chosen: &Chosen,
+        chosen: &ChosenTarget,
         sent: &StreamRun,
     ) -> Result<(), ReadEnd> {
         let mut events = EventReader::default();
@@ -304,7 +304,7 @@
                 }
             };
             let Some(data) = frame.data_ref() else { continue };
-            sent.heard();
+            sent.received();
             for event in events.read(data) {
                 self.take::<P>(node, chosen, &event).map_err(ReadEnd::Other)?;
             }
@@ -323,7 +323,7 @@
     fn take<P: Platform>(
         &mut self,
         node: &Node<P>,
-        chosen: &Chosen,
+        chosen: &ChosenTarget,
         event: &catkinmast_dispatch::StreamEvent,
     ) -> Result<(), String> {
         if let Some(version) = P::event_version(event) {
