--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -89,7 +89,7 @@
         let now = clock::now();
         let items = &self.batch.submission().items;
         let old = |run: &Run| now.since_ms(run.began_at) >= least_age_ms;
-        let begun = |run: &Run| run.progress.borrow().is_begun();
+        let begun = |run: &Run| run.progress.borrow().is_started();
         let running = self
             .runs
             .iter()
@@ -241,7 +241,7 @@
             let open = held.batch.submission();
             open.step.filter(|_| open.model.as_ref() == Some(model))
         });
-        self.lookahead.borrow_mut().opened(model, step, steps);
+        self.lookahead.borrow_mut().batch_opened(model, step, steps);
     }
 
     /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
@@ -272,7 +272,7 @@
             .filter(|held| !held.borrow().batch.is_settled() && !held.borrow().batch.is_ended())
             .cloned()
             .collect();
-        open.sort_by_key(|held| held.borrow().batch.terms().due_at);
+        open.sort_by_key(|held| held.borrow().batch.policy().due_at);
         open
     }
 }
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -74,7 +74,7 @@
     if entry.draining {
         return;
     }
-    let life = TargetIncarnation { started_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
+    let life = TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
     let is_first = node.broken_off.borrow_mut().record(now, outgoing.fingerprint(), &life);
     if is_first {
@@ -104,8 +104,8 @@
         TargetChange::Left(id) if !entry.draining => {
             take(node, TargetOutcome::Gone { id }, "registry")
         }
-        TargetChange::Reborn(id) => {
-            let started_at_unix_ms = entry.born_at_unix_ms;
+        TargetChange::Restarted(id) => {
+            let started_at_unix_ms = entry.started_at_unix_ms;
             take(node, TargetOutcome::Restarted { started_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -141,7 +141,7 @@
     pub(crate) const fn outcome(&self) -> CallOutcome {
         match self.cause {
             Cause::Blocked { .. } => CallOutcome::Cancelled,
-            Cause::Full => CallOutcome::Full,
+            Cause::Full => CallOutcome::Overloaded,
             Cause::Other => CallOutcome::Failed,
         }
     }
@@ -159,13 +159,13 @@
 
 impl<P: Platform> InFlight<P> {
     pub(crate) fn begin(node: &Rc<Node<P>>, id: &str) -> Self {
-        node.load.borrow_mut().sent(id);
+        node.load.borrow_mut().call_sent(id);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: None }
     }
 
     /// Counts a run of an item, which is expected to end at about `end`.
     pub(crate) fn begin_run(node: &Rc<Node<P>>, id: &str, end: UnixMs) -> Self {
-        let run = node.load.borrow_mut().run_sent(id, end);
+        let run = node.load.borrow_mut().run_started(id, end);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: Some(run) }
     }
 
@@ -179,7 +179,7 @@
         if let Some(run) = self.run {
             self.node.load.borrow_mut().run_ended(&self.id, run);
         }
-        self.node.load.borrow_mut().finished(clock::now(), &self.id, slots, outcome);
+        self.node.load.borrow_mut().call_ended(clock::now(), &self.id, slots, outcome);
     }
 }
 
@@ -303,7 +303,7 @@
     let (response, connection, marks) = open(node, chosen, outgoing).await?;
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        let change = node.targets.borrow_mut().refused(&chosen.id);
+        let change = node.targets.borrow_mut().mark_left(&chosen.id);
         node.target_changed(&change, "another target answered at its address");
     }
     let body = read_body(body, BUFFERED_ANSWER_MAX_BYTES).await.map_err(|error| {
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -162,7 +162,7 @@
         Ok(Datagram::StoreReturned) => outage::told_over(node),
         Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
             let (of_this_life, change) =
-                node.targets.borrow_mut().told_birth(&target, born_at_unix_ms);
+                node.targets.borrow_mut().apply_start_time(&target, born_at_unix_ms);
             node.target_changed(&change, "a peer");
             if of_this_life {
                 target_loads(node, &target, for_ms);
@@ -254,7 +254,7 @@
 pub(crate) fn tell_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     target_loads(node, target, for_ms);
     let born_at_unix_ms =
-        node.targets.borrow().entry(target).and_then(|entry| entry.born_at_unix_ms);
+        node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
     let datagram = Datagram::TargetLoads { born_at_unix_ms, for_ms, target: target.to_owned() };
     for owner in node.batches.owner_addresses() {
         send(node, &datagram, owner);
@@ -262,7 +262,7 @@
 }
 
 fn target_loads<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
-    node.load.borrow_mut().loads(target, clock::now().plus(for_ms));
+    node.load.borrow_mut().loading_until(target, clock::now().plus(for_ms));
 }
 
 /// Returns this life of this node, once it has joined.
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -52,7 +52,7 @@
     pub(super) fn of(held: &LocalBatch) -> Self {
         let submission = held.batch.submission();
         Self {
-            give_up_at: held.batch.terms().give_up_at,
+            give_up_at: held.batch.policy().give_up_at,
             host: held.origin().host.clone(),
             model: submission.model.clone(),
             oldest_version: submission.oldest_version,
@@ -121,7 +121,7 @@
         RunEnd::Whole => {
             if resumed_after.is_none() {
                 let run_ms = clock::now().since_ms(began_at);
-                node.lengths.borrow_mut().finished(item.expected_tokens(), run_ms);
+                node.lengths.borrow_mut().record(item.expected_tokens(), run_ms);
             }
             if let Some(run) = held.borrow_mut().runs.get_mut(&index) {
                 run.scoring = true;
@@ -134,13 +134,13 @@
         }
         RunEnd::Broken { outcome, .. } => {
             let pause_ms =
-                if outcome == CallOutcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
+                if outcome == CallOutcome::Overloaded { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
             let from = clock::now().plus(pause_ms);
             held.borrow_mut().batch.put_back(index, from, text);
         }
         RunEnd::Impossible => finish(&node, &held, ItemResult::errored(item.id)),
         RunEnd::Failed => {
-            if held.borrow_mut().batch.failed(index) {
+            if held.borrow_mut().batch.record_failure(index) {
                 finish(&node, &held, ItemResult::errored(item.id));
             } else {
                 let from = clock::now().plus(FAILED_PAUSE_MS);
@@ -209,13 +209,13 @@
     let (parts, body) = response.into_parts();
     if let Some(refusal) = forward::refusal(parts.status, &marks) {
         if parts.status == StatusCode::MISDIRECTED_REQUEST {
-            let change = node.targets.borrow_mut().refused(&chosen.id);
+            let change = node.targets.borrow_mut().mark_left(&chosen.id);
             node.target_changed(&change, "another target answered at its address");
         }
         if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
             node.pool.release(connection, &parts.headers);
         }
-        return broken(&refusal.message, CallOutcome::Full);
+        return broken(&refusal.message, CallOutcome::Overloaded);
     }
     match parts.status {
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
@@ -247,7 +247,7 @@
     match read {
         Ok(()) => {
             node.pool.release(connection, &parts.headers);
-            stream.progress.borrow_mut().whole = true;
+            stream.progress.borrow_mut().complete = true;
             sent.completed(node);
             RunEnd::Whole
         }
@@ -312,7 +312,7 @@
             if !first {
                 let gap_ms = now.since_ms(last_at);
                 self.longest_gap_ms = self.longest_gap_ms.max(gap_ms);
-                node.load.borrow_mut().paced(&chosen.id, gap_ms);
+                node.load.borrow_mut().record_latency(&chosen.id, gap_ms);
             }
             first = false;
             last_at = now;
@@ -336,7 +336,7 @@
         }
         if let Some(version) = self.version {
             if let Some(model) = &self.model {
-                node.targets.borrow_mut().version_seen(&chosen.id, model, version);
+                node.targets.borrow_mut().record_version(&chosen.id, model, version);
             }
             if version < self.oldest_version {
                 return Err(format!("version {version} is older than {}", self.oldest_version));
