--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -140,7 +140,7 @@
     to: &Owner,
     told: &mut SentTexts,
 ) -> bool {
-    let texts = told.news(&held.borrow().texts(SAVE_AFTER_MS));
+    let texts = told.updates(&held.borrow().texts(SAVE_AFTER_MS));
     if texts.is_empty() {
         return true;
     }
@@ -176,7 +176,7 @@
     texts: Vec<TextUpdate>,
 ) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
-    copies.get_mut(batch).is_some_and(|held| held.texts.take(texts))
+    copies.get_mut(batch).is_some_and(|held| held.texts.apply(texts))
 }
 
 /// Tells the node that holds the copy of a batch that it is ended.
@@ -222,7 +222,7 @@
 ) -> Vec<(String, Progress)> {
     let mut longest: IndexMap<String, Progress> = IndexMap::new();
     for (item, progress) in texts.into_iter().chain(others) {
-        let reach = |progress: &Progress| (progress.whole, progress.last_event_id);
+        let reach = |progress: &Progress| (progress.complete, progress.last_event_id);
         match longest.get_mut(&item) {
             Some(held) if reach(held) >= reach(&progress) => {}
             Some(held) => *held = progress,
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -11,7 +11,7 @@
 use crate::platform::Platform;
 use catkinmast_dispatch::{TargetChange, TargetEntry};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{Fate, Life};
+use catkinmast_quarantine::{TargetIncarnation, TargetOutcome};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -74,23 +74,23 @@
     if entry.draining {
         return;
     }
-    let life = Life { born_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
+    let life = TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
-    let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
+    let is_first = node.broken_off.borrow_mut().record(now, outgoing.fingerprint(), &life);
     if is_first {
         tokio::task::spawn_local(ask(Rc::clone(node), chosen.address, life));
     }
 }
 
 /// Asks a target's address whether anybody listens there.
-async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: Life) {
+async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: TargetIncarnation) {
     let mut is_closed = node.pool.refuses_connections(address).await;
     if !is_closed {
         sleep(ASK_AGAIN_AFTER).await;
         is_closed = node.pool.refuses_connections(address).await;
     }
     if is_closed {
-        take(&node, Fate::Ended(&life), "refused");
+        take(&node, TargetOutcome::Ended(&life), "refused");
     }
 }
 
@@ -101,20 +101,22 @@
     entry: &TargetEntry,
 ) {
     match change {
-        TargetChange::Left(id) if !entry.draining => take(node, Fate::Gone { id }, "registry"),
-        TargetChange::Reborn(id) => {
-            let born_at_unix_ms = entry.born_at_unix_ms;
-            take(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
+        TargetChange::Left(id) if !entry.draining => {
+            take(node, TargetOutcome::Gone { id }, "registry")
+        }
+        TargetChange::Restarted(id) => {
+            let started_at_unix_ms = entry.started_at_unix_ms;
+            take(node, TargetOutcome::Restarted { started_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
     }
 }
 
-fn take<P: Platform>(node: &Node<P>, fate: Fate<'_>, by: &'static str) {
+fn take<P: Platform>(node: &Node<P>, fate: TargetOutcome<'_>, by: &'static str) {
     if node.broken_off.borrow().is_empty() {
         return;
     }
-    let ended = node.broken_off.borrow_mut().take(UnixMs::from_wall_clock(), fate);
+    let ended = node.broken_off.borrow_mut().resolve(UnixMs::from_wall_clock(), fate);
     if ended.is_empty() {
         return;
     }
@@ -124,7 +126,7 @@
         node.note(
             "target_ended",
             json!({
-                "target": life.id, "born_at_unix_ms": life.born_at_unix_ms, "by": by,
+                "target": life.id, "born_at_unix_ms": life.started_at_unix_ms, "by": by,
                 "fingerprint": fingerprint.to_string(), "under_way": under_way,
             }),
         );
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -71,7 +71,7 @@
         let second = held.swap_remove(item)?;
         second.task.abort();
         let progress = second.progress.borrow().clone();
-        progress.is_begun().then_some(progress)
+        progress.is_started().then_some(progress)
     }
 
     fn is_running(&self, item: &str) -> bool {
@@ -95,7 +95,7 @@
     let open = node.batches.open();
     for held in &open {
         let held = held.borrow();
-        let taken = held.batch.taken_groups();
+        let taken = held.batch.consumed_groups();
         let is_taken =
             |item: &str| held.batch.item(item).is_some_and(|item| taken.contains(group_of(item)));
         node.batches
@@ -107,7 +107,7 @@
         let model = held.borrow().batch.submission().model.clone();
         let Some(model) = model else { continue };
         let oldest = held.borrow().batch.submission().oldest_version;
-        let next_oldest = node.batches.lookahead.borrow().next_oldest(&model, oldest);
+        let next_oldest = node.batches.lookahead.borrow().next_oldest_version(&model, oldest);
         for index in to_redo(&held.borrow(), now, next_oldest) {
             if node.batches.second_runs.running_count() >= SECONDS_AT_ONCE {
                 return;
@@ -122,7 +122,7 @@
         let run = held.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
     };
-    held.batch.worth_redoing(now, next_oldest, text_version)
+    held.batch.rerun_candidates(now, next_oldest, text_version)
 }
 
 fn start<P: Platform>(
@@ -139,7 +139,7 @@
         (item, held.id.clone(), terms, target)
     };
     let progress = node.batches.second_runs.text(&item.id);
-    if node.batches.second_runs.is_running(&item.id) || progress.whole {
+    if node.batches.second_runs.is_running(&item.id) || progress.complete {
         return;
     }
     // Digests of all candidates at every look would cost more than what they guard against.
@@ -183,7 +183,7 @@
             "second_run",
             json!({
                 "request": item.id, "batch": batch_too, "target": chosen.id, "why": why,
-                "whole": text.whole, "versions": text.versions, "last_event": text.last_event_id,
+                "whole": text.complete, "versions": text.versions, "last_event": text.last_event_id,
                 "oldest_version": terms.oldest_version, "ms": clock::now().since_ms(began_at),
             }),
         );
@@ -226,7 +226,7 @@
     let picked = node.pick(service, fits, |load, now, picks| {
         let others: Vec<Candidate<'_>> =
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
-        load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
+        load.choose_with_free_slot(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
     picked.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -34,7 +34,7 @@
 
 /// What all lives of all nodes have told, by window.
 ///
-/// UsageCounts only grow and are told whole, so that a table that is told twice, or late, adds nothing. A
+/// Counts only grow and are told whole, so that a table that is told twice, or late, adds nothing. A
 /// node's next life tells anew, beside what its former one has told.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
@@ -43,7 +43,7 @@
 
 impl Ledger {
     /// Takes a node's table.
-    pub fn told(&mut self, teller: &UsageSource, table: WindowCounts) {
+    pub fn record(&mut self, teller: &UsageSource, table: WindowCounts) {
         let window = self.windows.entry(table.window).or_default();
         let told = window.entry(teller.clone()).or_default();
         told.complete |= table.complete;
@@ -83,7 +83,7 @@
     }
 
     /// Returns how many lives have told of a window.
-    pub fn tellers(&self, window: Window) -> usize {
+    pub fn source_count(&self, window: Window) -> usize {
         self.windows.get(&window).map_or(0, IndexMap::len)
     }
 }
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -3,7 +3,8 @@
 use catkinmast_member::{CrashFact, Fact, FactTable, MergeOutcome};
 use catkinmast_model::UnixMs;
 use catkinmast_quarantine::{
-    BrokenOff, ENOUGH_LIVES, Evidence, Fate, Fingerprint, Life, Quarantine, Standing,
+    BLOCK_THRESHOLD, Evidence, Fingerprint, InterruptedRequests, Quarantine, RequestStatus,
+    TargetIncarnation, TargetOutcome,
 };
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -19,8 +20,8 @@
     Fingerprint::of("POST", "site.example", "/lookup/a", name.as_bytes())
 }
 
-fn life(number: u32) -> Life {
-    Life { born_at_unix_ms: None, id: format!("target-{number:03}") }
+fn life(number: u32) -> TargetIncarnation {
+    TargetIncarnation { started_at_unix_ms: None, id: format!("target-{number:03}") }
 }
 
 /// Opens a quarantine in which each of the requests was under way at each of its targets' ends.
@@ -28,14 +29,14 @@
     let mut quarantine = Quarantine::default();
     for (name, lives) in ends {
         for number in *lives {
-            quarantine.ended(NOW, request(name), life(*number));
+            quarantine.record_end(NOW, request(name), life(*number));
         }
     }
     quarantine
 }
 
 fn is_barred(quarantine: &Quarantine, now: UnixMs, name: &str) -> bool {
-    matches!(quarantine.standing(now, request(name)), Standing::Barred { .. })
+    matches!(quarantine.status(now, request(name)), RequestStatus::Blocked { .. })
 }
 
 #[test]
@@ -69,9 +70,9 @@
 #[test]
 fn a_life_of_a_target_counts_once_and_its_next_life_again() {
     let mut quarantine = quarantine(&[("p", &[1, 2])]);
-    let again = Life { born_at_unix_ms: Some(7), ..life(1) };
+    let again = TargetIncarnation { started_at_unix_ms: Some(7), ..life(1) };
 
-    assert!(quarantine.ended(NOW, request("p"), again));
+    assert!(quarantine.record_end(NOW, request("p"), again));
 
     assert!(is_barred(&quarantine, NOW, "p"));
 }
@@ -83,12 +84,12 @@
 fn an_answer_clears_a_request() {
     let mut quarantine = quarantine(&[("s", &[1, 2])]);
 
-    assert!(quarantine.survived(request("s")));
-    quarantine.ended(NOW, request("s"), life(3));
-    quarantine.ended(NOW, request("s"), life(4));
+    assert!(quarantine.record_answer(request("s")));
+    quarantine.record_end(NOW, request("s"), life(3));
+    quarantine.record_end(NOW, request("s"), life(4));
 
-    assert_eq!(quarantine.standing(NOW, request("s")), Standing::Clear);
-    assert!(!quarantine.survived(request("never under way")), "nothing changes");
+    assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
+    assert!(!quarantine.record_answer(request("never under way")), "nothing changes");
 }
 
 // Symptom: sound requests are turned away with the one that ends the targets.
@@ -99,7 +100,7 @@
     let quarantine = quarantine(&[("p", &[1, 2, 3, 4]), ("s", &[1, 2, 3])]);
 
     assert!(is_barred(&quarantine, NOW, "p"));
-    assert_eq!(quarantine.standing(NOW, request("s")), Standing::Clear);
+    assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
 // Symptom: of two requests with the same record the sound one is turned away, or neither is barred.
@@ -109,15 +110,15 @@
 fn two_requests_with_the_same_record_are_told_apart_by_a_trial() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
     for name in ["p", "s"] {
-        assert_eq!(quarantine.standing(NOW, request(name)), Standing::Trial { number: 3 });
-        quarantine.asks(NOW, request(name), 3);
+        assert_eq!(quarantine.status(NOW, request(name)), RequestStatus::Trial { number: 3 });
+        quarantine.record_trial_request(NOW, request(name), 3);
         assert!(is_barred(&quarantine, NOW, name), "this node has asked for its trial");
     }
 
-    quarantine.ended(NOW, request("p"), life(4));
+    quarantine.record_end(NOW, request("p"), life(4));
 
     assert!(is_barred(&quarantine, NOW, "p"));
-    assert_eq!(quarantine.standing(NOW, request("s")), Standing::Clear);
+    assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
 #[test]
@@ -126,12 +127,12 @@
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
 
     for number in 4..10 {
-        match quarantine.standing(NOW, request("p")) {
-            Standing::Trial { number } => numbers.insert(number),
+        match quarantine.status(NOW, request("p")) {
+            RequestStatus::Trial { number } => numbers.insert(number),
             _ => break,
         };
         for name in ["p", "s"] {
-            quarantine.ended(NOW, request(name), life(number));
+            quarantine.record_end(NOW, request(name), life(number));
         }
     }
 
@@ -146,16 +147,16 @@
 fn a_barred_request_is_tried_again_after_ever_longer_times() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
     let first = NOW.plus(10 * MINUTE_MS);
-    assert_eq!(quarantine.standing(NOW, request("p")), Standing::Barred { until: first });
-    assert_eq!(quarantine.standing(first, request("p")), Standing::Trial { number: 3 });
+    assert_eq!(quarantine.status(NOW, request("p")), RequestStatus::Blocked { until: first });
+    assert_eq!(quarantine.status(first, request("p")), RequestStatus::Trial { number: 3 });
 
-    quarantine.ended(first, request("p"), life(4));
+    quarantine.record_end(first, request("p"), life(4));
 
     let second = first.plus(20 * MINUTE_MS);
-    assert_eq!(quarantine.standing(first, request("p")), Standing::Barred { until: second });
-    assert_eq!(quarantine.standing(second, request("p")), Standing::Trial { number: 4 });
-    quarantine.survived(request("p"));
-    assert_eq!(quarantine.standing(second, request("p")), Standing::Clear);
+    assert_eq!(quarantine.status(first, request("p")), RequestStatus::Blocked { until: second });
+    assert_eq!(quarantine.status(second, request("p")), RequestStatus::Trial { number: 4 });
+    quarantine.record_answer(request("p"));
+    assert_eq!(quarantine.status(second, request("p")), RequestStatus::Allowed);
 }
 
 #[test]
@@ -174,7 +175,7 @@
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
     for number in 0..3_000 {
         let at = NOW.plus(1 + u64::from(number));
-        quarantine.ended(at, request(&format!("s{number}")), life(number));
+        quarantine.record_end(at, request(&format!("s{number}")), life(number));
     }
 
     let forgotten = quarantine.expire(NOW.plus(MINUTE_MS));
@@ -186,30 +187,38 @@
 
 #[test]
 fn a_broken_connection_counts_only_if_its_target_is_found_to_have_ended() {
-    let mut broken = BrokenOff::default();
-    assert!(broken.note(NOW, request("p"), &life(1)), "the first at this target");
-    assert!(!broken.note(NOW, request("s"), &life(1)));
-    assert!(broken.note(NOW, request("t"), &life(2)));
+    let mut broken = InterruptedRequests::default();
+    assert!(broken.record(NOW, request("p"), &life(1)), "the first at this target");
+    assert!(!broken.record(NOW, request("s"), &life(1)));
+    assert!(broken.record(NOW, request("t"), &life(2)));
 
-    broken.survived(request("s"));
-    let ended = broken.take(NOW.plus(10), Fate::Ended(&life(1)));
+    broken.forget(request("s"));
+    let ended = broken.resolve(NOW.plus(10), TargetOutcome::Ended(&life(1)));
 
     assert_eq!(ended, [(request("p"), life(1))]);
-    assert_eq!(broken.take(NOW.plus(20), Fate::Ended(&life(1))), [], "each end counts once");
+    assert_eq!(
+        broken.resolve(NOW.plus(20), TargetOutcome::Ended(&life(1))),
+        [],
+        "each end counts once"
+    );
     let late = NOW.plus(MINUTE_MS);
-    assert_eq!(broken.take(late, Fate::Gone { id: &life(2).id }), [], "that has other causes");
+    assert_eq!(
+        broken.resolve(late, TargetOutcome::Gone { id: &life(2).id }),
+        [],
+        "that has other causes"
+    );
 }
 
 #[test]
 fn a_target_that_started_again_has_ended_in_its_former_life_only() {
-    let former = Life { born_at_unix_ms: Some(1), ..life(1) };
-    let present = Life { born_at_unix_ms: Some(2), ..life(1) };
-    let mut broken = BrokenOff::default();
-    broken.note(NOW, request("p"), &former);
-    broken.note(NOW, request("s"), &present);
+    let former = TargetIncarnation { started_at_unix_ms: Some(1), ..life(1) };
+    let present = TargetIncarnation { started_at_unix_ms: Some(2), ..life(1) };
+    let mut broken = InterruptedRequests::default();
+    broken.record(NOW, request("p"), &former);
+    broken.record(NOW, request("s"), &present);
 
-    let fate = Fate::Reborn { born_at_unix_ms: Some(2), id: &present.id };
-    let ended = broken.take(NOW, fate);
+    let fate = TargetOutcome::Restarted { started_at_unix_ms: Some(2), id: &present.id };
+    let ended = broken.resolve(NOW, fate);
 
     assert_eq!(ended, [(request("p"), former)]);
 }
@@ -222,7 +231,7 @@
     let fact = |numbers: &[u32]| {
         let mut evidence = Evidence::default();
         for number in numbers {
-            evidence.note(NOW, life(*number));
+            evidence.record_end(NOW, life(*number));
         }
         Fact::Crash(CrashFact { evidence, fingerprint: request("p") })
     };
@@ -247,7 +256,7 @@
         |ends| {
             let mut evidence = Evidence::default();
             for (number, at_ms, refuted) in ends {
-                evidence.note(NOW.plus(at_ms), life(number));
+                evidence.record_end(NOW.plus(at_ms), life(number));
                 if refuted {
                     evidence.refute();
                 }
@@ -260,7 +269,7 @@
 fn joined(parts: &[&Evidence]) -> Evidence {
     let mut all = Evidence::default();
     for part in parts {
-        all.join(part);
+        all.merge(part);
     }
     all
 }
@@ -349,10 +358,10 @@
                 let node = &mut self.nodes[call.node];
                 // A sound request is done before its target ends as often as not.
                 if !ends || (call.name != ENDS_TARGETS && self.rng.random()) {
-                    node.survived(request(&call.name));
+                    node.record_answer(request(&call.name));
                     continue;
                 }
-                node.ended(self.now, request(&call.name), life(target));
+                node.record_end(self.now, request(&call.name), life(target));
                 if call.attempts_left > 1 {
                     left.push(Call { attempts_left: call.attempts_left - 1, ..call });
                 }
@@ -366,11 +375,11 @@
     }
 
     fn admits(&mut self, node: usize, name: &str) -> bool {
-        match self.nodes[node].standing(self.now, request(name)) {
-            Standing::Barred { .. } => false,
-            Standing::Clear => true,
-            Standing::Trial { number } => {
-                self.nodes[node].asks(self.now, request(name), number);
+        match self.nodes[node].status(self.now, request(name)) {
+            RequestStatus::Blocked { .. } => false,
+            RequestStatus::Allowed => true,
+            RequestStatus::Trial { number } => {
+                self.nodes[node].record_trial_request(self.now, request(name), number);
                 self.trials.insert((name.to_owned(), number))
             }
         }
@@ -385,7 +394,7 @@
                 self.nodes.iter().filter_map(|node| node.evidence(of).cloned()).collect();
             for node in &mut self.nodes {
                 for evidence in &held {
-                    node.learn(of, evidence);
+                    node.merge(of, evidence);
                 }
             }
         }
@@ -420,7 +429,7 @@
             }
             day.play_round(calls);
         }
-        let third = day.ends[ENOUGH_LIVES - 1].plus(SETTLED_MS);
+        let third = day.ends[BLOCK_THRESHOLD - 1].plus(SETTLED_MS);
         let repeats = day.runs[ENDS_TARGETS].iter().filter(|at| **at > third).count();
         assert!(repeats <= REPEATS_MAX, "seed {seed}: it was sent {repeats} times more");
         let refused = sound.into_iter().filter(|name| !day.admits(0, name));
