--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,8 +1,8 @@
-//! Integration tests, a module for each area.
+//! Integration tests, with one module for each area.
 //!
-//! `processes` starts the shipped binaries and the stand-ins' binary, and proves the promises of
-//! the brief under kills, freezes, cuts and outages. `scenarios` runs scripts against the pure
-//! aggregates in virtual time. The other modules test one area each.
+//! `processes` runs the shipped binaries and the stand-in binary under kills, freezes, network cuts
+//! and outages. `site` runs nodes with an in-process store and workers. `scenarios` runs scripts
+//! against the pure types in virtual time. Each of the other modules tests one area.
 
 mod support;
 
--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time: who is there, how fast news travels, what it costs.
+//! Membership in virtual time: failure detection, the spread of facts, and control traffic.
 
 use catkinmast_bench::VirtualFleet;
 use catkinmast_member::{
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use yare::parameterized;
 
-/// A fleet that has run long enough for all to know all.
+/// Returns a fleet in which all nodes have the same facts.
 fn settled(nodes: usize, seed: u64, loss_percent: u32) -> VirtualFleet {
     let mut fleet = VirtualFleet::open(nodes, seed, loss_percent);
     let agreed = fleet.run_until_holds(UnixMs(60_000), VirtualFleet::all_agree);
-    assert!(agreed.is_some(), "all know all");
+    assert!(agreed.is_some(), "all nodes have the same facts");
     fleet
 }
 
@@ -50,12 +50,11 @@
     }
 }
 
-/// Symptom: the owner of a model's batches is at the end of its processor's share at the start of
-/// each step, texts come late and targets look slow (mean worth of 15 trouble days 0.53).
-/// Sequence: 8 of 55 nodes have half a core, the others an eighth; the owner is drawn by hash.
-/// Cause: duties ignore what a node can do.
+/// Guards against duties on nodes with too little processor capacity. With 8 of 55 nodes on half a
+/// core and the others on an eighth, an owner chosen by hash alone used up its share at the start
+/// of each step: generated output arrived late and targets appeared slow.
 #[test]
-fn duties_go_to_the_strongest_nodes_and_spread_among_them() {
+fn duties_prefer_the_nodes_with_most_capacity_and_spread_among_them() {
     // Arrange
     let weak = (0..47).map(|number| node_of(&format!("weak-{number}"), 120));
     let strong = (0..8).map(|number| node_of(&format!("strong-{number}"), 500));
@@ -74,11 +73,11 @@
     assert!(distinct.len() >= 5, "16 duties on 8 nodes: {distinct:?}");
 }
 
-/// Symptom: a node that has missed a fact does without it for as long as the fleet is being restarted.
-/// Sequence: it was cut off as the fact was told; since then a node comes or goes each second.
-/// Cause: it pulls what differs only once two seconds have passed without any news. It never pulled.
+/// Guards against a node that never gets a fact it missed. It was cut off when the fact was sent,
+/// and since then a node joins or leaves every second, as in a restart of the fleet. A node that
+/// pulls a difference only after two seconds without new facts then never pulls.
 #[test]
-fn a_node_pulls_what_it_has_missed_also_where_there_is_always_news() {
+fn missed_facts_are_pulled_while_new_facts_keep_arriving() {
     const PING_EVERY_MS: u64 = 300;
     const PULLS_WITHIN_MS: u64 = 3_000;
     let settings = MembershipSettings { probe_every_ms: PING_EVERY_MS, ..Default::default() };
@@ -86,31 +85,31 @@
     let rng = Pcg64Mcg::seed_from_u64(1);
     let mut members = Membership::open(me, Vec::new(), settings, rng);
     let from = SocketAddr::from(([127, 0, 0, 2], 7_400));
-    let (begin, mut pulled_after_ms) = (UnixMs(100_000), None);
-    members.receive(begin, from, Message::Facts { facts: vec![Fact::Node(node_of("other", 250))] });
+    let (start, mut pulled_after_ms) = (UnixMs(100_000), None);
+    members.receive(start, from, Message::Facts { facts: vec![Fact::Node(node_of("other", 250))] });
 
-    for turn in 1..40 {
-        let now = begin.plus(turn * PING_EVERY_MS);
-        // Something else is new three times in four; the digest differs by what was missed.
-        let facts = match turn % 4 {
+    for ping in 1..40 {
+        let now = start.plus(ping * PING_EVERY_MS);
+        // Three of four pings bring a new fact; the digest differs by the missed one.
+        let facts = match ping % 4 {
             0 => Vec::new(),
-            _ => vec![target(turn, InstanceState::Live, TargetFactSource::List)],
+            _ => vec![target(ping, InstanceState::Live, TargetFactSource::List)],
         };
         let outputs =
-            members.receive(now, from, Message::Ping { digest: turn, facts, sequence: turn });
+            members.receive(now, from, Message::Ping { digest: ping, facts, sequence: ping });
         let pulls =
             |output: &Output| matches!(output, Output::Send { message: Message::Pull { .. }, .. });
         if pulled_after_ms.is_none() && outputs.iter().any(pulls) {
-            pulled_after_ms = Some(now.since_ms(begin));
+            pulled_after_ms = Some(now.since_ms(start));
         }
     }
 
     assert!(pulled_after_ms.is_some_and(|ms| ms <= PULLS_WITHIN_MS), "{pulled_after_ms:?}");
 }
 
-/// A node that comes or goes changes nothing for duties that it does not come first for.
+/// Guards against duties that move without need: a node that leaves must affect only its own.
 #[test]
-fn a_node_that_goes_leaves_the_duties_of_the_others_alone() {
+fn duties_of_other_nodes_stay_when_a_node_leaves() {
     let nodes: Vec<NodeFact> = (0..8).map(|number| node_of(&format!("n-{number}"), 250)).collect();
     let first = |nodes: &[NodeFact], duty: &str| {
         let first = nodes.iter().min_by_key(|node| DutyRank::of(node, duty));
@@ -140,20 +139,19 @@
     fleet.kill(nodes - 1);
     let agreed = fleet.run_until_holds(killed_at.plus(60_000), VirtualFleet::all_agree);
 
-    // Assert: a probe a second each, then the time to refute, then the rumour.
+    // Assert: a probe every second, then the time to refute, then the spread of the fact.
     let took_ms = agreed.expect("agreed").since_ms(killed_at);
     assert!(took_ms <= 15_000, "{took_ms} ms");
 }
 
-/// Symptom: nodes that are well are declared dead.
-/// Sequence: a process is paused for some seconds, and wakes with all its timers overdue.
-/// Cause: its own probes look unanswered to it, and its suspicions look unrefuted.
+/// Guards against false suspicions by a process that was paused for some seconds. When it resumes,
+/// all its timers are overdue, so its own probes look unanswered and its suspicions unrefuted.
 #[test]
-fn a_paused_node_accuses_nobody_when_it_wakes() {
+fn a_paused_node_suspects_nobody_when_it_resumes() {
     // Arrange
     let mut fleet = settled(8, 4, 0);
 
-    // Act: paused again and again, at every point of its probing.
+    // Act: pause it repeatedly, at different points of the probe period.
     let mut believed_gone = None;
     for pause in 0..20 {
         fleet.run_until(fleet.now().plus(8_000 + pause * 50));
@@ -164,18 +162,18 @@
     }
     let back = fleet.run_until_holds(fleet.now().plus(30_000), VirtualFleet::all_agree);
 
-    // Assert: it was declared gone meanwhile, refutes that, and nobody else was ever accused.
+    // Assert: it was declared gone meanwhile and refuted that; no other node was ever suspected.
     assert_eq!(believed_gone, Some(NodeState::Gone));
     assert!(back.is_some(), "all are live again");
-    let accused_others = (0..8).flat_map(|node| fleet.changes(node).to_vec()).any(|(_, fact)| {
+    let suspected_others = (0..8).flat_map(|node| fleet.changes(node).to_vec()).any(|(_, fact)| {
         let Fact::Node(node) = fact else { return false };
         node.name.as_str() != "entry-3" && node.state > NodeState::Live
     });
-    assert!(!accused_others);
+    assert!(!suspected_others);
 }
 
-/// The same cause at its smallest: a probe is on its way when the process is paused, and the first
-/// thing after the pause is the overdue tick.
+/// The smallest case of a paused process: a probe is outstanding when the process is paused, and
+/// the first event after the pause is the overdue tick.
 #[test]
 fn an_overdue_tick_counts_no_probe_as_unanswered() {
     // Arrange
@@ -204,15 +202,14 @@
 
     // Assert
     assert!(probed);
-    let accuses = |output: &Output| matches!(output, Output::Changed(Fact::Node(_)));
-    assert!(!outputs.iter().any(accuses), "{outputs:?}");
+    let suspects = |output: &Output| matches!(output, Output::Changed(Fact::Node(_)));
+    assert!(!outputs.iter().any(suspects), "{outputs:?}");
 }
 
-/// Symptom: a node that was replaced at the same address stays dead, or looks like the old one.
-/// Sequence: a process dies and another starts at its address at once.
-/// Cause: nothing tells the two lives apart.
+/// Guards against a restarted node that stays dead or is taken for the old one. A process dies and
+/// another starts at its address at once; only the incarnation tells them apart.
 #[test]
-fn a_restart_at_the_same_address_is_a_new_life() {
+fn a_restart_at_the_same_address_is_a_new_incarnation() {
     // Arrange
     let mut fleet = settled(8, 5, 0);
 
@@ -231,11 +228,11 @@
     assert_eq!(newest, Some(Incarnation(2)));
 }
 
-/// Symptom: after the network has healed, two halves of the fleet never see each other again.
-/// Sequence: two regions lose each other for longer than lost nodes are remembered.
-/// Cause: each half has forgotten the addresses of the other, and probes only whom it knows.
+/// Guards against a fleet that stays split after a partition. Two regions are partitioned for
+/// longer than tombstones are kept, so neither holds the nodes of the other and would probe them no
+/// more.
 #[test]
-fn regions_apart_for_an_hour_find_each_other_again() {
+fn regions_partitioned_for_an_hour_rejoin() {
     // Arrange
     let mut fleet = settled(20, 6, 0);
 
@@ -253,9 +250,8 @@
     assert!(took_ms <= 30_000, "{took_ms} ms");
 }
 
-/// Symptom: some node still works with an old configuration many seconds after it was accepted.
-/// Sequence: a revision is accepted while one message in twenty is lost.
-/// Cause: a rumour that died out before it reached everybody.
+/// Guards against nodes that use an old configuration many seconds after a new one was accepted.
+/// With 5 % message loss, gossip alone can end before a fact has reached all nodes.
 #[parameterized(
     seed_one = { 1 },
     seed_two = { 2 },
@@ -274,11 +270,10 @@
     assert!(known.is_some());
 }
 
-/// Symptom: a configuration reverts, or a leaving target gets work again.
-/// Sequence: messages with older facts arrive late, through nodes that had not heard the news.
-/// Cause: the last message to arrive wins.
+/// Guards against a configuration that reverts and a leaving target that gets work again. Older
+/// facts arrive late, from nodes that did not have the newer ones; the last to arrive must not win.
 #[test]
-fn late_messages_never_take_a_fact_back() {
+fn late_messages_never_revert_a_fact() {
     // Arrange
     let mut fleet = settled(16, 8, 0);
     let leaving = target(1, InstanceState::Leaving, TargetFactSource::Refusal);
@@ -287,12 +282,12 @@
     fleet.observe(3, leaving.clone());
     fleet.run_until(fleet.now().plus(5_000));
 
-    // Act: the lagging list still calls the target live, and an old revision turns up.
+    // Act: the lagging list still shows the target as live, and an old revision arrives.
     fleet.observe(4, config(8));
     fleet.observe(5, target(1, InstanceState::Live, TargetFactSource::List));
     fleet.run_until(fleet.now().plus(5_000));
 
-    // Assert: on every node, at every change.
+    // Assert on every node, at every change.
     assert!(fleet.all_know(&config(9)));
     assert!(fleet.all_know(&leaving));
     for node in 0..16 {
@@ -309,16 +304,15 @@
     }
 }
 
-/// Symptom: control traffic grows with the fleet until it is all that a node does.
-/// Sequence: a calm minute at growing sizes.
-/// Cause: something is sent to everybody.
+/// Guards against control traffic that grows with the fleet, as it does when each node sends to all
+/// others. Measures one minute without changes at several sizes.
 #[parameterized(
     of_eight = { 8 },
     of_thirty_two = { 32 },
     of_a_hundred_and_twenty_eight = { 128 },
     of_three_hundred_and_twenty = { 320 },
 )]
-fn calm_control_traffic_is_far_below_the_budget_at_any_size(nodes: usize) {
+fn idle_control_traffic_is_far_below_the_budget_at_any_size(nodes: usize) {
     // Arrange
     let mut fleet = settled(nodes, 9, 0);
     fleet.run_until(fleet.now().plus(30_000));
@@ -327,18 +321,17 @@
     // Act
     fleet.run_until(fleet.now().plus(60_000));
 
-    // Assert: 2 KB a second and node are allowed in all; bytes sent and received both count.
+    // Assert: the budget is 2 KB per second and node in total, for bytes sent and received.
     let bytes = fleet.traffic().bytes - before.bytes;
     let per_node_s = bytes / 60 / nodes as u64;
     assert!(per_node_s <= 400, "{per_node_s} bytes a second and node");
 }
 
-/// Symptom: at a loss of one message in twenty, live nodes are suspected again and again, and each
-/// suspicion and its refutation travels to everybody.
-/// Sequence: a probe or its answer is lost, and so are the ways round.
-/// Cause: too few ways round for the size of the fleet.
+/// Guards against repeated suspicions of live nodes at 5 % message loss, each of which is sent to
+/// all nodes with its refutation. A probe or its answer is lost, and so are all indirect probes;
+/// with too few of them this happens often in a large fleet.
 #[test]
-fn loss_of_one_message_in_twenty_makes_few_false_suspicions_and_no_death() {
+fn five_percent_loss_causes_few_false_suspicions_and_no_false_death() {
     // Arrange
     let mut fleet = VirtualFleet::open(320, 11, 5);
     fleet.run_until(UnixMs(30_000));
@@ -347,11 +340,11 @@
     // Act
     fleet.run_until(since.plus(60_000));
 
-    // Assert: as one node hears of them.
-    let heard = |state: NodeState| {
+    // Assert on the changes that one node receives.
+    let received = |state: NodeState| {
         let changes = fleet.changes(0).iter().filter(|(at, _)| *at > since);
         changes.filter(|(_, f)| matches!(f, Fact::Node(node) if node.state == state)).count()
     };
-    assert!(heard(NodeState::Suspect) <= 6, "{} suspicions", heard(NodeState::Suspect));
-    assert_eq!(heard(NodeState::Gone), 0);
+    assert!(received(NodeState::Suspect) <= 6, "{} suspicions", received(NodeState::Suspect));
+    assert_eq!(received(NodeState::Gone), 0);
 }
--- a/tests/all/platform_parsers.rs
+++ b/tests/all/platform_parsers.rs
@@ -1,4 +1,4 @@
-//! What comes from outside is read without a panic, whatever it is.
+//! Input from outside is decoded without a panic, whatever it holds.
 
 use catkinmast_adapter::UsersPlatform;
 use catkinmast_dispatch::StreamEvent;
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// A submission as a trainer sends it.
+/// Returns a submission as a trainer sends it.
 fn submission() -> Value {
     json!({
         "step": 7, "model": "m", "minVersion": 6, "targetGroups": 12,
@@ -27,7 +27,7 @@
     })
 }
 
-/// JSON values of every shape that a field could be given.
+/// Generates JSON values of every type that a field could have.
 fn any_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -42,7 +42,7 @@
     ]
 }
 
-/// Puts a value at the field with this number, counted through the whole tree.
+/// Replaces the field with this number, counted depth-first through the tree.
 fn replace(tree: &mut Value, number: &mut usize, value: &Value) {
     let children: Vec<&mut Value> = match tree {
         Value::Object(fields) => fields.values_mut().collect(),
@@ -63,14 +63,14 @@
     }
 }
 
-/// Values of a JSON type other than this one's.
+/// Returns a predicate for values of a JSON type other than that of `value`.
 fn of_another_type(value: &Value) -> impl Fn(&Value) -> bool {
     let kind = std::mem::discriminant(value);
     move |other| std::mem::discriminant(other) != kind
 }
 
-fn read_everything(bytes: &[u8]) {
-    // Whether it can be read does not matter here, only that trying does no harm.
+fn decode_with_all_parsers(bytes: &[u8]) {
+    // Whether decoding succeeds does not matter here, only that it does not panic.
     drop(UsersPlatform::submission(bytes));
     drop(UsersPlatform::target_entry("servers/t", bytes));
     drop(UsersPlatform::report(bytes));
@@ -91,56 +91,60 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn random_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        read_everything(&bytes);
+    fn random_bytes_are_decoded_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        decode_with_all_parsers(&bytes);
     }
 
     #[test]
-    fn a_field_of_any_shape_does_no_harm(number in 0..24_usize, value in any_value()) {
+    fn a_field_of_any_type_is_decoded_without_panic(number in 0..24_usize, value in any_value()) {
         for mut tree in [submission(), target(), json!({ "items": [target()], "asOf": 4 })] {
             replace(&mut tree, &mut number.clone(), &value);
-            read_everything(tree.to_string().as_bytes());
+            decode_with_all_parsers(tree.to_string().as_bytes());
         }
     }
 
-    // Symptom: work goes to something that is no worker.
-    // Sequence: another program writes under the workers' keys, with a field missing or of another
-    // type, or a state that no worker has.
-    // Cause: what is not there was given a value of ours.
+    // Guards against work sent to something that is not a worker. Another program writes under the
+    // workers' prefix, with a field missing or of another type, or with an unknown state; a default
+    // for the missing field would make a target of it.
     #[test]
-    fn an_entry_with_a_field_missing_or_of_another_type_names_no_target(
+    fn an_entry_with_a_field_missing_or_of_another_type_is_refused(
         field in prop::sample::select(vec![
             "address", "born", "coldLeftMs", "seq", "service", "slots", "state", "version", "zone",
         ]),
         value in any_value(),
         state in "[a-z]{0,9}",
     ) {
-        let whole = target();
-        prop_assert!(UsersPlatform::target_entry("servers/t", whole.to_string().as_bytes()).is_ok());
-        let mut without = whole.clone();
+        let valid = target();
+        prop_assert!(UsersPlatform::target_entry("servers/t", valid.to_string().as_bytes()).is_ok());
+        let mut without = valid.clone();
         without.as_object_mut().expect("an object").remove(field);
-        let mut other_type = whole.clone();
+        let mut other_type = valid.clone();
         other_type[field] = value.clone();
-        let mut other_state = whole.clone();
+        let mut other_state = valid.clone();
         other_state["state"] = json!(state);
 
-        let read = |entry: &Value| UsersPlatform::target_entry("servers/t", entry.to_string().as_bytes());
+        let decode = |entry: &Value| {
+            UsersPlatform::target_entry("servers/t", entry.to_string().as_bytes())
+        };
 
-        // Workers of earlier software do not tell their start.
-        prop_assert_eq!(read(&without).is_err(), field != "born");
-        if of_another_type(&whole[field])(&value) {
-            prop_assert!(read(&other_type).is_err(), "{field}: {value}");
+        // Workers with earlier software do not write their start time.
+        prop_assert_eq!(decode(&without).is_err(), field != "born");
+        if of_another_type(&valid[field])(&value) {
+            prop_assert!(decode(&other_type).is_err(), "{field}: {value}");
         }
         let known = ["ready", "draining"].contains(&state.as_str());
-        prop_assert_eq!(read(&other_state).is_ok(), known);
+        prop_assert_eq!(decode(&other_state).is_ok(), known);
     }
 
     #[test]
-    fn headers_of_any_text_do_no_harm(text in "[ -~]{0,40}", path in "/[-a-z0-9/?=&.%]{0,40}") {
+    fn headers_of_any_text_are_decoded_without_panic(
+        text in "[ -~]{0,40}",
+        path in "/[-a-z0-9/?=&.%]{0,40}",
+    ) {
         let mut headers = HeaderMap::new();
         for name in ["x-catkinmast-deadline-ms", "x-catkinmast-request-id",
                      "x-catkinmast-weight-versions", "x-catkinmast-wait-ms"] {
-            let value = HeaderValue::from_str(&text).expect("printable text is a value");
+            let value = HeaderValue::from_str(&text).expect("printable text is a header value");
             headers.insert(HeaderName::from_static(name), value);
         }
         drop(UsersPlatform::caller_terms(&headers));
@@ -157,26 +161,31 @@
 }
 
 #[test]
-fn a_submission_is_read_as_it_was_sent() {
-    let read = UsersPlatform::submission(submission().to_string().as_bytes()).expect("it is sound");
-
-    assert_eq!((read.step, read.oldest_version, read.target_groups), (Some(7), 6, Some(12)));
-    assert_eq!(read.work_tokens(), 120, "the caller's estimate");
-    assert_eq!(read.items[0].reward.as_ref().map(|reward| reward.id.as_str()), Some("s0"));
+fn a_submission_is_decoded_as_sent() {
+    let decoded =
+        UsersPlatform::submission(submission().to_string().as_bytes()).expect("a valid submission");
+
+    assert_eq!(
+        (decoded.step, decoded.oldest_version, decoded.target_groups),
+        (Some(7), 6, Some(12))
+    );
+    assert_eq!(decoded.work_tokens(), 120, "the length hint of the caller");
+    assert_eq!(decoded.items[0].reward.as_ref().map(|reward| reward.id.as_str()), Some("s0"));
 }
 
 #[test]
-fn a_submission_with_a_wrong_field_is_refused_by_its_name() {
-    let mut wrong = submission();
-    wrong["items"][0]["tokens"] = json!("many");
+fn a_submission_with_a_field_of_another_type_is_refused_with_its_value() {
+    let mut invalid = submission();
+    invalid["items"][0]["tokens"] = json!("many");
 
-    let error = UsersPlatform::submission(wrong.to_string().as_bytes()).expect_err("it is wrong");
+    let error = UsersPlatform::submission(invalid.to_string().as_bytes())
+        .expect_err("an invalid submission");
 
     assert!(error.to_string().contains("many"), "{error}");
 }
 
 #[test]
-fn a_conflict_that_cannot_be_read_is_no_success() {
+fn an_unreadable_conflict_is_not_a_success() {
     let call = StoreCall::Transaction { deletes: vec![], expected: vec![], puts: vec![] };
 
     let answer = UsersPlatform::store_answer(&call, 412, b"{}");
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -1,8 +1,8 @@
-//! Scripts under `tests/scenarios` against the pure aggregates, in virtual time.
+//! Runs the scripts under `tests/scenarios` against the pure types, in virtual time.
 //!
-//! One generic runner for all of them: each command names an aggregate, the time and an event, and
-//! prints what the aggregate decides. Expected output stands beneath each block, in the script
-//! itself; `UPDATE_GOLDENFILES=1` writes it anew.
+//! One runner serves all scripts: each command names a type, an event and usually the time, and
+//! prints the resulting decision. The expected output follows each block in the script;
+//! `UPDATE_GOLDENFILES=1` rewrites it.
 
 use catkinmast_config::{
     CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, ObservedHead,
@@ -44,7 +44,7 @@
 
 type Output = Result<String, Box<dyn Error>>;
 
-/// One of each aggregate, as the commands need them.
+/// One instance of each type under test.
 struct Runner {
     admission: Admission,
     budget: RetryBudget,
@@ -86,8 +86,8 @@
     }
 }
 
-/// Takes a named argument.
-fn need<T: FromStr<Err: Error + 'static>>(
+/// Takes and parses the named argument `key`.
+fn take_required<T: FromStr<Err: Error + 'static>>(
     args: &mut ArgumentConsumer<'_>,
     key: &str,
 ) -> Result<T, Box<dyn Error>> {
@@ -95,8 +95,8 @@
     Ok(text.parse()?)
 }
 
-fn at(args: &mut ArgumentConsumer<'_>) -> Result<UnixMs, Box<dyn Error>> {
-    Ok(UnixMs(need(args, "at")?))
+fn take_time(args: &mut ArgumentConsumer<'_>) -> Result<UnixMs, Box<dyn Error>> {
+    Ok(UnixMs(take_required(args, "at")?))
 }
 
 impl goldenscript::Runner for Runner {
@@ -122,12 +122,12 @@
     }
 }
 
-fn event_of<'a>(args: &mut ArgumentConsumer<'a>) -> Result<&'a str, Box<dyn Error>> {
+fn take_positional<'a>(args: &mut ArgumentConsumer<'a>) -> Result<&'a str, Box<dyn Error>> {
     args.next_pos().ok_or_else(|| "an event is missing".into())
 }
 
 fn select(args: &mut ArgumentConsumer<'_>) -> Output {
-    let text = event_of(args)?.to_owned();
+    let text = take_positional(args)?.to_owned();
     let mut labels = Labels::default();
     while let Some((key, value)) = args.next_key() {
         labels = labels.with(key, value);
@@ -149,7 +149,7 @@
     }
 
     fn check(&self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let text = self.read(event_of(args)?)?;
+        let text = self.read(take_positional(args)?)?;
         Ok(match Document::parse(&text) {
             Ok(document) => format!("no faults: {}\n", document.deployment),
             Err(faults) => format!("{faults}\n"),
@@ -157,13 +157,14 @@
     }
 
     fn compare(&self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let (old, new) = (self.read(event_of(args)?)?, self.read(event_of(args)?)?);
+        let (old, new) = (self.read(take_positional(args)?)?, self.read(take_positional(args)?)?);
         Ok(lines(&diff(&old, &new), ""))
     }
 
     fn merge(&self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let base = self.read(event_of(args)?)?;
-        let (ours, theirs) = (self.read(event_of(args)?)?, self.read(event_of(args)?)?);
+        let base = self.read(take_positional(args)?)?;
+        let (ours, theirs) =
+            (self.read(take_positional(args)?)?, self.read(take_positional(args)?)?);
         Ok(match merge(&base, &ours, &theirs) {
             Ok(merged) => lines(&diff(&base, &merged), ""),
             Err(collisions) => lines(&collisions, "collides: "),
@@ -171,12 +172,12 @@
     }
 
     fn lease(&mut self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let event = event_of(args)?.to_owned();
-        let now = at(args)?;
+        let event = take_positional(args)?.to_owned();
+        let now = take_time(args)?;
         let mut output = String::new();
         match event.as_str() {
             "tick" => {
-                let wanted = need(args, "wanted")?;
+                let wanted = take_required(args, "wanted")?;
                 let (action, change) = self.tenure.tick(now, wanted);
                 writeln!(output, "action {action:?}, change {change:?}")?;
             }
@@ -186,8 +187,10 @@
             }
             report => {
                 let report = match report {
-                    "taken" => Report::Taken(Fence(need(args, "fence")?)),
-                    "read-mine" => Report::Read(Some((holder(), Fence(need(args, "fence")?)))),
+                    "taken" => Report::Taken(Fence(take_required(args, "fence")?)),
+                    "read-mine" => {
+                        Report::Read(Some((holder(), Fence(take_required(args, "fence")?))))
+                    }
                     "read-none" => Report::Read(None),
                     "refused" => Report::Refused,
                     "renewed" => Report::Renewed,
@@ -201,18 +204,21 @@
     }
 
     fn follower(&mut self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let event = event_of(args)?.to_owned();
-        let now = at(args)?;
+        let event = take_positional(args)?.to_owned();
+        let now = take_time(args)?;
         let digest = |revision: u64| Digest::of(&format!("document {revision}"));
         let event = match event.as_str() {
-            "tick" => {
-                FollowerEvent::Tick { peers: need(args, "peers")?, watches: need(args, "watches")? }
-            }
+            "tick" => FollowerEvent::Tick {
+                peers: take_required(args, "peers")?,
+                watches: take_required(args, "watches")?,
+            },
             "announced" => {
-                let revision = need(args, "revision")?;
+                let revision = take_required(args, "revision")?;
                 FollowerEvent::Announced { digest: digest(revision), revision: Revision(revision) }
             }
-            "body" => FollowerEvent::BodyFetched { revision: Revision(need(args, "revision")?) },
+            "body" => {
+                FollowerEvent::BodyFetched { revision: Revision(take_required(args, "revision")?) }
+            }
             "body-missing" => FollowerEvent::BodyMissing,
             "head" | "watch-ended" => {
                 let head = args.take_key("revision").map(str::parse::<u64>).transpose()?;
@@ -224,14 +230,14 @@
                 if event == "head" {
                     FollowerEvent::HeadRead(head)
                 } else {
-                    FollowerEvent::WatchEnded { head, worked: need(args, "worked")? }
+                    FollowerEvent::WatchEnded { head, worked: take_required(args, "worked")? }
                 }
             }
             "head-unavailable" => FollowerEvent::HeadUnavailable,
             "peers" => {
                 let newest = args.take_key("revision").map(str::parse::<u64>).transpose()?;
                 let newest = newest.map(|revision| (Revision(revision), digest(revision)));
-                FollowerEvent::PeersAnswered { answers: need(args, "answers")?, newest }
+                FollowerEvent::PeersAnswered { answers: take_required(args, "answers")?, newest }
             }
             other => return Err(format!("unknown event '{other}'").into()),
         };
@@ -255,9 +261,9 @@
     }
 
     fn ticket(&mut self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let event = event_of(args)?.to_owned();
-        let text = event_of(args)?.to_owned();
-        let now = if event == "begin" { at(args)? } else { UnixMs(0) };
+        let event = take_positional(args)?.to_owned();
+        let text = take_positional(args)?.to_owned();
+        let now = if event == "begin" { take_time(args)? } else { UnixMs(0) };
         let ticket: Ticket = match text.parse() {
             Ok(ticket) => ticket,
             Err(error) => return Ok(format!("{error}\n")),
@@ -268,7 +274,7 @@
                 other => format!("{other:?}\n"),
             },
             "answered" => {
-                let status = need(args, "status")?;
+                let status = take_required(args, "status")?;
                 let body = Some(b"answer".to_vec());
                 let answer = RecordedAnswer { body, content_type: None, status };
                 self.tickets.record_answer(&ticket, answer);
@@ -287,19 +293,19 @@
     }
 
     fn admission(&mut self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let event = event_of(args)?.to_owned();
-        let who = event_of(args)?.to_owned();
-        let now = at(args)?;
+        let event = take_positional(args)?.to_owned();
+        let who = take_positional(args)?.to_owned();
+        let now = take_time(args)?;
         let mut output = String::new();
         let dequeued = match event.as_str() {
             "arrive" => {
-                let class = match need::<String>(args, "class")?.as_str() {
+                let class = match take_required::<String>(args, "class")?.as_str() {
                     "lookup" => CallClass::Lookup,
                     "act" => CallClass::Act,
                     "rollout" => CallClass::Rollout,
                     _ => CallClass::Audit,
                 };
-                let deadline = UnixMs(need(args, "deadline")?);
+                let deadline = UnixMs(take_required(args, "deadline")?);
                 let (admitted, dequeued) = self.admission.arrive(now, "workspace", class, deadline);
                 match admitted {
                     catkinmast_route::AdmissionDecision::Admitted => {
@@ -319,7 +325,7 @@
                 }
                 dequeued
             }
-            "finish" => self.admission.finish(now, "workspace", need(args, "service-us")?),
+            "finish" => self.admission.finish(now, "workspace", take_required(args, "service-us")?),
             "expire" => self.admission.expire(now),
             other => return Err(format!("unknown event '{other}'").into()),
         };
@@ -339,8 +345,8 @@
     }
 
     fn budget(&mut self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let event = event_of(args)?.to_owned();
-        let times: u32 = need(args, "times")?;
+        let event = take_positional(args)?.to_owned();
+        let times: u32 = take_required(args, "times")?;
         Ok(match event.as_str() {
             "attempts" => {
                 (0..times).for_each(|_| self.budget.first_attempt());
@@ -355,12 +361,12 @@
     }
 
     fn targets(&mut self, args: &mut ArgumentConsumer<'_>) -> Output {
-        let event = event_of(args)?.to_owned();
-        let now = at(args)?;
+        let event = take_positional(args)?.to_owned();
+        let now = take_time(args)?;
         let all: Vec<Name> = ["a", "b", "c", "d"].iter().map(|text| name(text)).collect();
         match event.as_str() {
             "pick" => {
-                let times: u32 = need(args, "times")?;
+                let times: u32 = take_required(args, "times")?;
                 let mut counts: IndexMap<String, u32> = IndexMap::new();
                 for _ in 0..times {
                     match self.targets.pick(now, &all, 64, &mut self.rng) {
@@ -379,8 +385,8 @@
                 Ok(output)
             }
             "finish" => {
-                let target = need::<String>(args, "target")?;
-                let outcome = match need::<String>(args, "outcome")?.as_str() {
+                let target = take_required::<String>(args, "target")?;
+                let outcome = match take_required::<String>(args, "outcome")?.as_str() {
                     "failed" => Outcome::Failed,
                     "overloaded" => Outcome::Overloaded,
                     text => Outcome::Answered { latency_us: text.parse()? },
--- a/tests/all/site/bad_input.rs
+++ b/tests/all/site/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input: a clear answer or a close, bounded memory, and the node serves on.
+//! Bad input gets an error status or a closed connection, uses bounded memory, and does not stop
+//! the node from serving.
 
 use super::harness::{CHANGE_BOUND_MS, HOST, Site, settings};
 use std::io::{Read, Write};
@@ -8,7 +9,7 @@
 fn exchange(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
-    // A node may close before it has read all; what it answered counts.
+    // A node may close the connection before it has read everything; only its answer matters.
     let _closed_early = stream.write_all(bytes);
     let _closed_early = stream.shutdown(std::net::Shutdown::Write);
     let mut answer = Vec::new();
@@ -25,7 +26,7 @@
     batch_not_json = { b"POST /rollout/a HTTP/1.1\r\nHost: site.example\r\nX-Catkinmast-Request-Id: b1\r\nContent-Length: 3\r\nConnection: close\r\n\r\n{{{".to_vec(), "400" },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn what_is_no_request_is_refused_and_reaches_no_target(bytes: Vec<u8>, status: &str) {
+async fn malformed_requests_are_refused_and_reach_no_target(bytes: Vec<u8>, status: &str) {
     let site = Site::start(1, 1, 1).await;
     let address = site.nodes[0].callers;
 
@@ -37,15 +38,15 @@
         "answered {answer:?}"
     );
     assert!(site.runs.all().is_empty(), "no target was asked");
-    let sound = site.call(&site.nodes[0], "/lookup/a", "q2").await.expect("an answer");
-    assert_eq!(sound.status(), 200);
+    let valid = site.call(&site.nodes[0], "/lookup/a", "q2").await.expect("an answer");
+    assert_eq!(valid.status(), 200);
 }
 
-// Symptom: a target runs a request that no caller sent.
-// Sequence: a caller frames its body both by length and in chunks, with a request inside it.
-// Cause: the node and the target disagree about where the body ends.
+// Guards against request smuggling. A caller sends a body with both Content-Length and chunked
+// encoding that contains a second request; if the node and the target disagree about where the body
+// ends, the target runs the second request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_inside_a_body_never_runs() {
+async fn a_request_smuggled_in_a_body_never_runs() {
     let site = Site::start(1, 0, 1).await;
     let inner = "POST /lookup/x HTTP/1.1\r\nHost: site.example\r\nX-Catkinmast-Request-Id: \
                  smuggled\r\nContent-Length: 0\r\n\r\n";
@@ -77,7 +78,7 @@
     assert!(site.runs.all().is_empty());
 }
 
-/// Starts a node whose settings are wrong; returns what it writes as it ends.
+/// Starts a node with invalid settings; returns what it writes to standard error.
 fn error_at_start(settings: &std::path::Path) -> String {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_catkinmast-front"))
         .env("CATKINMAST_BOOT", settings)
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_settings_file_that_is_wrong_is_named_with_its_value() {
+fn an_invalid_settings_file_is_named_with_the_problem() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("settings.toml");
     std::fs::write(&path, "node = \"n\"\nportRange = [9, 3]\n").expect("the file is written");
--- a/tests/all/site/standby.rs
+++ b/tests/all/site/standby.rs
@@ -1,15 +1,16 @@
-//! The node that would follow an owner holds copies of its batches, for outages of the store.
+//! Standby copies: the node that would take over an owner's batches holds copies of them, so that
+//! they run on during an outage of the store.
 
 use super::harness::{Site, complete_output, submission, until};
 use super::store::Door;
 use std::time::Duration;
 
-/// The time in which texts that last are copied: those of a second's age, every 0.6 s.
-const TEXTS_COPIED: Duration = Duration::from_secs(2);
-/// The time in which a copy arrives, with much to spare.
-const COPIED: Duration = Duration::from_millis(500);
+/// Time in which long generated outputs are copied: those older than a second, every 0.6 s.
+const OUTPUT_COPY_TIME: Duration = Duration::from_secs(2);
+/// Time in which a copy arrives, with a large margin.
+const COPY_TIME: Duration = Duration::from_millis(500);
 
-fn set_doors(site: &Site, door: Door) {
+fn set_store_endpoints(site: &Site, door: Door) {
     site.nodes.iter().for_each(|node| site.store.set_door(node.store_endpoint, door));
 }
 
@@ -25,9 +26,9 @@
     (site, owner, others)
 }
 
-async fn until_seen_gone(site: &Site, by: &[usize]) {
+async fn until_gone_to_all(site: &Site, by: &[usize]) {
     for other in by {
-        until("the owner is seen gone", || async {
+        until("the owner is gone to the other nodes", || async {
             let seen = site.nodes[*other].lines("node_seen");
             seen.iter().any(|line| line["state"] == "gone").then_some(())
         })
@@ -35,57 +36,61 @@
     }
 }
 
-// Symptom: a step whose owner dies during an outage of the store stands still until the outage is over.
-// Sequence: the store is away, the owner is killed; nobody can take its batch.
-// Cause: runs wait for an owner, although they need none.
+// Guards against a step that stalls when its owner dies during an outage of the store. No node can
+// take over the batch until the store returns, but its items can run without an owner.
 #[yare::parameterized(
     refusing = { Door::Refuses },
     silent = { Door::Silent },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn items_of_a_dead_owners_batch_run_on_while_the_store_is_away(away: Door) {
+async fn items_of_a_dead_owner_run_on_during_a_store_outage(outage: Door) {
     let (site, owner, others) = site_with_batch(50, 120).await;
-    tokio::time::sleep(TEXTS_COPIED).await;
+    tokio::time::sleep(OUTPUT_COPY_TIME).await;
 
-    set_doors(&site, away);
+    set_store_endpoints(&site, outage);
     site.nodes[owner].signal("KILL");
-    until_seen_gone(&site, &others).await;
+    until_gone_to_all(&site, &others).await;
 
     until("all items run again while the store is away", || async {
         (0..6).all(|item| site.runs.of(&format!("b1i{item}")).len() >= 2).then_some(())
     })
     .await;
-    tokio::time::sleep(COPIED).await;
+    tokio::time::sleep(COPY_TIME).await;
     for other in &others {
-        assert!(site.nodes[*other].lines("batch_taken_over").is_empty(), "nobody can own it yet");
-        assert!(site.nodes[*other].lines("results_listed").is_empty(), "nothing is listed");
+        assert!(
+            site.nodes[*other].lines("batch_taken_over").is_empty(),
+            "no node can own the batch yet"
+        );
+        assert!(site.nodes[*other].lines("results_listed").is_empty(), "no results are listed");
     }
-    set_doors(&site, Door::Open);
+    set_store_endpoints(&site, Door::Open);
     let results = site.read_all(&site.nodes[others[0]], "b1", 6).await;
     for result in results {
         let item = result["id"].as_str().expect("an id");
         assert_eq!(result["text"], complete_output(item, 120));
     }
     let interim = others.iter().flat_map(|node| site.nodes[*node].lines("batch_run_in_interim"));
-    let texts = interim.filter_map(|line| line["resumed"].as_u64()).max();
-    assert!(texts > Some(0), "texts that the owner had begun go on: {texts:?}");
+    let resumed_outputs = interim.filter_map(|line| line["resumed"].as_u64()).max();
+    assert!(
+        resumed_outputs > Some(0),
+        "output that the owner had begun is continued: {resumed_outputs:?}"
+    );
     let resumed = site.runs.all().iter().filter(|run| run.after > 0).count();
-    assert!(resumed > 0, "the new owner goes on from the texts that were run meanwhile");
+    assert!(resumed > 0, "the new owner continues from the output generated meanwhile");
 }
 
-// Symptom: items run although their batch was ended.
-// Sequence: a batch is ended; later its owner dies while the store is away.
-// Cause: the copy outlives its batch.
+// Guards against items that run although their batch has ended. A batch is ended, and later its
+// owner dies during an outage of the store; a copy that outlives its batch would be run.
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_runs_of_a_copy_whose_batch_was_ended() {
+async fn a_copy_of_an_ended_batch_never_runs() {
     let (site, owner, others) = site_with_batch(100, 80).await;
-    tokio::time::sleep(COPIED).await;
+    tokio::time::sleep(COPY_TIME).await;
     assert_eq!(site.end(&site.nodes[0], "b1").await, 200);
     let ran = site.runs.all().len();
 
-    set_doors(&site, Door::Refuses);
+    set_store_endpoints(&site, Door::Refuses);
     site.nodes[owner].signal("KILL");
-    until_seen_gone(&site, &others).await;
+    until_gone_to_all(&site, &others).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     assert_eq!(site.runs.all().len(), ran);
@@ -94,33 +99,34 @@
     }
 }
 
-// Symptom: results that were ready during an outage are listed a second and more after the store's
-// return.
-// Sequence: the store falls silent while a batch runs; it returns while the write of results waits.
-// Cause: a call to a silent store is only made again when it counts as lost.
+// Guards against results that are listed a second or more after the store returns. The store stops
+// answering while a batch runs and returns while the write of results waits; a call that is
+// repeated only once it counts as lost is late.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_waits_for_the_store_is_asked_again_as_it_returns() {
+async fn waiting_store_calls_are_repeated_when_the_store_returns() {
     let site = Site::start(3, 3, 1).await;
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", 6, 100, 1)).await, 202);
     let owner = &site.nodes[site.owner_of("b1").await];
-    set_doors(&site, Door::Silent);
+    set_store_endpoints(&site, Door::Silent);
     until("the outage is noticed", || async {
         site.nodes.iter().all(|node| !node.lines("store_lost").is_empty()).then_some(())
     })
     .await;
-    until("all texts are whole", || async { (owner.lines("item_run").len() == 6).then_some(()) })
-        .await;
+    until("all outputs are complete", || async {
+        (owner.lines("item_run").len() == 6).then_some(())
+    })
+    .await;
 
-    set_doors(&site, Door::Open);
+    set_store_endpoints(&site, Door::Open);
 
-    // At the owner, or at a peer that makes the call for it.
-    until("a call that waits is made again", || async {
+    // The owner or a peer that makes the call for it repeats the call.
+    until("a waiting call is repeated", || async {
         site.nodes.iter().any(|node| !node.lines("store_call_again").is_empty()).then_some(())
     })
     .await;
     assert_eq!(site.read_all(&site.nodes[0], "b1", 6).await.len(), 6);
-    // What the outage took with it counts as lost by then, and must not be taken for another one; a
-    // busy machine may add one of its own.
+    // By then, calls lost in the outage have timed out and must not count as another outage; a busy
+    // machine may cause one more.
     tokio::time::sleep(Duration::from_secs(2)).await;
     for node in &site.nodes {
         assert!(node.lines("store_lost").len() <= 2, "{:?}", node.lines("store_lost"));
@@ -128,9 +134,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_word_that_the_store_is_back_is_no_answer_of_it() {
+async fn a_report_that_the_store_is_back_is_not_taken_as_its_answer() {
     let site = Site::start(4, 0, 1).await;
-    set_doors(&site, Door::Silent);
+    set_store_endpoints(&site, Door::Silent);
     until("the outage is noticed", || async {
         site.nodes.iter().all(|node| !node.lines("store_lost").is_empty()).then_some(())
     })
@@ -145,28 +151,28 @@
         others.iter().all(|node| !node.lines("store_regained").is_empty()).then_some(())
     })
     .await;
-    // The trail is written a quarter of a second late.
+    // The event log is written a quarter of a second late.
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(cut_off.lines("store_regained"), Vec::<serde_json::Value>::new());
 }
 
-// Symptom: a step ends up to a second after its owner's successor could own its batch.
-// Sequence: all items are run and scored while the store is away; it returns.
-// Cause: only the texts are kept, and each score is asked for again.
+// Guards against a step that ends up to a second late after an outage of the store. All items are
+// run and scored during the outage; if only the generated output is kept, the new owner requests
+// each score again.
 #[tokio::test(flavor = "multi_thread")]
-async fn results_that_were_scored_meanwhile_are_not_scored_again() {
+async fn results_scored_during_an_outage_are_not_scored_again() {
     let (site, owner, others) = site_with_batch(50, 40).await;
-    tokio::time::sleep(COPIED).await;
+    tokio::time::sleep(COPY_TIME).await;
 
-    set_doors(&site, Door::Refuses);
+    set_store_endpoints(&site, Door::Refuses);
     site.nodes[owner].signal("KILL");
     let rewards: Vec<String> = (0..6).map(|item| format!("b1r{item}")).collect();
     until("all items are scored", || async {
         rewards.iter().all(|reward| !site.runs.of(reward).is_empty()).then_some(())
     })
     .await;
-    tokio::time::sleep(COPIED).await;
-    set_doors(&site, Door::Open);
+    tokio::time::sleep(COPY_TIME).await;
+    set_store_endpoints(&site, Door::Open);
 
     assert_eq!(site.read_all(&site.nodes[others[0]], "b1", 6).await.len(), 6);
     for reward in rewards {
