--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -5,7 +5,7 @@
 use crate::feed::{self, Subject};
 use crate::metrics::count;
 use crate::node::Node;
-use crate::platform::{AnswerMarks, Platform, RequestMarks};
+use crate::platform::{AnswerMarks, Platform, TargetRequestMetadata};
 use crate::pool::{CallError, Connection, read_body};
 use crate::usage::Counted;
 use bytes::Bytes;
@@ -228,7 +228,7 @@
         .uri(outgoing.path.as_str())
         .body(Full::new(outgoing.body.clone()))?;
     *request.headers_mut() = outgoing.headers.clone();
-    let marks = RequestMarks {
+    let marks = TargetRequestMetadata {
         deadline_ms: Some(outgoing.deadline_at.since_ms(clock::now())),
         expected_target: Some(&chosen.id),
         last_event_id: outgoing.last_event_id,
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -39,7 +39,7 @@
 
 pub use platform::{
     AnswerMarks, BatchCall, CallerTerms, DecodeError, DutyCall, DutyRequest, EngineReport,
-    OperatorNotice, OrderCall, Platform, RequestMarks, StoreRequest,
+    OperatorNotice, OrderCall, Platform, StoreRequest, TargetRequestMetadata,
 };
 pub use process::{run_front, run_standby};
 pub use settings::{DutySettings, Settings, SettingsError};
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -322,9 +322,9 @@
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
         .map_err(|error| CallError { message: error.to_string(), verdict: Verdict::NotRun })?;
-    let marks = crate::platform::RequestMarks {
+    let marks = crate::platform::TargetRequestMetadata {
         expected_target: Some(&chosen.id),
-        ..crate::platform::RequestMarks::default()
+        ..crate::platform::TargetRequestMetadata::default()
     };
     P::mark_request(request.headers_mut(), &marks);
     let exchange = async {
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -91,7 +91,7 @@
 
 /// What we say of a request to its target.
 #[derive(Clone, Debug, Default)]
-pub struct RequestMarks<'a> {
+pub struct TargetRequestMetadata<'a> {
     /// What is left of the caller's time.
     pub deadline_ms: Option<u64>,
     /// The only target that may run it.
@@ -250,7 +250,7 @@
     fn page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
 
     /// Marks a request to a target.
-    fn mark_request(headers: &mut HeaderMap, marks: &RequestMarks<'_>);
+    fn mark_request(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
 
     /// Reads what a target says of its answer.
     fn answer_marks(headers: &HeaderMap) -> AnswerMarks;
