--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -5,7 +5,7 @@
 use crate::feed::{self, Subject};
 use crate::metrics::count;
 use crate::node::Node;
-use crate::platform::{AnswerMarks, Platform, TargetRequestMetadata};
+use crate::platform::{Platform, TargetRequestMetadata, TargetResponseMetadata};
 use crate::pool::{CallError, Connection, read_body};
 use crate::usage::Counted;
 use bytes::Bytes;
@@ -93,7 +93,7 @@
 pub(crate) struct CompleteAnswer {
     pub body: Bytes,
     pub headers: HeaderMap,
-    pub marks: AnswerMarks,
+    pub marks: TargetResponseMetadata,
     pub status: StatusCode,
 }
 
@@ -200,7 +200,7 @@
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
-) -> Result<(Response<Incoming>, Connection, AnswerMarks), AttemptFailure> {
+) -> Result<(Response<Incoming>, Connection, TargetResponseMetadata), AttemptFailure> {
     crashes::admit(node, outgoing).await?;
     let request = written::<P>(chosen, outgoing)
         .map_err(|error| AttemptFailure::not_run(Cause::Other, error.to_string()))?;
@@ -240,7 +240,10 @@
 }
 
 /// What a refusing answer says, if it is one: the target did not run the request.
-pub(crate) fn refusal(status: StatusCode, marks: &AnswerMarks) -> Option<AttemptFailure> {
+pub(crate) fn refusal(
+    status: StatusCode,
+    marks: &TargetResponseMetadata,
+) -> Option<AttemptFailure> {
     let moved = status == StatusCode::MISDIRECTED_REQUEST;
     let cause = if moved { Cause::Other } else { Cause::Full };
     (marks.not_run || moved)
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -38,8 +38,8 @@
 mod wait_queue;
 
 pub use platform::{
-    AnswerMarks, BatchCall, CallerTerms, DecodeError, DutyCall, DutyRequest, EngineReport,
-    OperatorNotice, OrderCall, Platform, StoreRequest, TargetRequestMetadata,
+    BatchCall, CallerTerms, DecodeError, DutyCall, DutyRequest, EngineReport, OperatorNotice,
+    OrderCall, Platform, StoreRequest, TargetRequestMetadata, TargetResponseMetadata,
 };
 pub use process::{run_front, run_standby};
 pub use settings::{DutySettings, Settings, SettingsError};
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -106,7 +106,7 @@
 
 /// What a target says of its answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerMarks {
+pub struct TargetResponseMetadata {
     /// Whether the target says that the request did not run.
     pub not_run: bool,
     /// The request that it answers.
@@ -253,7 +253,7 @@
     fn mark_request(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
 
     /// Reads what a target says of its answer.
-    fn answer_marks(headers: &HeaderMap) -> AnswerMarks;
+    fn answer_marks(headers: &HeaderMap) -> TargetResponseMetadata;
 
     /// Reads the version that an event says it was produced by.
     fn event_version(event: &StreamEvent) -> Option<u64>;
