--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -235,7 +235,7 @@
         request_id: outgoing.request_id.as_deref(),
         workspace: outgoing.workspace.as_deref(),
     };
-    P::mark_request(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &marks);
     Ok(request)
 }
 
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -326,7 +326,7 @@
         expected_target: Some(&chosen.id),
         ..crate::platform::TargetRequestMetadata::default()
     };
-    P::mark_request(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &marks);
     let exchange = async {
         let (response, connection) = node.pool.send(chosen.address, request).await?;
         let (head, body) = response.into_parts();
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -250,7 +250,7 @@
     fn page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
 
     /// Marks a request to a target.
-    fn mark_request(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
+    fn set_request_metadata(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
 
     /// Reads what a target says of its answer.
     fn answer_marks(headers: &HeaderMap) -> TargetResponseMetadata;
