--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -211,7 +211,7 @@
         }
         AttemptFailure::of(error)
     })?;
-    let marks = P::answer_marks(response.headers());
+    let marks = P::response_metadata(response.headers());
     // A late answer to an abandoned request may stand where ours is expected.
     if marks.request_id.is_some() && marks.request_id != outgoing.request_id {
         return Err(AttemptFailure::may_have_run("the answer belongs to another request"));
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -253,7 +253,7 @@
     fn set_request_metadata(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
 
     /// Reads what a target says of its answer.
-    fn answer_marks(headers: &HeaderMap) -> TargetResponseMetadata;
+    fn response_metadata(headers: &HeaderMap) -> TargetResponseMetadata;
 
     /// Reads the version that an event says it was produced by.
     fn event_version(event: &StreamEvent) -> Option<u64>;
--- a/tests/all/platform_parsers.rs
+++ b/tests/all/platform_parsers.rs
@@ -144,7 +144,7 @@
             headers.insert(HeaderName::from_static(name), value);
         }
         drop(UsersPlatform::caller_terms(&headers));
-        drop(UsersPlatform::answer_marks(&headers));
+        drop(UsersPlatform::response_metadata(&headers));
         if let Ok(request) = Request::builder().uri(path).body(()) {
             let (mut head, ()) = request.into_parts();
             head.headers = headers;
