--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -82,7 +82,7 @@
 
 /// What a caller says of its request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CallerTerms {
+pub struct CallerOptions {
     /// How long the caller waits.
     pub deadline_ms: Option<u64>,
     /// The request's id.
@@ -238,7 +238,7 @@
     fn batch_call(head: &Parts) -> Option<BatchCall>;
 
     /// Reads what a caller says of its request.
-    fn caller_terms(headers: &HeaderMap) -> CallerTerms;
+    fn caller_terms(headers: &HeaderMap) -> CallerOptions;
 
     /// Reads a batch submission.
     ///
