--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -29,7 +29,7 @@
     let scope = match scope {
         Ok(scope) => scope,
         Err(refusal) => {
-            let id = P::caller_terms(headers).request_id;
+            let id = P::caller_options(headers).request_id;
             return ended(node, id.as_deref(), None, &ErrorAnswer::of(refusal));
         }
     };
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -141,7 +141,7 @@
     body: Incoming,
     began_at: UnixMs,
 ) -> Answer<P> {
-    let terms = P::caller_terms(&head.headers);
+    let terms = P::caller_options(&head.headers);
     let id = terms.request_id.clone();
     let Some(document) = node.document() else {
         return ended(
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -238,7 +238,7 @@
     fn batch_call(head: &Parts) -> Option<BatchCall>;
 
     /// Reads what a caller says of its request.
-    fn caller_terms(headers: &HeaderMap) -> CallerOptions;
+    fn caller_options(headers: &HeaderMap) -> CallerOptions;
 
     /// Reads a batch submission.
     ///
--- a/tests/all/platform_parsers.rs
+++ b/tests/all/platform_parsers.rs
@@ -143,7 +143,7 @@
             let value = HeaderValue::from_str(&text).expect("printable text is a value");
             headers.insert(HeaderName::from_static(name), value);
         }
-        drop(UsersPlatform::caller_terms(&headers));
+        drop(UsersPlatform::caller_options(&headers));
         drop(UsersPlatform::response_metadata(&headers));
         if let Ok(request) = Request::builder().uri(path).body(()) {
             let (mut head, ()) = request.into_parts();
