--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -3,7 +3,7 @@
 use super::known::Teller;
 use crate::clock;
 use crate::node::Node;
-use crate::platform::{OperatorNotice, Platform};
+use crate::platform::{OperatorUpdate, Platform};
 use crate::store::{StoreEvent, StoredItem};
 use catkinmast_dispatch::Document;
 use serde_json::json;
@@ -15,10 +15,10 @@
 
 pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, teller: Teller) {
     match P::operator_notice(&item.key, &item.value) {
-        Ok(Some(OperatorNotice::Document(document))) => {
+        Ok(Some(OperatorUpdate::Document(document))) => {
             install(node, document, item.revision, teller);
         }
-        Ok(Some(OperatorNotice::Version { model, version })) => {
+        Ok(Some(OperatorUpdate::Version { model, version })) => {
             let mut versions = node.versions.borrow_mut();
             let held = versions.entry(model.clone()).or_insert(0);
             if version > *held {
@@ -33,7 +33,7 @@
                 );
             }
         }
-        Ok(Some(OperatorNotice::Vacate { node: machine })) => {
+        Ok(Some(OperatorUpdate::Vacate { node: machine })) => {
             let asked = node.vacating.borrow_mut().insert(machine.clone(), item.revision);
             if asked != Some(item.revision) {
                 let why = json!({ "machine": machine, "revision": item.revision });
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -38,7 +38,7 @@
 mod wait_queue;
 
 pub use platform::{
-    BatchCall, CallerOptions, DecodeError, DutyCall, DutyRequest, EngineReport, OperatorNotice,
+    BatchCall, CallerOptions, DecodeError, DutyCall, DutyRequest, EngineReport, OperatorUpdate,
     OrderCall, Platform, StoreRequest, TargetRequestMetadata, TargetResponseMetadata,
 };
 pub use process::{run_front, run_standby};
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -37,7 +37,7 @@
 
 /// What the operator, or a trainer, has written to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum OperatorNotice {
+pub enum OperatorUpdate {
     /// A configuration.
     Document(Document),
     /// A store machine is to be emptied.
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     /// When the value is not in its format.
-    fn operator_notice(key: &str, value: &[u8]) -> Result<Option<OperatorNotice>, DecodeError>;
+    fn operator_notice(key: &str, value: &[u8]) -> Result<Option<OperatorUpdate>, DecodeError>;
 
     /// Reads a target's id from its key.
     fn target_id(key: &str) -> &str;
--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -5,7 +5,7 @@
     admit, credential,
 };
 use catkinmast_adapter::UsersPlatform;
-use catkinmast_serve::{OperatorNotice, Platform, StoreAnswer, StoreCall};
+use catkinmast_serve::{OperatorUpdate, Platform, StoreAnswer, StoreCall};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -154,7 +154,7 @@
 
     let notice = UsersPlatform::operator_notice("op/config", &kept(&tenants)).expect("a document");
 
-    let Some(OperatorNotice::Document(document)) = notice else { panic!("{notice:?}") };
+    let Some(OperatorUpdate::Document(document)) = notice else { panic!("{notice:?}") };
     let workspaces = document.workspaces.expect("workspaces");
     assert_eq!((workspaces.len(), workspaces.key_count()), (2, 2));
     let holder = workspaces.find_by_key(&KeyDigest::of(KEY.as_bytes())).expect("a holder");
