--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -14,7 +14,7 @@
 const VANISHED_PART: usize = 3;
 
 pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, teller: Teller) {
-    match P::operator_notice(&item.key, &item.value) {
+    match P::operator_update(&item.key, &item.value) {
         Ok(Some(OperatorUpdate::Document(document))) => {
             install(node, document, item.revision, teller);
         }
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     /// When the value is not in its format.
-    fn operator_notice(key: &str, value: &[u8]) -> Result<Option<OperatorUpdate>, DecodeError>;
+    fn operator_update(key: &str, value: &[u8]) -> Result<Option<OperatorUpdate>, DecodeError>;
 
     /// Reads a target's id from its key.
     fn target_id(key: &str) -> &str;
--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -125,7 +125,7 @@
 
         let value = kept(&tenants[shape]);
 
-        let notice = UsersPlatform::operator_notice("op/config", &value);
+        let notice = UsersPlatform::operator_update("op/config", &value);
         let found = format!("{} {notice:?}", String::from_utf8_lossy(&value));
         prop_assert!(!found.contains(&secret), "{}", found);
         prop_assert_eq!(notice.is_ok(), shape == 0);
@@ -152,7 +152,7 @@
         { "name": "without", "apiKeys": [] },
     ]);
 
-    let notice = UsersPlatform::operator_notice("op/config", &kept(&tenants)).expect("a document");
+    let notice = UsersPlatform::operator_update("op/config", &kept(&tenants)).expect("a document");
 
     let Some(OperatorUpdate::Document(document)) = notice else { panic!("{notice:?}") };
     let workspaces = document.workspaces.expect("workspaces");
@@ -175,7 +175,7 @@
     no_list = { json!("hule930"), "tenants cannot be read" },
 )]
 fn unfit_workspaces_are_an_error_that_names_what_is_wrong(tenants: Value, expected: &str) {
-    let error = UsersPlatform::operator_notice("op/config", &kept(&tenants)).expect_err("unfit");
+    let error = UsersPlatform::operator_update("op/config", &kept(&tenants)).expect_err("unfit");
 
     assert!(error.to_string().contains(expected), "{error}");
 }
--- a/tests/all/platform_parsers.rs
+++ b/tests/all/platform_parsers.rs
@@ -75,7 +75,7 @@
     drop(UsersPlatform::target_entry("servers/t", bytes));
     drop(UsersPlatform::report(bytes));
     for key in ["op/config", "op/version/m", "op/retire/n", "op/else"] {
-        drop(UsersPlatform::operator_notice(key, bytes));
+        drop(UsersPlatform::operator_update(key, bytes));
     }
     let range = StoreCall::Range { after: String::new(), may_be_old: false, prefix: "p".into() };
     let watch = StoreCall::Watch { after: 1, prefix: "p".into(), wait_ms: 10 };
