--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -41,7 +41,7 @@
     /// A configuration.
     Document(Document),
     /// A store machine is to be emptied.
-    Vacate {
+    Drain {
         /// The machine's node.
         node: String,
     },
