--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -62,7 +62,7 @@
     tenancy: Rc<Tenancy>,
     /// The machines that were reported empty, and the revision that asked for it: one may be asked for
     /// again, and its report is gone by then.
-    vacated: RefCell<IndexMap<String, u64>>,
+    drained: RefCell<IndexMap<String, u64>>,
 }
 
 /// Orders that a target has accepted since it started.
@@ -93,7 +93,7 @@
         rollouts: RefCell::new(IndexMap::new()),
         shared: RefCell::new(IndexMap::new()),
         tenancy,
-        vacated: RefCell::new(IndexMap::new()),
+        drained: RefCell::new(IndexMap::new()),
     });
     loop {
         sleep(TICK).await;
@@ -344,13 +344,13 @@
 fn report_vacated<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let asked = node.vacating.borrow().clone();
     for (machine, revision) in asked {
-        let reported = holder.vacated.borrow_mut().insert(machine.clone(), revision);
+        let reported = holder.drained.borrow_mut().insert(machine.clone(), revision);
         if reported == Some(revision) {
             continue;
         }
         let (node, holder) = (Rc::clone(node), Rc::clone(holder));
         tokio::task::spawn_local(async move {
-            let (key, value) = P::vacated(&machine);
+            let (key, value) = P::drained(&machine);
             let puts = vec![Put { key, lease: None, value }];
             let call = StoreCall::Transaction { deletes: Vec::new(), expected: Vec::new(), puts };
             match node.store(&call).await {
@@ -360,7 +360,7 @@
                 Err(refusal) => {
                     let why = json!({ "machine": machine, "why": refusal.message });
                     node.note("vacate_unreported", why);
-                    holder.vacated.borrow_mut().swap_remove(&machine);
+                    holder.drained.borrow_mut().swap_remove(&machine);
                 }
             }
         });
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -223,7 +223,7 @@
     fn target_entry(key: &str, value: &[u8]) -> Result<TargetEntry, DecodeError>;
 
     /// Writes that a store machine is empty.
-    fn vacated(node: &str) -> (String, Vec<u8>);
+    fn drained(node: &str) -> (String, Vec<u8>);
 
     /// Tells whether this is the platform's question for readiness.
     fn asks_readiness(head: &Parts) -> bool;
