--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -34,7 +34,7 @@
             }
         }
         Ok(Some(OperatorUpdate::Drain { node: machine })) => {
-            let asked = node.vacating.borrow_mut().insert(machine.clone(), item.revision);
+            let asked = node.draining.borrow_mut().insert(machine.clone(), item.revision);
             if asked != Some(item.revision) {
                 let why = json!({ "machine": machine, "revision": item.revision });
                 node.note("vacate_asked", why);
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -97,7 +97,7 @@
     /// The requests of workspaces, here and as other nodes told.
     pub usage: Usage,
     /// The machines that are to be emptied, and the revision that asks for it.
-    pub vacating: RefCell<IndexMap<String, u64>>,
+    pub draining: RefCell<IndexMap<String, u64>>,
     pub versions: RefCell<IndexMap<String, u64>>,
     /// Wakes the scheduler of batch items.
     pub work: Notify,
@@ -140,7 +140,7 @@
             turns: RefCell::new(IndexMap::new()),
             unsaved_crashes: RefCell::new(IndexSet::new()),
             usage: Usage::default(),
-            vacating: RefCell::new(IndexMap::new()),
+            draining: RefCell::new(IndexMap::new()),
             versions: RefCell::new(IndexMap::new()),
             work: Notify::new(),
             platform: PhantomData,
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -342,7 +342,7 @@
 
 /// Reports store machines as empty: nothing that lasts is kept on them.
 fn report_vacated<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
-    let asked = node.vacating.borrow().clone();
+    let asked = node.draining.borrow().clone();
     for (machine, revision) in asked {
         let reported = holder.drained.borrow_mut().insert(machine.clone(), revision);
         if reported == Some(revision) {
