--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -103,7 +103,7 @@
             plan(&node, &holder);
         }
         if holder.tenancy.fence(now).is_some() {
-            report_vacated(&node, &holder);
+            report_drained(&node, &holder);
         }
     }
 }
@@ -341,7 +341,7 @@
 }
 
 /// Reports store machines as empty: nothing that lasts is kept on them.
-fn report_vacated<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
+fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let asked = node.draining.borrow().clone();
     for (machine, revision) in asked {
         let reported = holder.drained.borrow_mut().insert(machine.clone(), revision);
