--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -114,7 +114,7 @@
 
 fn answer_operators<P: Platform>(node: &Node<P>, head: &Parts) -> Answer<P> {
     let ready = node.ready.get() && !node.leaving.get();
-    if P::asks_readiness(head) {
+    if P::is_readiness_probe(head) {
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return caller::plain(status, Bytes::from_static(b"{}"));
     }
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -226,7 +226,7 @@
     fn drained(node: &str) -> (String, Vec<u8>);
 
     /// Tells whether this is the platform's question for readiness.
-    fn asks_readiness(head: &Parts) -> bool;
+    fn is_readiness_probe(head: &Parts) -> bool;
 
     /// Tells whether this is a caller's question for addresses.
     fn asks_addresses(head: &Parts) -> bool;
