--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -118,7 +118,7 @@
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return caller::plain(status, Bytes::from_static(b"{}"));
     }
-    if P::asks_addresses(head) {
+    if P::is_address_lookup(head) {
         let ttl_ms = ADDRESSES_TTL_MS.min(node.settings().directory_ttl_max_ms);
         let addresses = addresses(node);
         let status =
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -229,7 +229,7 @@
     fn is_readiness_probe(head: &Parts) -> bool;
 
     /// Tells whether this is a caller's question for addresses.
-    fn asks_addresses(head: &Parts) -> bool;
+    fn is_address_lookup(head: &Parts) -> bool;
 
     /// Writes the answer to a question for addresses.
     fn addresses(addresses: &[SocketAddr], ttl_ms: u64) -> Bytes;
