--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -46,4 +46,4 @@
 pub use store::{
     Expectation, LeaseId, Put, StoreAnswer, StoreCall, StoreEvent, StoreRefusal, StoredItem,
 };
-pub use trail::whole_writes;
+pub use trail::atomic_writes;
--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -144,7 +144,7 @@
     let note =
         (dropped > 0).then(|| json!({ "event": "trail_dropped", "lines": dropped }).to_string());
     let lines = lines.iter().chain(&note).map(String::as_str);
-    whole_writes(lines).iter().all(|text| output.write_all(text.as_bytes()).is_ok())
+    atomic_writes(lines).iter().all(|text| output.write_all(text.as_bytes()).is_ok())
         && output.flush().is_ok()
 }
 
@@ -153,7 +153,7 @@
 /// A reader takes what is in a pipe as it comes. Where a quarter of a second's lines went out as one
 /// write, lines were cut in the middle and joined to what followed (22 of 2,915 on a busy day): what a
 /// pipe takes whole is at most 4,096 bytes.
-pub fn whole_writes<'a>(lines: impl Iterator<Item = &'a str>) -> Vec<String> {
+pub fn atomic_writes<'a>(lines: impl Iterator<Item = &'a str>) -> Vec<String> {
     let mut texts: Vec<String> = Vec::new();
     for line in lines {
         match texts.last_mut() {
--- a/tests/all/trail.rs
+++ b/tests/all/trail.rs
@@ -1,6 +1,6 @@
 //! The story of a request from several processes' trails.
 
-use catkinmast_serve::whole_writes;
+use catkinmast_serve::atomic_writes;
 use catkinmast_trail::{StepAccount, steps, story, tell, totals};
 
 const LOGS: &str = r#"
@@ -88,7 +88,7 @@
 fn lines_are_written_whole_in_what_a_pipe_takes_at_once() {
     let lines: Vec<String> = (0..200).map(|number| "x".repeat(number * 7 % 700)).collect();
 
-    let texts = whole_writes(lines.iter().map(String::as_str));
+    let texts = atomic_writes(lines.iter().map(String::as_str));
 
     assert!(texts.iter().all(|text| text.len() <= 4_096 && text.ends_with('\n')));
     assert!(texts.len() < lines.len() / 4, "few writes: {}", texts.len());
