--- a/crates/serve/src/access.rs
+++ b/crates/serve/src/access.rs
@@ -32,7 +32,7 @@
     let view = ViewAge {
         age_ms: feed::age_ms(node, Subject::Operators),
         bound_ms: settings.change_bound.as_ms(),
-        fail_closed_after_ms: settings.keys_closed_from_ms,
+        fail_closed_after_ms: settings.keys_refused_from_age_ms,
     };
     let values = headers.get_all(AUTHORIZATION).into_iter().map(HeaderValue::as_bytes);
     match admit(document.workspaces.as_ref(), is_public, credential(values), view) {
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -25,7 +25,7 @@
     pub grace_ms: u64,
     /// The age of the configuration from which no key is served, in milliseconds; none where keys that
     /// are known are served however old it is.
-    pub keys_closed_from_ms: Option<u64>,
+    pub keys_refused_from_age_ms: Option<u64>,
     /// The shortest lease that the store grants.
     pub lease_min_ms: u64,
     /// Name of this node; its instance's.
