--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -83,7 +83,7 @@
         let Some(windows) = usage::windows(&node) else { continue };
         let Some(duties) = node.settings().duties else { continue };
         let now = node.usage.now();
-        let oldest = windows.at(UnixMs(now.since_ms(UnixMs(duties.usage_late_ms))));
+        let oldest = windows.at(UnixMs(now.since_ms(UnixMs(duties.usage_due_ms))));
         node.usage.ledger.borrow_mut().forget_before(oldest);
         reporter.forget_before(oldest);
         if tenancy.order_fence(clock::now()).is_none() {
@@ -111,11 +111,11 @@
         window: Window,
     ) {
         let over_ms = node.usage.now().since_ms(windows.end(window));
-        let is_due = over_ms <= duties.usage_late_ms;
+        let is_due = over_ms <= duties.usage_due_ms;
         if self.sent.contains(&window) || !is_due || over_ms < CLOSE_AFTER_MS {
             return;
         }
-        let may_wait = over_ms * 100 < duties.usage_late_ms * WAIT_PERCENT;
+        let may_wait = over_ms * 100 < duties.usage_due_ms * WAIT_PERCENT;
         let written = self.written.remove(&window);
         let counts = match written {
             Some(counts) => counts,
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -52,7 +52,7 @@
     /// Whether the use of each workspace is reported.
     pub reports_usage: bool,
     /// How long after its end a window's usage is due.
-    pub usage_late_ms: u64,
+    pub usage_due_ms: u64,
     /// The length of a window of usage.
     pub window_ms: u64,
 }
