--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -299,7 +299,7 @@
     node.note_demand(model.as_deref(), work_tokens);
     if let Some(owner) = peers::me(node) {
         let batch = id.to_owned();
-        peers::tell_all(node, &Datagram::BatchOwned { batch, model, owner, work_tokens });
+        peers::broadcast(node, &Datagram::BatchOwned { batch, model, owner, work_tokens });
     }
     node.work.notify_one();
     tokio::task::spawn_local(write_results(Rc::clone(node), Rc::clone(&held)));
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -136,7 +136,7 @@
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         for _ in 0..TIMES {
-            peers::tell_all(&node, &datagram);
+            peers::broadcast(&node, &datagram);
             sleep(TELL_AGAIN).await;
         }
     });
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -75,7 +75,7 @@
     }
     node.outage.over.notify_waiters();
     if feed::is_watcher(node) {
-        peers::tell_all(node, &Datagram::StoreReturned);
+        peers::broadcast(node, &Datagram::StoreReturned);
     }
 }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -238,7 +238,7 @@
 }
 
 /// Sends a datagram to all nodes that were ever heard of: one that is taken for dead may live.
-pub(crate) fn tell_all<P: Platform>(node: &Node<P>, datagram: &Datagram) {
+pub(crate) fn broadcast<P: Platform>(node: &Node<P>, datagram: &Datagram) {
     let all: Vec<SocketAddr> = {
         let members = node.members.borrow();
         let Some(members) = members.as_ref() else { return };
