--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -206,7 +206,7 @@
         version: order.version,
     };
     let (path, body) = P::order(&call);
-    peers::tell_load(node, &chosen.id, LOAD_MS);
+    peers::announce_load(node, &chosen.id, LOAD_MS);
     let sent = engine_call::<P>(node, &chosen, Some((path, body))).await;
     let status = sent.as_ref().ok().map(|(status, _)| status.as_u16());
     node.note(
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -251,7 +251,7 @@
 }
 
 /// Tells the owners of batches, who alone start items, that a target loads.
-pub(crate) fn tell_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
+pub(crate) fn announce_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     target_loads(node, target, for_ms);
     let born_at_unix_ms =
         node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
