--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -5,8 +5,8 @@
 
 pub(crate) use messages::{Datagram, Owner, PeerAnswer, PeerCall};
 pub(crate) use ranks::{
-    comes_before, first_for, followers, holder_of, is_first_for, rank_for, successor_for,
-    tell_holder, tellers,
+    announce_holder, comes_before, first_for, followers, holder_of, is_first_for, rank_for,
+    successor_for, tellers,
 };
 
 use crate::batches::{self, Acceptance};
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -92,6 +92,6 @@
 }
 
 /// Tells all that this node holds a duty.
-pub(crate) fn tell_holder<P: Platform>(node: &Node<P>, fact: OwnerFact) {
+pub(crate) fn announce_holder<P: Platform>(node: &Node<P>, fact: OwnerFact) {
     with_members(node, |members, now| members.observe(now, Fact::Owner(fact)));
 }
--- a/crates/serve/src/tenancy.rs
+++ b/crates/serve/src/tenancy.rs
@@ -134,7 +134,7 @@
         let Owner { incarnation, node: name, .. } = successor;
         let fence = Fence(fence.0 + 1);
         let fact = OwnerFact { fence, incarnation, node: name, trainer: self.name() };
-        peers::tell_holder(node, fact);
+        peers::announce_holder(node, fact);
     }
 
     fn name(&self) -> Name {
@@ -149,7 +149,7 @@
                 node.note("duty_gained", json!({ "duty": self.duty, "fence": fence.0 }));
                 let HolderRecord { incarnation, node: name } = self.record.clone();
                 let fact = OwnerFact { fence, incarnation, node: name, trainer: self.name() };
-                peers::tell_holder(node, fact);
+                peers::announce_holder(node, fact);
             }
         }
     }
