--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -162,7 +162,7 @@
     if peers::me(node).as_ref() == Some(owner) {
         return None;
     }
-    if peers::life_of(node, owner) == Life::Over {
+    if peers::owner_status(node, owner) == Life::Over {
         return None;
     }
     match node.ask_peer(owner.address, call, max).await {
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -232,7 +232,7 @@
 /// there long enough to have heard of all: after a restart of the whole fleet each node's view is
 /// partial for a moment, and owners that live would lose their batches over and over.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
-    match peers::life_of(node, owner) {
+    match peers::owner_status(node, owner) {
         Life::Over => true,
         Life::GoesOn => false,
         Life::Unheard => clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS,
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -283,7 +283,7 @@
 }
 
 /// Returns what is known of an owner's life.
-pub(crate) fn life_of<P: Platform>(node: &Node<P>, owner: &Owner) -> Life {
+pub(crate) fn owner_status<P: Platform>(node: &Node<P>, owner: &Owner) -> Life {
     let registered = node.registered.borrow().get(&owner.node).copied();
     if registered.is_some_and(|incarnation| incarnation > owner.incarnation) {
         return Life::Over;
