--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -172,7 +172,7 @@
             node.note(
                 "owner_unreachable",
                 json!({ "owner": owner.node, "why": error.message,
-                        "reached": !peers::never_reached(&error) }),
+                        "reached": !peers::cannot_have_run(&error) }),
             );
             None
         }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -361,6 +361,6 @@
 }
 
 /// Tells whether a failed call of a peer cannot have been carried out there.
-pub(crate) const fn never_reached(error: &CallError) -> bool {
+pub(crate) const fn cannot_have_run(error: &CallError) -> bool {
     matches!(error.verdict, Verdict::NotRun)
 }
