--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -51,7 +51,7 @@
 const PEER_CALL_MAX_BYTES: usize = 4 << 20;
 
 /// Makes a name of a text; what our names do not allow is replaced.
-pub(crate) fn name_of(text: &str) -> Name {
+pub(crate) fn to_node_name(text: &str) -> Name {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
     let cleaned: String = text
         .to_ascii_lowercase()
@@ -73,11 +73,11 @@
     let me = NodeFact {
         capacity_millicores: settings.capacity_millicores,
         control: settings.peer,
-        data_centre: name_of(&settings.data_centre),
+        data_centre: to_node_name(&settings.data_centre),
         has_data_folder: false,
         http: settings.callers.unwrap_or(settings.peer),
         incarnation,
-        name: name_of(&settings.node),
+        name: to_node_name(&settings.node),
         refutation: 0,
         state: NodeState::Live,
     };
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -1,6 +1,6 @@
 //! Which node does what one node does for all.
 
-use super::{Owner, name_of, with_members};
+use super::{Owner, to_node_name, with_members};
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_member::{DutyRank, Fact, NodeFact, NodeState, OwnerFact};
@@ -50,7 +50,7 @@
 
 /// Returns the holder of a duty, and the nodes that come first in rank for it, this one among them.
 pub(crate) fn followers<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
-    let holder = holder_of(node, &name_of(duty));
+    let holder = holder_of(node, &to_node_name(duty));
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
     let mut live: Vec<&NodeFact> =
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -188,7 +188,7 @@
         {
             let registered = items.iter().filter_map(|item| {
                 let name = item.key.strip_prefix(NODES)?;
-                Some((peers::name_of(name), Incarnation(item.revision)))
+                Some((peers::to_node_name(name), Incarnation(item.revision)))
             });
             *node.registered.borrow_mut() = registered.collect();
             let seeds = items
--- a/crates/serve/src/tenancy.rs
+++ b/crates/serve/src/tenancy.rs
@@ -138,7 +138,7 @@
     }
 
     fn name(&self) -> Name {
-        peers::name_of(self.duty)
+        peers::to_node_name(self.duty)
     }
 
     fn note_change<P: Platform>(&self, node: &Node<P>, change: Option<Change>) {
