--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -58,7 +58,8 @@
         if timeout(LOOK_EVERY, node.crashes_changed.notified()).await.is_ok() {
             sleep(GATHER).await;
         }
-        let is_first = peers::settles_in_ms(&node) == Some(0) && peers::is_first_for(&node, DUTY);
+        let is_first =
+            peers::settles_after_ms(&node) == Some(0) && peers::is_first_for(&node, DUTY);
         if is_first && !has_recalled {
             has_recalled = recall(&node).await;
         }
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -143,7 +143,7 @@
 /// what it has read holds until it does: when each watched meanwhile, a start cost two calls of the
 /// store more (660 of 7,560 on a day with 330 starts).
 pub(crate) fn is_watcher<P: Platform>(node: &Node<P>) -> bool {
-    peers::settles_in_ms(node) == Some(0)
+    peers::settles_after_ms(node) == Some(0)
         && peers::rank_for(node, DUTY).is_some_and(|rank| rank < WATCHERS)
 }
 
@@ -151,7 +151,7 @@
 fn watches<P: Platform>(node: &Node<P>, subject: Subject) -> bool {
     let Some(rank) = peers::rank_for(node, DUTY) else { return false };
     let freshness = node.feeds.of(subject).known.borrow().freshness;
-    peers::settles_in_ms(node) == Some(0)
+    peers::settles_after_ms(node) == Some(0)
         && freshness.should_watch(clock::now(), rank, node.settings().change_bound)
 }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -87,7 +87,7 @@
 }
 
 /// Returns how long it takes until this node knows whom else there is; none before it has joined.
-pub(crate) fn settles_in_ms<P: Platform>(node: &Node<P>) -> Option<u64> {
+pub(crate) fn settles_after_ms<P: Platform>(node: &Node<P>) -> Option<u64> {
     let joined_at = node.joined_at.get()?;
     Some(joined_at.plus(SETTLE_MS).since_ms(clock::now()))
 }
@@ -95,7 +95,7 @@
 /// Returns after how long a node that does not know its duties yet has to look at them again; one that
 /// knows them hears of changes.
 pub(crate) fn settles_within_ms<P: Platform>(node: &Node<P>) -> u64 {
-    match settles_in_ms(node) {
+    match settles_after_ms(node) {
         None => SETTLE_MS,
         Some(0) => u64::MAX,
         Some(left_ms) => left_ms,
