--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -89,7 +89,7 @@
     loop {
         let idle_ms = looks_in_ms(&node, subject);
         if idle_ms > 0 {
-            let wait_ms = idle_ms.min(peers::settles_within_ms(&node));
+            let wait_ms = idle_ms.min(peers::next_settle_check_ms(&node));
             let doubted = node.feeds.of(subject).doubted.notified();
             drop(timeout(Duration::from_millis(wait_ms), doubted).await);
             continue;
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -94,7 +94,7 @@
 
 /// Returns after how long a node that does not know its duties yet has to look at them again; one that
 /// knows them hears of changes.
-pub(crate) fn settles_within_ms<P: Platform>(node: &Node<P>) -> u64 {
+pub(crate) fn next_settle_check_ms<P: Platform>(node: &Node<P>) -> u64 {
     match settles_after_ms(node) {
         None => SETTLE_MS,
         Some(0) => u64::MAX,
