--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -298,7 +298,7 @@
 fn witness<P: Platform>(node: &Node<P>, teller: Teller) -> ConfirmationSource {
     match teller {
         Teller::Store => ConfirmationSource::OwnCall,
-        Teller::Peer(peer) if peers::comes_before(node, peer, DUTY) => {
+        Teller::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
             ConfirmationSource::EarlierRank
         }
         Teller::Peer(_) => ConfirmationSource::LaterRank,
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -18,7 +18,7 @@
 }
 
 /// Tells whether the node at an address comes before this one for a duty.
-pub(crate) fn comes_before<P: Platform>(node: &Node<P>, address: SocketAddr, duty: &str) -> bool {
+pub(crate) fn ranks_before<P: Platform>(node: &Node<P>, address: SocketAddr, duty: &str) -> bool {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return false };
     let mine = DutyRank::of(members.me(), duty);
