--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -49,7 +49,7 @@
 }
 
 /// Returns the holder of a duty, and the nodes that come first in rank for it, this one among them.
-pub(crate) fn followers<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
+pub(crate) fn duty_candidates<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
     let holder = holder_of(node, &to_node_name(duty));
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -153,11 +153,13 @@
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
         told(&node, &teller, tables.clone());
-        let followers: Vec<Owner> =
-            peers::followers(&node, DUTY, FOLLOWERS).into_iter().filter(|to| *to != me).collect();
-        confirmed.retain(|to, _| followers.contains(to));
+        let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, FOLLOWERS)
+            .into_iter()
+            .filter(|to| *to != me)
+            .collect();
+        confirmed.retain(|to, _| duty_candidates.contains(to));
         let mut calls = JoinSet::new();
-        for to in followers {
+        for to in duty_candidates {
             let news = confirmed.entry(to.clone()).or_default().news(&tables);
             if !news.is_empty() {
                 let (node, teller) = (Rc::clone(&node), teller.clone());
