--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -145,7 +145,7 @@
         return true;
     }
     let batch = held.borrow().id.clone();
-    ask(node, to, &batch, &PeerCall::KeepTexts { batch: batch.clone(), texts }).await
+    ask(node, to, &batch, &PeerCall::KeepOutputs { batch: batch.clone(), texts }).await
 }
 
 /// Asks the other node to keep something; returns whether it does.
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -22,7 +22,7 @@
     /// Keeps a copy of a batch for its owner, whom the receiver would follow.
     KeepCopy { batch: String, copy: Box<BatchCopy> },
     /// Keeps what is new of the texts of a batch of which the receiver has a copy.
-    KeepTexts { batch: String, texts: Vec<TextUpdate> },
+    KeepOutputs { batch: String, texts: Vec<TextUpdate> },
     /// Reads the body of an item of a batch that the receiver owns.
     ItemBody { batch: String, item: String, scope: Scope },
     /// Reads results of a batch that the receiver owns.
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -332,7 +332,7 @@
             batches::accept_copy(&node, batch, *copy);
             PeerAnswer::Accepted
         }
-        PeerCall::KeepTexts { batch, texts } => {
+        PeerCall::KeepOutputs { batch, texts } => {
             if batches::accept_copied_outputs(&node, &batch, texts) {
                 PeerAnswer::Accepted
             } else {
