--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::feed;
 use crate::node::Node;
-use crate::peers::{self, Life, Owner, PeerAnswer, PeerCall};
+use crate::peers::{self, Owner, OwnerStatus, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::StoredItem;
 use catkinmast_dispatch::ItemResult;
@@ -162,7 +162,7 @@
     if peers::me(node).as_ref() == Some(owner) {
         return None;
     }
-    if peers::owner_status(node, owner) == Life::Over {
+    if peers::owner_status(node, owner) == OwnerStatus::Over {
         return None;
     }
     match node.ask_peer(owner.address, call, max).await {
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -13,7 +13,7 @@
 use super::write::write_chunk;
 use crate::clock;
 use crate::node::Node;
-use crate::peers::{self, Datagram, Life, Owner, PeerCall};
+use crate::peers::{self, Datagram, Owner, OwnerStatus, PeerCall};
 use crate::platform::Platform;
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal, StoredItem};
 use catkinmast_dispatch::Progress;
@@ -233,9 +233,11 @@
 /// partial for a moment, and owners that live would lose their batches over and over.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
     match peers::owner_status(node, owner) {
-        Life::Over => true,
-        Life::GoesOn => false,
-        Life::Unheard => clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS,
+        OwnerStatus::Over => true,
+        OwnerStatus::GoesOn => false,
+        OwnerStatus::Unheard => {
+            clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS
+        }
     }
 }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -273,7 +273,7 @@
 
 /// What is known of a node's life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Life {
+pub(crate) enum OwnerStatus {
     /// It is over.
     Over,
     /// It goes on.
@@ -283,19 +283,19 @@
 }
 
 /// Returns what is known of an owner's life.
-pub(crate) fn owner_status<P: Platform>(node: &Node<P>, owner: &Owner) -> Life {
+pub(crate) fn owner_status<P: Platform>(node: &Node<P>, owner: &Owner) -> OwnerStatus {
     let registered = node.registered.borrow().get(&owner.node).copied();
     if registered.is_some_and(|incarnation| incarnation > owner.incarnation) {
-        return Life::Over;
+        return OwnerStatus::Over;
     }
     let members = node.members.borrow();
-    let Some(members) = members.as_ref() else { return Life::Unheard };
+    let Some(members) = members.as_ref() else { return OwnerStatus::Unheard };
     match members.nodes().find(|peer| peer.name == owner.node) {
-        None => Life::Unheard,
-        Some(peer) if peer.incarnation > owner.incarnation => Life::Over,
-        Some(peer) if peer.incarnation < owner.incarnation => Life::Unheard,
-        Some(peer) if peer.state == NodeState::Gone => Life::Over,
-        Some(_) => Life::GoesOn,
+        None => OwnerStatus::Unheard,
+        Some(peer) if peer.incarnation > owner.incarnation => OwnerStatus::Over,
+        Some(peer) if peer.incarnation < owner.incarnation => OwnerStatus::Unheard,
+        Some(peer) if peer.state == NodeState::Gone => OwnerStatus::Over,
+        Some(_) => OwnerStatus::GoesOn,
     }
 }
 
