--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -234,7 +234,7 @@
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
     match peers::owner_status(node, owner) {
         OwnerStatus::Over => true,
-        OwnerStatus::GoesOn => false,
+        OwnerStatus::Running => false,
         OwnerStatus::Unheard => {
             clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS
         }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -277,7 +277,7 @@
     /// It is over.
     Over,
     /// It goes on.
-    GoesOn,
+    Running,
     /// Nothing was heard of it yet.
     Unheard,
 }
@@ -295,7 +295,7 @@
         Some(peer) if peer.incarnation > owner.incarnation => OwnerStatus::Over,
         Some(peer) if peer.incarnation < owner.incarnation => OwnerStatus::Unheard,
         Some(peer) if peer.state == NodeState::Gone => OwnerStatus::Over,
-        Some(_) => OwnerStatus::GoesOn,
+        Some(_) => OwnerStatus::Running,
     }
 }
 
