--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -235,7 +235,7 @@
     match peers::owner_status(node, owner) {
         OwnerStatus::Over => true,
         OwnerStatus::Running => false,
-        OwnerStatus::Unheard => {
+        OwnerStatus::Unknown => {
             clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS
         }
     }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -279,7 +279,7 @@
     /// It goes on.
     Running,
     /// Nothing was heard of it yet.
-    Unheard,
+    Unknown,
 }
 
 /// Returns what is known of an owner's life.
@@ -289,11 +289,11 @@
         return OwnerStatus::Over;
     }
     let members = node.members.borrow();
-    let Some(members) = members.as_ref() else { return OwnerStatus::Unheard };
+    let Some(members) = members.as_ref() else { return OwnerStatus::Unknown };
     match members.nodes().find(|peer| peer.name == owner.node) {
-        None => OwnerStatus::Unheard,
+        None => OwnerStatus::Unknown,
         Some(peer) if peer.incarnation > owner.incarnation => OwnerStatus::Over,
-        Some(peer) if peer.incarnation < owner.incarnation => OwnerStatus::Unheard,
+        Some(peer) if peer.incarnation < owner.incarnation => OwnerStatus::Unknown,
         Some(peer) if peer.state == NodeState::Gone => OwnerStatus::Over,
         Some(_) => OwnerStatus::Running,
     }
