--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -50,7 +50,7 @@
             }
         }
         let left_ms = until.since_ms(clock::now());
-        // Over or not, the page is looked at once more.
+        // Ended or not, the page is looked at once more.
         drop(timeout(Duration::from_millis(left_ms), changed).await);
     }
 }
@@ -162,7 +162,7 @@
     if peers::me(node).as_ref() == Some(owner) {
         return None;
     }
-    if peers::owner_status(node, owner) == OwnerStatus::Over {
+    if peers::owner_status(node, owner) == OwnerStatus::Ended {
         return None;
     }
     match node.ask_peer(owner.address, call, max).await {
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -233,7 +233,7 @@
 /// partial for a moment, and owners that live would lose their batches over and over.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
     match peers::owner_status(node, owner) {
-        OwnerStatus::Over => true,
+        OwnerStatus::Ended => true,
         OwnerStatus::Running => false,
         OwnerStatus::Unknown => {
             clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -275,7 +275,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OwnerStatus {
     /// It is over.
-    Over,
+    Ended,
     /// It goes on.
     Running,
     /// Nothing was heard of it yet.
@@ -286,15 +286,15 @@
 pub(crate) fn owner_status<P: Platform>(node: &Node<P>, owner: &Owner) -> OwnerStatus {
     let registered = node.registered.borrow().get(&owner.node).copied();
     if registered.is_some_and(|incarnation| incarnation > owner.incarnation) {
-        return OwnerStatus::Over;
+        return OwnerStatus::Ended;
     }
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return OwnerStatus::Unknown };
     match members.nodes().find(|peer| peer.name == owner.node) {
         None => OwnerStatus::Unknown,
-        Some(peer) if peer.incarnation > owner.incarnation => OwnerStatus::Over,
+        Some(peer) if peer.incarnation > owner.incarnation => OwnerStatus::Ended,
         Some(peer) if peer.incarnation < owner.incarnation => OwnerStatus::Unknown,
-        Some(peer) if peer.state == NodeState::Gone => OwnerStatus::Over,
+        Some(peer) if peer.state == NodeState::Gone => OwnerStatus::Ended,
         Some(_) => OwnerStatus::Running,
     }
 }
