--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -337,7 +337,7 @@
     let here = Rc::clone(node);
     // It runs to its end, so that a way that fails is known as such.
     let mut direct = spawn_local(async move {
-        read_pages(prefix, false, async |call| here.store_here(&call).await).await
+        read_pages(prefix, false, async |call| here.store_direct(&call).await).await
     });
     match timeout(HEDGE_AFTER, &mut direct).await {
         Ok(Ok(Ok(found))) => return Ok(found),
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -261,17 +261,17 @@
             return if rests {
                 self.store_by_peers(call).await
             } else {
-                self.store_here(call).await
+                self.store_direct(call).await
             };
         }
         let first =
-            if rests { self.store_by_peers(call).await } else { self.store_here(call).await };
+            if rests { self.store_by_peers(call).await } else { self.store_direct(call).await };
         let first = match first {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
         let second =
-            if rests { self.store_here(call).await } else { self.store_by_peers(call).await };
+            if rests { self.store_direct(call).await } else { self.store_by_peers(call).await };
         second.map_err(|refusal| {
             let unsure = first.verdict.may_have_run() || refusal.verdict.may_have_run();
             let verdict = if unsure { Verdict::MayHaveRun } else { Verdict::NotRun };
@@ -280,7 +280,7 @@
     }
 
     /// Makes a call of the store from this machine.
-    pub(crate) async fn store_here(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
+    pub(crate) async fn store_direct(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         count(&self.metrics.store_calls, call.duty());
         let max = match call {
             StoreCall::Watch { wait_ms, .. } => Duration::from_millis(wait_ms + WATCH_SLACK_MS),
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -313,7 +313,7 @@
         return Ok(response);
     };
     let answer = match call {
-        PeerCall::Store(call) => PeerAnswer::Store(node.store_here(&call).await),
+        PeerCall::Store(call) => PeerAnswer::Store(node.store_direct(&call).await),
         PeerCall::Submit { batch, origin, submission } => {
             match batches::accept(&node, &batch, origin, *submission).await {
                 Acceptance::Accepted => PeerAnswer::Accepted,
