--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -259,19 +259,19 @@
         let rests = clock::now() < self.store_rests_until.get();
         if matches!(call, StoreCall::Watch { .. }) {
             return if rests {
-                self.store_by_peers(call).await
+                self.store_via_peers(call).await
             } else {
                 self.store_direct(call).await
             };
         }
         let first =
-            if rests { self.store_by_peers(call).await } else { self.store_direct(call).await };
+            if rests { self.store_via_peers(call).await } else { self.store_direct(call).await };
         let first = match first {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
         let second =
-            if rests { self.store_direct(call).await } else { self.store_by_peers(call).await };
+            if rests { self.store_direct(call).await } else { self.store_via_peers(call).await };
         second.map_err(|refusal| {
             let unsure = first.verdict.may_have_run() || refusal.verdict.may_have_run();
             let verdict = if unsure { Verdict::MayHaveRun } else { Verdict::NotRun };
@@ -364,7 +364,7 @@
         P::store_answer(call, head.status.as_u16(), &body)
     }
 
-    async fn store_by_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
+    async fn store_via_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let wait_ms = if let StoreCall::Watch { wait_ms, .. } = call { *wait_ms } else { 0 };
         let max = STORE_MAX + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
         let peers = if wait_ms > 0 { 1 } else { STORE_PEERS };
