--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -358,7 +358,7 @@
     node: &Rc<Node<P>>,
     prefix: &str,
 ) -> Result<(Vec<StoredItem>, u64), StoreRefusal> {
-    read_pages(prefix, false, async |call| node.store_by_a_peer(&call).await).await
+    read_pages(prefix, false, async |call| node.store_via_one_peer(&call).await).await
 }
 
 async fn read_pages(
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -382,7 +382,7 @@
     }
 
     /// Makes a call of the store by way of one peer, once.
-    pub(crate) async fn store_by_a_peer(
+    pub(crate) async fn store_via_one_peer(
         &self,
         call: &StoreCall,
     ) -> Result<StoreAnswer, StoreRefusal> {
