--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -370,7 +370,7 @@
         let peers = if wait_ms > 0 { 1 } else { STORE_PEERS };
         let mut last = no_peer();
         for peer in self.live_peers().into_iter().take(peers) {
-            match self.store_by(peer, call, max).await {
+            match self.store_via(peer, call, max).await {
                 Ok(answer) => {
                     self.batches.store_returned();
                     return Ok(answer);
@@ -387,12 +387,12 @@
         call: &StoreCall,
     ) -> Result<StoreAnswer, StoreRefusal> {
         match self.live_peers().first() {
-            Some(peer) => self.store_by(*peer, call, STORE_MAX).await,
+            Some(peer) => self.store_via(*peer, call, STORE_MAX).await,
             None => Err(no_peer()),
         }
     }
 
-    async fn store_by(
+    async fn store_via(
         &self,
         peer: SocketAddr,
         call: &StoreCall,
