--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -87,7 +87,7 @@
     pub registered: RefCell<IndexMap<Name, Incarnation>>,
     pub rng: RefCell<Pcg64Mcg>,
     pub settings: RefCell<Rc<Settings>>,
-    pub store_rests_until: Cell<UnixMs>,
+    pub store_backoff_until: Cell<UnixMs>,
     pub targets: RefCell<TargetTable>,
     pub trail: Trail,
     /// The requests that wait because all targets of their service refuse for load, by service.
@@ -134,7 +134,7 @@
             registered: RefCell::new(IndexMap::new()),
             rng: RefCell::new(Pcg64Mcg::from_os_rng()),
             settings: RefCell::new(Rc::new(settings)),
-            store_rests_until: Cell::new(UnixMs(0)),
+            store_backoff_until: Cell::new(UnixMs(0)),
             targets: RefCell::new(TargetTable::default()),
             trail,
             turns: RefCell::new(IndexMap::new()),
@@ -256,7 +256,7 @@
     /// store may have dropped the history meanwhile, and tells so only with the next change. It
     /// would be noticed as a configuration that is seconds old; the feed reads the whole instead.
     pub(crate) async fn store(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
-        let rests = clock::now() < self.store_rests_until.get();
+        let rests = clock::now() < self.store_backoff_until.get();
         if matches!(call, StoreCall::Watch { .. }) {
             return if rests {
                 self.store_via_peers(call).await
@@ -290,7 +290,7 @@
         let result = self.exchange_until_over(call, max).await;
         match &result {
             Ok(_) => {
-                self.store_rests_until.set(UnixMs(0));
+                self.store_backoff_until.set(UnixMs(0));
                 outage::answered(self, call.duty());
             }
             Err(refusal) => {
@@ -298,7 +298,7 @@
                 if self.outage.is_over_since(began_at) {
                     return result;
                 }
-                self.store_rests_until.set(clock::now().plus(STORE_REST_MS));
+                self.store_backoff_until.set(clock::now().plus(STORE_REST_MS));
                 if self.outage.noticed(began_at) {
                     let why = json!({ "by": call.duty(), "why": refusal.message });
                     self.note("store_lost", why);
