--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -287,7 +287,7 @@
             _ => STORE_MAX,
         };
         let began_at = clock::now();
-        let result = self.exchange_until_over(call, max).await;
+        let result = self.exchange_retried_after_outage(call, max).await;
         match &result {
             Ok(_) => {
                 self.store_backoff_until.set(UnixMs(0));
@@ -309,7 +309,7 @@
     }
 
     /// Makes a call, and makes it again when an outage ends while it waits for its answer.
-    async fn exchange_until_over(
+    async fn exchange_retried_after_outage(
         &self,
         call: &StoreCall,
         max: Duration,
