--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -14,7 +14,7 @@
 use crate::scaling;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoredItem};
-use crate::tenancy::Tenancy;
+use crate::tenancy::DutyLease;
 use crate::usage;
 use catkinmast_model::{Fence, UnixMs};
 use catkinmast_usage::{UsageSource, Window, Windows};
@@ -66,7 +66,7 @@
     if node.settings().duties.is_none() {
         return;
     }
-    let Some(tenancy) = Tenancy::open(&node, DUTY, LEASE_KEY).await else { return };
+    let Some(tenancy) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     tokio::task::spawn_local(usage::tell(Rc::clone(&node)));
     tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&tenancy)));
     tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&tenancy)));
@@ -76,7 +76,7 @@
     }
 }
 
-async fn report<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<Tenancy>) {
+async fn report<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<DutyLease>) {
     let mut reporter = Reporter::default();
     loop {
         sleep(TICK).await;
@@ -105,7 +105,7 @@
     async fn report<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
-        tenancy: &Tenancy,
+        tenancy: &DutyLease,
         duties: &DutySettings,
         windows: Windows,
         window: Window,
@@ -146,7 +146,7 @@
     }
 
     /// Gives the duty up where the platform does not answer this node.
-    fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, tenancy: &Tenancy, answered: bool) {
+    fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, tenancy: &DutyLease, answered: bool) {
         if answered {
             self.mute_since = None;
             return;
@@ -171,7 +171,7 @@
 /// Closes a window: creates its report in the store, or finds the one that is there.
 async fn close<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &Tenancy,
+    tenancy: &DutyLease,
     window: Window,
     may_wait: bool,
 ) -> Option<BTreeMap<String, u64>> {
@@ -207,7 +207,7 @@
 }
 
 fn creation(
-    tenancy: &Tenancy,
+    tenancy: &DutyLease,
     fence: Fence,
     window: Window,
     counts: &BTreeMap<String, u64>,
@@ -240,7 +240,7 @@
 /// Makes a call of the duty, if this node holds it; returns what came back.
 pub(crate) async fn act<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &Tenancy,
+    tenancy: &DutyLease,
     duties: &DutySettings,
     call: &DutyCall<'_>,
 ) -> Option<Result<StatusCode, CallError>> {
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -14,7 +14,7 @@
 use crate::platform::{EngineReport, OrderCall, Platform};
 use crate::pool::{CallError, read_body};
 use crate::store::{Put, StoreCall};
-use crate::tenancy::Tenancy;
+use crate::tenancy::DutyLease;
 use bytes::Bytes;
 use catkinmast_dispatch::{
     LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
@@ -59,7 +59,7 @@
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when it was last told.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
-    tenancy: Rc<Tenancy>,
+    tenancy: Rc<DutyLease>,
     /// The machines that were reported empty, and the revision that asked for it: one may be asked for
     /// again, and its report is gone by then.
     drained: RefCell<IndexMap<String, u64>>,
@@ -87,7 +87,7 @@
 
 /// Takes part in the duty until the process ends.
 pub(crate) async fn give_orders<P: Platform>(node: Rc<Node<P>>) {
-    let Some(tenancy) = Tenancy::open(&node, DUTY, LEASE_KEY).await else { return };
+    let Some(tenancy) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     let holder = Rc::new(Holder {
         accepted: RefCell::new(IndexMap::new()),
         rollouts: RefCell::new(IndexMap::new()),
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -8,7 +8,7 @@
 use crate::pool::CallError;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall};
-use crate::tenancy::Tenancy;
+use crate::tenancy::DutyLease;
 use catkinmast_scaling::{DesiredCounts, OrderOutcome, Pool, Scaling, ScalingConfig, TargetOrder};
 use http::StatusCode;
 use indexmap::IndexMap;
@@ -32,7 +32,7 @@
 }
 
 /// Orders targets while this node holds the duty, until the process ends.
-pub(crate) async fn order<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<Tenancy>) {
+pub(crate) async fn order<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<DutyLease>) {
     let mut services: IndexMap<String, Service> = IndexMap::new();
     loop {
         sleep(TICK).await;
@@ -97,7 +97,7 @@
     async fn plan<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
-        tenancy: &Tenancy,
+        tenancy: &DutyLease,
         duties: &DutySettings,
         name: &str,
         terms: ScalingConfig,
@@ -160,7 +160,7 @@
 /// Keeps what a service is to have for later holders; returns whether it is kept.
 async fn write<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &Tenancy,
+    tenancy: &DutyLease,
     service: &str,
     wanted: &DesiredCounts,
 ) -> bool {
--- a/crates/serve/src/tenancy.rs
+++ b/crates/serve/src/tenancy.rs
@@ -33,7 +33,7 @@
 
 /// This node's part in one duty.
 #[derive(Debug)]
-pub(crate) struct Tenancy {
+pub(crate) struct DutyLease {
     duty: &'static str,
     /// Whether this life has held it.
     gained: Cell<bool>,
@@ -46,7 +46,7 @@
     tenure: RefCell<Tenure>,
 }
 
-impl Tenancy {
+impl DutyLease {
     /// Opens a part in a duty that this node does not hold; none before it has joined the others.
     pub(crate) async fn open<P: Platform>(
         node: &Rc<Node<P>>,
