--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -93,7 +93,7 @@
 }
 
 /// Asks for the store's return while an outage lasts, where this node watches the store.
-pub(crate) async fn look_for_return<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn probe_until_back<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(ASK_EVERY).await;
         if node.outage.lasts() && feed::is_watcher(&node) {
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -116,7 +116,7 @@
         spawn_local(feed::catch_up(Rc::clone(&node), subject));
     }
     spawn_local(feed::say_alive(Rc::clone(&node)));
-    spawn_local(outage::look_for_return(Rc::clone(&node)));
+    spawn_local(outage::probe_until_back(Rc::clone(&node)));
     spawn_local(crashes::maintain_records(Rc::clone(&node)));
     spawn_local(take_part(Rc::clone(&node)));
     stop.recv().await;
