--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -83,7 +83,7 @@
 ///
 /// What waits is asked again, but the outage lasts here until the store answers this node: it may
 /// still turn this one away, and its calls would be made directly first, a second each.
-pub(crate) fn told_over<P: Platform>(node: &Rc<Node<P>>) {
+pub(crate) fn receive_store_returned<P: Platform>(node: &Rc<Node<P>>) {
     if node.outage.lasts() {
         node.note("store_return_told", json!({}));
         node.batches.store_returned();
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -159,7 +159,7 @@
             node.note_demand(model.as_deref(), work_tokens);
             batches::on_owner_reported(node, &batch, owner);
         }
-        Ok(Datagram::StoreReturned) => outage::told_over(node),
+        Ok(Datagram::StoreReturned) => outage::receive_store_returned(node),
         Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
             let (of_this_life, change) =
                 node.targets.borrow_mut().apply_start_time(&target, born_at_unix_ms);
