--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -295,7 +295,7 @@
             }
             Err(refusal) => {
                 count(&self.metrics.store_failures, "direct");
-                if self.outage.is_over_since(began_at) {
+                if self.outage.answered_since(began_at) {
                     return result;
                 }
                 self.store_backoff_until.set(clock::now().plus(STORE_REST_MS));
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -50,7 +50,7 @@
     /// Tells whether the store has answered since a call was made: its failure says nothing of now.
     /// Taken for an outage, calls that a short one took with it made a node lose and regain the store
     /// five times in a second.
-    pub(crate) fn is_over_since(&self, began_at: UnixMs) -> bool {
+    pub(crate) fn answered_since(&self, began_at: UnixMs) -> bool {
         began_at < self.answered_at.get()
     }
 
