--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -118,7 +118,7 @@
     spawn_local(feed::say_alive(Rc::clone(&node)));
     spawn_local(outage::probe_until_back(Rc::clone(&node)));
     spawn_local(crashes::maintain_records(Rc::clone(&node)));
-    spawn_local(take_part(Rc::clone(&node)));
+    spawn_local(join_and_serve(Rc::clone(&node)));
     stop.recv().await;
     leave(&node).await;
     Ok(())
@@ -153,7 +153,7 @@
 }
 
 /// Registers, joins the others and takes up all duties.
-async fn take_part<P: Platform>(node: Rc<Node<P>>) {
+async fn join_and_serve<P: Platform>(node: Rc<Node<P>>) {
     let settings = node.settings();
     let (incarnation, seeds) = register(&node, &settings).await;
     peers::join(&node, &settings, incarnation, seeds);
