--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -445,7 +445,7 @@
 }
 
 /// Tells the others that this node still watches, as long as it hears the store, and does what is due.
-pub(crate) async fn say_alive<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn run_heartbeats<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(ALIVE_EVERY).await;
         let gone = node.targets.borrow_mut().expire(clock::now());
