--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -320,7 +320,7 @@
 }
 
 /// Reads all keys under a prefix as they were some seconds ago at most, at a tenth of the price.
-pub(crate) async fn read_old<P: Platform>(
+pub(crate) async fn read_stale<P: Platform>(
     node: &Node<P>,
     prefix: &str,
 ) -> Result<Vec<StoredItem>, StoreRefusal> {
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -206,7 +206,7 @@
 /// may lack all others where the whole fleet starts for the first time.
 async fn registered_nodes<P: Platform>(node: &Node<P>) -> Result<Vec<StoredItem>, StoreRefusal> {
     let own_key = format!("{NODES}{}", node.settings().node);
-    let items = feed::read_old(node, NODES).await?;
+    let items = feed::read_stale(node, NODES).await?;
     if items.iter().any(|item| item.key != own_key) {
         return Ok(items);
     }
