--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -86,7 +86,7 @@
 }
 
 /// Takes part in the duty until the process ends.
-pub(crate) async fn give_orders<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn run_order_duty<P: Platform>(node: Rc<Node<P>>) {
     let Some(tenancy) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     let holder = Rc::new(Holder {
         accepted: RefCell::new(IndexMap::new()),
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -165,7 +165,7 @@
     node.note("ready", json!({ "incarnation": incarnation.0 }));
     spawn_local(batches::take_over_orphans(Rc::clone(&node)));
     spawn_local(runs::schedule(Rc::clone(&node)));
-    spawn_local(orders::give_orders(Rc::clone(&node)));
+    spawn_local(orders::run_order_duty(Rc::clone(&node)));
     spawn_local(duties::serve(Rc::clone(&node)));
 }
 
