--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -113,7 +113,7 @@
         tokio::select! {
             _ = ticks.tick() => {
                 with_members(&node, Membership::tick);
-                node.usage.clock_shows(node.settings().peer, UnixMs::from_wall_clock());
+                node.usage.record_clock(node.settings().peer, UnixMs::from_wall_clock());
                 if doubts.arise(&node) {
                     batches::verify_ownership_of_all(&node);
                 }
@@ -147,7 +147,7 @@
 fn receive<P: Platform>(node: &Rc<Node<P>>, frame: &[u8], from: SocketAddr) {
     match wire::open::<Datagram>(&node.key, frame, wire::DATAGRAM_MAX_BYTES) {
         Ok(Datagram::Member { message, wall }) => {
-            node.usage.clock_shows(from, wall);
+            node.usage.record_clock(from, wall);
             with_members(node, |members, now| members.receive(now, from, message));
         }
         Ok(Datagram::Changes { changes, subject }) => feed::told(node, subject, changes, from),
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -43,7 +43,7 @@
 
 impl Usage {
     /// Takes it that a node's clock shows this time of day.
-    pub(crate) fn clock_shows(&self, node: SocketAddr, wall: UnixMs) {
+    pub(crate) fn record_clock(&self, node: SocketAddr, wall: UnixMs) {
         self.time.borrow_mut().record_reading(node, wall, clock::now());
     }
 
