--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::platform::{Platform, TargetRequestMetadata, TargetResponseMetadata};
 use crate::pool::{CallError, Connection, read_body};
-use crate::usage::Counted;
+use crate::usage::CountedRequest;
 use bytes::Bytes;
 use catkinmast_dispatch::CallOutcome;
 use catkinmast_model::{UnixMs, Verdict};
@@ -257,7 +257,7 @@
     outgoing: &OutgoingRequest,
 ) -> Result<CompleteAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
-    let counted = Counted::sent(node, outgoing.workspace.as_deref());
+    let counted = CountedRequest::sent(node, outgoing.workspace.as_deref());
     let began_at = clock::now();
     let left_ms = outgoing.deadline_at.since_ms(began_at);
     let exchange = exchange(node, chosen, outgoing);
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::pool::{Connection, read_body};
-use crate::usage::Counted;
+use crate::usage::CountedRequest;
 use bytes::Bytes;
 use catkinmast_dispatch::{CallOutcome, Route};
 use catkinmast_model::Verdict;
@@ -32,7 +32,7 @@
     body: Incoming,
     connection: Option<Connection>,
     /// Its use, until its first event: only then has it begun.
-    counted: Option<Counted<P>>,
+    counted: Option<CountedRequest<P>>,
     head: HeaderMap,
     in_flight: Option<InFlight<P>>,
     latency_ms: u64,
@@ -164,7 +164,7 @@
         let relay = Relay {
             body,
             connection: Some(connection),
-            counted: Counted::sent(node, outgoing.workspace.as_deref()),
+            counted: CountedRequest::sent(node, outgoing.workspace.as_deref()),
             head: kept,
             in_flight: Some(in_flight),
             latency_ms,
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -60,12 +60,12 @@
 
 /// A request of a workspace at a target. Dropped, it counts as begun: nobody can tell otherwise.
 #[derive(Debug)]
-pub(crate) struct Counted<P: Platform> {
+pub(crate) struct CountedRequest<P: Platform> {
     node: Rc<Node<P>>,
     ticket: Option<OpenRequestId>,
 }
 
-impl<P: Platform> Counted<P> {
+impl<P: Platform> CountedRequest<P> {
     /// Takes it that a request is handed to a target; none where its use is not reported.
     pub(crate) fn sent(node: &Rc<Node<P>>, workspace: Option<&str>) -> Option<Self> {
         let windows = windows(node)?;
@@ -95,7 +95,7 @@
     }
 }
 
-impl<P: Platform> Drop for Counted<P> {
+impl<P: Platform> Drop for CountedRequest<P> {
     fn drop(&mut self) {
         self.settle(|counts, ticket| counts.request_started(ticket, None));
     }
