--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -6,6 +6,7 @@
 //! whoever holds the duty sends exactly that.
 
 use crate::clock;
+use crate::duty_lease::DutyLease;
 use crate::metrics::count;
 use crate::node::Node;
 use crate::peers;
@@ -14,7 +15,6 @@
 use crate::scaling;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoredItem};
-use crate::tenancy::DutyLease;
 use crate::usage;
 use catkinmast_model::{Fence, UnixMs};
 use catkinmast_usage::{UsageSource, Window, Windows};
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! A request's way: `listener` → `caller` → `forward` → target → answer. A sample's: `caller` →
 //! `batch_calls` → `batches` (made durable) → `runs` (scheduled, run, scored) → `batches` (listed) →
-//! reader. What one node does for all is held under a lease by `tenancy`: `orders` to engines, and the
+//! reader. What one node does for all is held under a lease by `duty_lease`: `orders` to engines, and the
 //! `duties` towards the platform, which `usage` and `scaling` serve.
 
 mod access;
@@ -16,6 +16,7 @@
 mod clock;
 mod crashes;
 mod duties;
+mod duty_lease;
 mod feed;
 mod forward;
 mod listener;
@@ -32,7 +33,6 @@
 mod scaling;
 mod settings;
 mod store;
-mod tenancy;
 mod trail;
 mod usage;
 mod wait_queue;
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -7,6 +7,7 @@
 //! finds that number changed and does nothing.
 
 use crate::clock;
+use crate::duty_lease::DutyLease;
 use crate::forward::ChosenTarget;
 use crate::metrics::count;
 use crate::node::Node;
@@ -14,7 +15,6 @@
 use crate::platform::{EngineReport, OrderCall, Platform};
 use crate::pool::{CallError, read_body};
 use crate::store::{Put, StoreCall};
-use crate::tenancy::DutyLease;
 use bytes::Bytes;
 use catkinmast_dispatch::{
     LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -2,13 +2,13 @@
 
 use crate::clock;
 use crate::duties::act;
+use crate::duty_lease::DutyLease;
 use crate::metrics::count;
 use crate::node::Node;
 use crate::platform::{DutyCall, Platform};
 use crate::pool::CallError;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall};
-use crate::tenancy::DutyLease;
 use catkinmast_scaling::{DesiredCounts, OrderOutcome, Pool, Scaling, ScalingConfig, TargetOrder};
 use http::StatusCode;
 use indexmap::IndexMap;
