--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -1,6 +1,6 @@
 //! What changes of a feed mean: a configuration, a version, a target that comes or goes.
 
-use super::known::Teller;
+use super::state::Teller;
 use crate::clock;
 use crate::node::Node;
 use crate::platform::{OperatorUpdate, Platform};
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -15,9 +15,9 @@
 //! [`Freshness`]: catkinmast_dispatch::Freshness
 
 mod apply;
-mod known;
+mod state;
 
-pub(crate) use known::{Changes, Subject};
+pub(crate) use state::{Changes, Subject};
 
 use crate::clock;
 use crate::node::Node;
@@ -27,8 +27,8 @@
 use apply::{take_operator_item, take_target_events};
 use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
-use known::{Known, News, Teller, datagrams};
 use serde_json::json;
+use state::{Known, News, Teller, datagrams};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
