--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -1,6 +1,6 @@
 //! What changes of a feed mean: a configuration, a version, a target that comes or goes.
 
-use super::state::Teller;
+use super::state::Source;
 use crate::clock;
 use crate::node::Node;
 use crate::platform::{OperatorUpdate, Platform};
@@ -13,7 +13,7 @@
 /// that leave do so one by one.
 const VANISHED_PART: usize = 3;
 
-pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, teller: Teller) {
+pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, teller: Source) {
     match P::operator_update(&item.key, &item.value) {
         Ok(Some(OperatorUpdate::Document(document))) => {
             install(node, document, item.revision, teller);
@@ -52,7 +52,7 @@
 
 /// Puts a configuration in force if it is newer than the one held: a late answer must not bring
 /// an old one back.
-fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, teller: Teller) {
+fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, teller: Source) {
     let held = node.document().map_or(0, |held| held.version);
     if node.document().is_some() && document.version <= held {
         return;
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -28,7 +28,7 @@
 use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
 use serde_json::json;
-use state::{Known, News, Teller, datagrams};
+use state::{Known, News, Source, datagrams};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -105,7 +105,7 @@
                 let events = node.feeds.of(subject).known.borrow().difference(&items, as_of);
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
-                let teller = Teller::Store;
+                let teller = Source::Store;
                 arrived(&node, subject, News { after_outage, as_of, confirmed_at, events, teller });
                 // One way to the store that fails is no outage: the whole is read by way of a peer.
                 watch(&node, subject).await.is_some_and(|refusal| {
@@ -222,7 +222,7 @@
             .confirmed_ms_ago
             .map(|ago_ms| UnixMs(told_at.since_ms(UnixMs(ago_ms)))),
         events: changes.events.unwrap_or_default(),
-        teller: Teller::Peer(from),
+        teller: Source::Peer(from),
     }
 }
 
@@ -295,13 +295,13 @@
     }
 }
 
-fn witness<P: Platform>(node: &Node<P>, teller: Teller) -> ConfirmationSource {
+fn witness<P: Platform>(node: &Node<P>, teller: Source) -> ConfirmationSource {
     match teller {
-        Teller::Store => ConfirmationSource::OwnCall,
-        Teller::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
+        Source::Store => ConfirmationSource::OwnCall,
+        Source::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
             ConfirmationSource::EarlierRank
         }
-        Teller::Peer(_) => ConfirmationSource::LaterRank,
+        Source::Peer(_) => ConfirmationSource::LaterRank,
     }
 }
 
@@ -406,7 +406,7 @@
             Ok(StoreAnswer::Events { as_of, events }) => {
                 let any = !events.is_empty();
                 let confirmed_at = Some(answered_from(began_at, wait_ms, any));
-                let teller = Teller::Store;
+                let teller = Source::Store;
                 let news = News { after_outage: false, as_of, confirmed_at, events, teller };
                 arrived(node, subject, news);
                 if any {
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -52,12 +52,12 @@
 
 /// Who told of changes.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Teller {
+pub(super) enum Source {
     Peer(SocketAddr),
     Store,
 }
 
-impl Display for Teller {
+impl Display for Source {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Peer(address) => address.fmt(f),
@@ -76,7 +76,7 @@
     /// When the view that they complete was known to be complete, by this node's clock.
     pub(super) confirmed_at: Option<UnixMs>,
     pub(super) events: Vec<StoreEvent>,
-    pub(super) teller: Teller,
+    pub(super) teller: Source,
 }
 
 /// What a node knows of a feed.
