--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -13,10 +13,10 @@
 /// that leave do so one by one.
 const VANISHED_PART: usize = 3;
 
-pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, teller: Source) {
+pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
     match P::operator_update(&item.key, &item.value) {
         Ok(Some(OperatorUpdate::Document(document))) => {
-            install(node, document, item.revision, teller);
+            install(node, document, item.revision, source);
         }
         Ok(Some(OperatorUpdate::Version { model, version })) => {
             let mut versions = node.versions.borrow_mut();
@@ -28,7 +28,7 @@
                     "version_named",
                     json!({
                         "model": model, "version": version, "revision": item.revision,
-                        "by": teller.to_string(),
+                        "by": source.to_string(),
                     }),
                 );
             }
@@ -52,7 +52,7 @@
 
 /// Puts a configuration in force if it is newer than the one held: a late answer must not bring
 /// an old one back.
-fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, teller: Source) {
+fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, source: Source) {
     let held = node.document().map_or(0, |held| held.version);
     if node.document().is_some() && document.version <= held {
         return;
@@ -61,7 +61,7 @@
         "document_in_force",
         json!({
             "version": document.version, "was": held, "routes": document.routes.len(),
-            "revision": revision, "by": teller.to_string(),
+            "revision": revision, "by": source.to_string(),
         }),
     );
     node.metrics.document_version.set(document.version as i64);
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -105,8 +105,8 @@
                 let events = node.feeds.of(subject).known.borrow().difference(&items, as_of);
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
-                let teller = Source::Store;
-                arrived(&node, subject, News { after_outage, as_of, confirmed_at, events, teller });
+                let source = Source::Store;
+                arrived(&node, subject, News { after_outage, as_of, confirmed_at, events, source });
                 // One way to the store that fails is no outage: the whole is read by way of a peer.
                 watch(&node, subject).await.is_some_and(|refusal| {
                     let why = json!({ "subject": format!("{subject:?}"), "why": refusal.message });
@@ -222,7 +222,7 @@
             .confirmed_ms_ago
             .map(|ago_ms| UnixMs(told_at.since_ms(UnixMs(ago_ms)))),
         events: changes.events.unwrap_or_default(),
-        teller: Source::Peer(from),
+        source: Source::Peer(from),
     }
 }
 
@@ -273,8 +273,8 @@
 }
 
 fn take_changes<P: Platform>(node: &Node<P>, subject: Subject, news: News) {
-    let News { after_outage, as_of, confirmed_at, events, teller } = news;
-    let witness = witness(node, teller);
+    let News { after_outage, as_of, confirmed_at, events, source } = news;
+    let witness = witness(node, source);
     let events = {
         let mut known = node.feeds.of(subject).known.borrow_mut();
         if let Some(at) = confirmed_at {
@@ -287,7 +287,7 @@
         Subject::Operators => {
             for event in &events {
                 if let StoreEvent::Written(item) = event {
-                    take_operator_item(node, item, teller);
+                    take_operator_item(node, item, source);
                 }
             }
         }
@@ -295,8 +295,8 @@
     }
 }
 
-fn witness<P: Platform>(node: &Node<P>, teller: Source) -> ConfirmationSource {
-    match teller {
+fn witness<P: Platform>(node: &Node<P>, source: Source) -> ConfirmationSource {
+    match source {
         Source::Store => ConfirmationSource::OwnCall,
         Source::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
             ConfirmationSource::EarlierRank
@@ -406,8 +406,8 @@
             Ok(StoreAnswer::Events { as_of, events }) => {
                 let any = !events.is_empty();
                 let confirmed_at = Some(answered_from(began_at, wait_ms, any));
-                let teller = Source::Store;
-                let news = News { after_outage: false, as_of, confirmed_at, events, teller };
+                let source = Source::Store;
+                let news = News { after_outage: false, as_of, confirmed_at, events, source };
                 arrived(node, subject, news);
                 if any {
                     sleep(gather).await;
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -76,7 +76,7 @@
     /// When the view that they complete was known to be complete, by this node's clock.
     pub(super) confirmed_at: Option<UnixMs>,
     pub(super) events: Vec<StoreEvent>,
-    pub(super) teller: Source,
+    pub(super) source: Source,
 }
 
 /// What a node knows of a feed.
