--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -28,7 +28,7 @@
 use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
 use serde_json::json;
-use state::{Known, News, Source, datagrams};
+use state::{FeedUpdate, Known, Source, datagrams};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -106,7 +106,11 @@
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
                 let source = Source::Store;
-                arrived(&node, subject, News { after_outage, as_of, confirmed_at, events, source });
+                arrived(
+                    &node,
+                    subject,
+                    FeedUpdate { after_outage, as_of, confirmed_at, events, source },
+                );
                 // One way to the store that fails is no outage: the whole is read by way of a peer.
                 watch(&node, subject).await.is_some_and(|refusal| {
                     let why = json!({ "subject": format!("{subject:?}"), "why": refusal.message });
@@ -214,8 +218,8 @@
 }
 
 /// Turns what a peer told, not before `told_at`, into what this node may believe.
-fn heard(changes: Changes, from: SocketAddr, told_at: UnixMs) -> News {
-    News {
+fn heard(changes: Changes, from: SocketAddr, told_at: UnixMs) -> FeedUpdate {
+    FeedUpdate {
         after_outage: changes.after_outage,
         as_of: changes.as_of,
         confirmed_at: changes
@@ -244,7 +248,7 @@
 }
 
 /// Takes changes that this node saw itself, and passes them on.
-fn arrived<P: Platform>(node: &Node<P>, subject: Subject, news: News) {
+fn arrived<P: Platform>(node: &Node<P>, subject: Subject, news: FeedUpdate) {
     let after = {
         let mut known = node.feeds.of(subject).known.borrow_mut();
         if !known.started {
@@ -272,8 +276,8 @@
     }
 }
 
-fn take_changes<P: Platform>(node: &Node<P>, subject: Subject, news: News) {
-    let News { after_outage, as_of, confirmed_at, events, source } = news;
+fn take_changes<P: Platform>(node: &Node<P>, subject: Subject, news: FeedUpdate) {
+    let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = news;
     let witness = witness(node, source);
     let events = {
         let mut known = node.feeds.of(subject).known.borrow_mut();
@@ -407,7 +411,7 @@
                 let any = !events.is_empty();
                 let confirmed_at = Some(answered_from(began_at, wait_ms, any));
                 let source = Source::Store;
-                let news = News { after_outage: false, as_of, confirmed_at, events, source };
+                let news = FeedUpdate { after_outage: false, as_of, confirmed_at, events, source };
                 arrived(node, subject, news);
                 if any {
                     sleep(gather).await;
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -68,7 +68,7 @@
 
 /// Changes as a node takes them.
 #[derive(Debug)]
-pub(super) struct News {
+pub(super) struct FeedUpdate {
     /// Whether the store was away before them.
     pub(super) after_outage: bool,
     /// The revision up to which they are complete.
