--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -248,18 +248,18 @@
 }
 
 /// Takes changes that this node saw itself, and passes them on.
-fn arrived<P: Platform>(node: &Node<P>, subject: Subject, news: FeedUpdate) {
+fn arrived<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let after = {
         let mut known = node.feeds.of(subject).known.borrow_mut();
         if !known.started {
             known.started = true;
-            known.log_from = news.as_of;
+            known.log_from = update.as_of;
         }
         known.as_of
     };
-    let (after_outage, as_of) = (news.after_outage, news.as_of);
-    let events = Some(news.events.clone());
-    take_changes(node, subject, news);
+    let (after_outage, as_of) = (update.after_outage, update.as_of);
+    let events = Some(update.events.clone());
+    take_changes(node, subject, update);
     if watches(node, subject) {
         let confirmed_ms_ago = told_age_ms(node, subject);
         pass_on(node, subject, Changes { after, after_outage, as_of, confirmed_ms_ago, events });
@@ -276,8 +276,8 @@
     }
 }
 
-fn take_changes<P: Platform>(node: &Node<P>, subject: Subject, news: FeedUpdate) {
-    let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = news;
+fn take_changes<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
+    let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = update;
     let witness = witness(node, source);
     let events = {
         let mut known = node.feeds.of(subject).known.borrow_mut();
@@ -411,8 +411,9 @@
                 let any = !events.is_empty();
                 let confirmed_at = Some(answered_from(began_at, wait_ms, any));
                 let source = Source::Store;
-                let news = FeedUpdate { after_outage: false, as_of, confirmed_at, events, source };
-                arrived(node, subject, news);
+                let update =
+                    FeedUpdate { after_outage: false, as_of, confirmed_at, events, source };
+                arrived(node, subject, update);
                 if any {
                     sleep(gather).await;
                 }
