--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -28,7 +28,7 @@
 use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
 use serde_json::json;
-use state::{FeedUpdate, Known, Source, datagrams};
+use state::{FeedState, FeedUpdate, Source, datagrams};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -63,7 +63,7 @@
     doubted: Notify,
     /// Whether the view was older than it may be when it was last looked at.
     is_old: Cell<bool>,
-    known: RefCell<Known>,
+    known: RefCell<FeedState>,
 }
 
 /// The feeds of a node.
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -81,7 +81,7 @@
 
 /// What a node knows of a feed.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct FeedState {
     pub(super) as_of: u64,
     pub(super) freshness: Freshness,
     pub(super) items: IndexMap<String, (u64, Vec<u8>)>,
@@ -90,7 +90,7 @@
     pub(super) started: bool,
 }
 
-impl Known {
+impl FeedState {
     /// Returns the changes that turn what is known into a list read whole at `as_of`.
     pub(super) fn difference(&self, items: &[StoredItem], as_of: u64) -> Vec<StoreEvent> {
         let listed = |key: &String| items.iter().any(|item| item.key == *key);
