--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -63,7 +63,7 @@
     doubted: Notify,
     /// Whether the view was older than it may be when it was last looked at.
     is_old: Cell<bool>,
-    known: RefCell<FeedState>,
+    state: RefCell<FeedState>,
 }
 
 /// The feeds of a node.
@@ -102,7 +102,7 @@
             }
             Ok((items, as_of)) => {
                 pause_ms = PAUSE_MS;
-                let events = node.feeds.of(subject).known.borrow().difference(&items, as_of);
+                let events = node.feeds.of(subject).state.borrow().difference(&items, as_of);
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
                 let source = Source::Store;
@@ -127,12 +127,12 @@
 
 /// Returns how long this node may go by what it is told before it looks for itself, in milliseconds.
 fn looks_in_ms<P: Platform>(node: &Node<P>, subject: Subject) -> u64 {
-    let known = node.feeds.of(subject).known.borrow();
-    if !known.started || is_watcher(node) {
+    let state = node.feeds.of(subject).state.borrow();
+    if !state.started || is_watcher(node) {
         return 0;
     }
     let rank = peers::rank_for(node, DUTY).unwrap_or(0);
-    let looks_at = known.freshness.next_read_at(rank, node.settings().change_bound);
+    let looks_at = state.freshness.next_read_at(rank, node.settings().change_bound);
     looks_at.since_ms(clock::now())
 }
 
@@ -154,7 +154,7 @@
 /// Tells whether this node watches a subject, be it in place of the watchers.
 fn watches<P: Platform>(node: &Node<P>, subject: Subject) -> bool {
     let Some(rank) = peers::rank_for(node, DUTY) else { return false };
-    let freshness = node.feeds.of(subject).known.borrow().freshness;
+    let freshness = node.feeds.of(subject).state.borrow().freshness;
     peers::settles_after_ms(node) == Some(0)
         && freshness.should_watch(clock::now(), rank, node.settings().change_bound)
 }
@@ -162,7 +162,7 @@
 /// Returns how long ago the store confirmed a view to this node itself, as others may be told, in
 /// milliseconds.
 fn told_age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
-    let freshness = node.feeds.of(subject).known.borrow().freshness;
+    let freshness = node.feeds.of(subject).state.borrow().freshness;
     freshness.reportable_age_ms(clock::now(), node.settings().change_bound)
 }
 
@@ -173,13 +173,13 @@
     loop {
         feed.behind.notified().await;
         let Some(peer) = feed.behind_of.borrow_mut().take() else { continue };
-        let after = feed.known.borrow().as_of;
+        let after = feed.state.borrow().as_of;
         let call = PeerCall::Changes { after, subject };
         let began_at = clock::now();
         if let Ok(PeerAnswer::Changes(changes)) = node.ask_peer(peer, &call, CATCH_UP_MAX).await {
             take_changes(&node, subject, heard(changes, peer, began_at));
         } else {
-            feed.known.borrow_mut().freshness.invalidate();
+            feed.state.borrow_mut().freshness.invalidate();
             feed.doubted.notify_one();
         }
     }
@@ -191,25 +191,25 @@
     subject: Subject,
     after: u64,
 ) -> Option<Changes> {
-    let known = node.feeds.of(subject).known.borrow();
-    if !known.started || after > known.as_of {
+    let state = node.feeds.of(subject).state.borrow();
+    if !state.started || after > state.as_of {
         return None;
     }
-    let events = if after >= known.log_from {
-        known.log.iter().filter(|event| event.revision() > after).cloned().collect()
+    let events = if after >= state.log_from {
+        state.log.iter().filter(|event| event.revision() > after).cloned().collect()
     } else {
         // What was deleted since cannot be told any more; the whole list is read from the store.
         return None;
     };
     let confirmed_ms_ago =
-        known.freshness.reportable_age_ms(clock::now(), node.settings().change_bound);
+        state.freshness.reportable_age_ms(clock::now(), node.settings().change_bound);
     let events = Some(events);
-    Some(Changes { after, after_outage: false, as_of: known.as_of, confirmed_ms_ago, events })
+    Some(Changes { after, after_outage: false, as_of: state.as_of, confirmed_ms_ago, events })
 }
 
 /// Returns how long ago a view of the store was last known to be complete, in milliseconds.
 pub(crate) fn age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
-    node.feeds.of(subject).known.borrow().freshness.age_ms(clock::now())
+    node.feeds.of(subject).state.borrow().freshness.age_ms(clock::now())
 }
 
 /// Tells whether a view of the store is no older than the bound of a change.
@@ -238,7 +238,7 @@
     from: SocketAddr,
 ) {
     let feed = node.feeds.of(subject);
-    let as_of = feed.known.borrow().as_of;
+    let as_of = feed.state.borrow().as_of;
     if changes.after > as_of || (changes.events.is_none() && changes.as_of > as_of) {
         *feed.behind_of.borrow_mut() = Some(from);
         feed.behind.notify_one();
@@ -250,12 +250,12 @@
 /// Takes changes that this node saw itself, and passes them on.
 fn arrived<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let after = {
-        let mut known = node.feeds.of(subject).known.borrow_mut();
-        if !known.started {
-            known.started = true;
-            known.log_from = update.as_of;
+        let mut state = node.feeds.of(subject).state.borrow_mut();
+        if !state.started {
+            state.started = true;
+            state.log_from = update.as_of;
         }
-        known.as_of
+        state.as_of
     };
     let (after_outage, as_of) = (update.after_outage, update.as_of);
     let events = Some(update.events.clone());
@@ -280,12 +280,12 @@
     let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = update;
     let witness = witness(node, source);
     let events = {
-        let mut known = node.feeds.of(subject).known.borrow_mut();
+        let mut state = node.feeds.of(subject).state.borrow_mut();
         if let Some(at) = confirmed_at {
-            known.freshness.confirm(at, witness);
+            state.freshness.confirm(at, witness);
         }
         // What was told meanwhile is newer: late changes could bring back what was deleted since.
-        if as_of < known.as_of { Vec::new() } else { known.take(events, as_of) }
+        if as_of < state.as_of { Vec::new() } else { state.take(events, as_of) }
     };
     match subject {
         Subject::Operators => {
@@ -399,8 +399,8 @@
     };
     while watches(node, subject) {
         let (after, freshness) = {
-            let known = node.feeds.of(subject).known.borrow();
-            (known.as_of, known.freshness)
+            let state = node.feeds.of(subject).state.borrow();
+            (state.as_of, state.freshness)
         };
         let prefix = prefix::<P>(subject).to_owned();
         let began_at = clock::now();
@@ -443,7 +443,7 @@
     let is_old = age_ms > node.settings().change_bound.as_ms();
     if node.feeds.of(subject).is_old.replace(is_old) != is_old {
         let event = if is_old { "feed_old" } else { "feed_current" };
-        let as_of = node.feeds.of(subject).known.borrow().as_of;
+        let as_of = node.feeds.of(subject).state.borrow().as_of;
         let subject = format!("{subject:?}");
         node.note(event, json!({ "subject": subject, "age_ms": age_ms, "revision": as_of }));
     }
@@ -468,7 +468,7 @@
 
 fn say_alive_once<P: Platform>(node: &Node<P>, subject: Subject) {
     let Some(age_ms) = told_age_ms(node, subject) else { return };
-    let as_of = node.feeds.of(subject).known.borrow().as_of;
+    let as_of = node.feeds.of(subject).state.borrow().as_of;
     let confirmed_ms_ago = Some(age_ms);
     let events = Some(Vec::new());
     let changes = Changes { after: as_of, after_outage: false, as_of, confirmed_ms_ago, events };
