--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -177,7 +177,7 @@
         let call = PeerCall::Changes { after, subject };
         let began_at = clock::now();
         if let Ok(PeerAnswer::Changes(changes)) = node.ask_peer(peer, &call, CATCH_UP_MAX).await {
-            take_changes(&node, subject, heard(changes, peer, began_at));
+            take_changes(&node, subject, peer_update(changes, peer, began_at));
         } else {
             feed.state.borrow_mut().freshness.invalidate();
             feed.doubted.notify_one();
@@ -218,7 +218,7 @@
 }
 
 /// Turns what a peer told, not before `told_at`, into what this node may believe.
-fn heard(changes: Changes, from: SocketAddr, told_at: UnixMs) -> FeedUpdate {
+fn peer_update(changes: Changes, from: SocketAddr, told_at: UnixMs) -> FeedUpdate {
     FeedUpdate {
         after_outage: changes.after_outage,
         as_of: changes.as_of,
@@ -244,7 +244,7 @@
         feed.behind.notify_one();
         return;
     }
-    take_changes(node, subject, heard(changes, from, clock::now()));
+    take_changes(node, subject, peer_update(changes, from, clock::now()));
 }
 
 /// Takes changes that this node saw itself, and passes them on.
