--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -217,14 +217,14 @@
     age_ms(node, subject).is_some_and(|age_ms| age_ms <= node.settings().change_bound.as_ms())
 }
 
-/// Turns what a peer told, not before `told_at`, into what this node may believe.
-fn peer_update(changes: Changes, from: SocketAddr, told_at: UnixMs) -> FeedUpdate {
+/// Turns what a peer told, not before `sent_after`, into what this node may believe.
+fn peer_update(changes: Changes, from: SocketAddr, sent_after: UnixMs) -> FeedUpdate {
     FeedUpdate {
         after_outage: changes.after_outage,
         as_of: changes.as_of,
         confirmed_at: changes
             .confirmed_ms_ago
-            .map(|ago_ms| UnixMs(told_at.since_ms(UnixMs(ago_ms)))),
+            .map(|ago_ms| UnixMs(sent_after.since_ms(UnixMs(ago_ms)))),
         events: changes.events.unwrap_or_default(),
         source: Source::Peer(from),
     }
