--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -106,7 +106,7 @@
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
                 let source = Source::Store;
-                arrived(
+                apply_and_forward(
                     &node,
                     subject,
                     FeedUpdate { after_outage, as_of, confirmed_at, events, source },
@@ -248,7 +248,7 @@
 }
 
 /// Takes changes that this node saw itself, and passes them on.
-fn arrived<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
+fn apply_and_forward<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let after = {
         let mut state = node.feeds.of(subject).state.borrow_mut();
         if !state.started {
@@ -413,7 +413,7 @@
                 let source = Source::Store;
                 let update =
                     FeedUpdate { after_outage: false, as_of, confirmed_at, events, source };
-                arrived(node, subject, update);
+                apply_and_forward(node, subject, update);
                 if any {
                     sleep(gather).await;
                 }
