--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -262,11 +262,11 @@
     take_changes(node, subject, update);
     if watches(node, subject) {
         let confirmed_ms_ago = told_age_ms(node, subject);
-        pass_on(node, subject, Changes { after, after_outage, as_of, confirmed_ms_ago, events });
+        forward(node, subject, Changes { after, after_outage, as_of, confirmed_ms_ago, events });
     }
 }
 
-fn pass_on<P: Platform>(node: &Node<P>, subject: Subject, changes: Changes) {
+fn forward<P: Platform>(node: &Node<P>, subject: Subject, changes: Changes) {
     let peers = node.live_peers();
     for part in datagrams(changes) {
         let datagram = Datagram::Changes { changes: part, subject };
@@ -472,5 +472,5 @@
     let confirmed_ms_ago = Some(age_ms);
     let events = Some(Vec::new());
     let changes = Changes { after: as_of, after_outage: false, as_of, confirmed_ms_ago, events };
-    pass_on(node, subject, changes);
+    forward(node, subject, changes);
 }
