--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -177,7 +177,7 @@
         let call = PeerCall::Changes { after, subject };
         let began_at = clock::now();
         if let Ok(PeerAnswer::Changes(changes)) = node.ask_peer(peer, &call, CATCH_UP_MAX).await {
-            take_changes(&node, subject, peer_update(changes, peer, began_at));
+            apply_update(&node, subject, peer_update(changes, peer, began_at));
         } else {
             feed.state.borrow_mut().freshness.invalidate();
             feed.doubted.notify_one();
@@ -244,7 +244,7 @@
         feed.behind.notify_one();
         return;
     }
-    take_changes(node, subject, peer_update(changes, from, clock::now()));
+    apply_update(node, subject, peer_update(changes, from, clock::now()));
 }
 
 /// Takes changes that this node saw itself, and passes them on.
@@ -259,7 +259,7 @@
     };
     let (after_outage, as_of) = (update.after_outage, update.as_of);
     let events = Some(update.events.clone());
-    take_changes(node, subject, update);
+    apply_update(node, subject, update);
     if watches(node, subject) {
         let confirmed_ms_ago = told_age_ms(node, subject);
         forward(node, subject, Changes { after, after_outage, as_of, confirmed_ms_ago, events });
@@ -276,7 +276,7 @@
     }
 }
 
-fn take_changes<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
+fn apply_update<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = update;
     let witness = witness(node, source);
     let events = {
