--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -95,7 +95,7 @@
             continue;
         }
         let began_at = clock::now();
-        let failed = match look(&node, prefix::<P>(subject)).await {
+        let failed = match read_hedged(&node, prefix::<P>(subject)).await {
             Err(_) => {
                 after_outage = true;
                 true
@@ -334,7 +334,7 @@
 
 /// Reads all keys under a prefix as they are, by the first way to the store that answers: tried one
 /// after the other, a way that fails would keep one that has come back from being used.
-async fn look<P: Platform>(
+async fn read_hedged<P: Platform>(
     node: &Rc<Node<P>>,
     prefix: &'static str,
 ) -> Result<(Vec<StoredItem>, u64), StoreRefusal> {
