--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -345,12 +345,12 @@
     });
     match timeout(HEDGE_AFTER, &mut direct).await {
         Ok(Ok(Ok(found))) => return Ok(found),
-        Ok(_) => return look_by_peer(node, prefix).await,
+        Ok(_) => return read_via_peer(node, prefix).await,
         Err(_) => {}
     }
     tokio::select! {
         Ok(Ok(found)) = direct => Ok(found),
-        Ok(found) = look_by_peer(node, prefix) => Ok(found),
+        Ok(found) = read_via_peer(node, prefix) => Ok(found),
         else => Err(StoreRefusal {
             message: "neither the store nor a peer answered".to_owned(),
             verdict: catkinmast_model::Verdict::NotRun,
@@ -358,7 +358,7 @@
     }
 }
 
-async fn look_by_peer<P: Platform>(
+async fn read_via_peer<P: Platform>(
     node: &Rc<Node<P>>,
     prefix: &str,
 ) -> Result<(Vec<StoredItem>, u64), StoreRefusal> {
