--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -87,7 +87,7 @@
     let mut pause_ms = PAUSE_MS;
     let mut after_outage = false;
     loop {
-        let idle_ms = looks_in_ms(&node, subject);
+        let idle_ms = own_read_in_ms(&node, subject);
         if idle_ms > 0 {
             let wait_ms = idle_ms.min(peers::next_settle_check_ms(&node));
             let doubted = node.feeds.of(subject).doubted.notified();
@@ -126,7 +126,7 @@
 }
 
 /// Returns how long this node may go by what it is told before it looks for itself, in milliseconds.
-fn looks_in_ms<P: Platform>(node: &Node<P>, subject: Subject) -> u64 {
+fn own_read_in_ms<P: Platform>(node: &Node<P>, subject: Subject) -> u64 {
     let state = node.feeds.of(subject).state.borrow();
     if !state.started || is_watcher(node) {
         return 0;
