--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -460,13 +460,13 @@
         for subject in [Subject::Operators, Subject::Targets] {
             watch_age(&node, subject);
             if !node.leaving.get() && watches(&node, subject) {
-                say_alive_once(&node, subject);
+                send_heartbeat(&node, subject);
             }
         }
     }
 }
 
-fn say_alive_once<P: Platform>(node: &Node<P>, subject: Subject) {
+fn send_heartbeat<P: Platform>(node: &Node<P>, subject: Subject) {
     let Some(age_ms) = told_age_ms(node, subject) else { return };
     let as_of = node.feeds.of(subject).state.borrow().as_of;
     let confirmed_ms_ago = Some(age_ms);
