--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -40,7 +40,7 @@
 /// The duty of the nodes that watch.
 const DUTY: &str = "feeds";
 /// How often a watcher says that it still watches, for nodes that have lost a datagram.
-const ALIVE_EVERY: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Changes of targets that come within this time cost one call and one datagram instead of several.
 /// A leaving target must be out of use within two seconds.
 const GATHER_TARGETS: Duration = Duration::from_millis(300);
@@ -452,7 +452,7 @@
 /// Tells the others that this node still watches, as long as it hears the store, and does what is due.
 pub(crate) async fn run_heartbeats<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        sleep(ALIVE_EVERY).await;
+        sleep(HEARTBEAT_INTERVAL).await;
         let gone = node.targets.borrow_mut().expire(clock::now());
         for change in &gone {
             node.target_changed(change, "not back after the registry's outage");
