--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -43,7 +43,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Changes of targets that come within this time cost one call and one datagram instead of several.
 /// A leaving target must be out of use within two seconds.
-const GATHER_TARGETS: Duration = Duration::from_millis(300);
+const TARGETS_COALESCE_TIME: Duration = Duration::from_millis(300);
 /// The same for what operators and trainers write; a trainer waits for its version.
 const GATHER_OPERATORS: Duration = Duration::from_millis(60);
 /// First pause after a failure; doubled up to [`PAUSE_MAX_MS`], with jitter.
@@ -395,7 +395,7 @@
 async fn watch<P: Platform>(node: &Rc<Node<P>>, subject: Subject) -> Option<StoreRefusal> {
     let gather = match subject {
         Subject::Operators => GATHER_OPERATORS,
-        Subject::Targets => GATHER_TARGETS,
+        Subject::Targets => TARGETS_COALESCE_TIME,
     };
     while watches(node, subject) {
         let (after, freshness) = {
