--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -45,7 +45,7 @@
 /// A leaving target must be out of use within two seconds.
 const TARGETS_COALESCE_TIME: Duration = Duration::from_millis(300);
 /// The same for what operators and trainers write; a trainer waits for its version.
-const GATHER_OPERATORS: Duration = Duration::from_millis(60);
+const OPERATORS_COALESCE_TIME: Duration = Duration::from_millis(60);
 /// First pause after a failure; doubled up to [`PAUSE_MAX_MS`], with jitter.
 const PAUSE_MS: u64 = 100;
 const PAUSE_MAX_MS: u64 = 800;
@@ -394,7 +394,7 @@
 /// Waits for changes until the history is lost, the store does not answer, or others watch.
 async fn watch<P: Platform>(node: &Rc<Node<P>>, subject: Subject) -> Option<StoreRefusal> {
     let gather = match subject {
-        Subject::Operators => GATHER_OPERATORS,
+        Subject::Operators => OPERATORS_COALESCE_TIME,
         Subject::Targets => TARGETS_COALESCE_TIME,
     };
     while watches(node, subject) {
