--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -393,7 +393,7 @@
 
 /// Waits for changes until the history is lost, the store does not answer, or others watch.
 async fn watch<P: Platform>(node: &Rc<Node<P>>, subject: Subject) -> Option<StoreRefusal> {
-    let gather = match subject {
+    let coalesce_time = match subject {
         Subject::Operators => OPERATORS_COALESCE_TIME,
         Subject::Targets => TARGETS_COALESCE_TIME,
     };
@@ -415,7 +415,7 @@
                     FeedUpdate { after_outage: false, as_of, confirmed_at, events, source };
                 apply_and_forward(node, subject, update);
                 if any {
-                    sleep(gather).await;
+                    sleep(coalesce_time).await;
                 }
             }
             Ok(_) => {
