--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -47,7 +47,7 @@
 /// The same for what operators and trainers write; a trainer waits for its version.
 const OPERATORS_COALESCE_TIME: Duration = Duration::from_millis(60);
 /// First pause after a failure; doubled up to [`PAUSE_MAX_MS`], with jitter.
-const PAUSE_MS: u64 = 100;
+const BACKOFF_FIRST_MS: u64 = 100;
 const PAUSE_MAX_MS: u64 = 800;
 /// How long the store may take to answer before a peer is asked as well; a slow one takes less.
 const HEDGE_AFTER: Duration = Duration::from_millis(500);
@@ -84,7 +84,7 @@
 
 /// Follows a subject until the process ends.
 pub(crate) async fn follow<P: Platform>(node: Rc<Node<P>>, subject: Subject) {
-    let mut pause_ms = PAUSE_MS;
+    let mut pause_ms = BACKOFF_FIRST_MS;
     let mut after_outage = false;
     loop {
         let idle_ms = own_read_in_ms(&node, subject);
@@ -101,7 +101,7 @@
                 true
             }
             Ok((items, as_of)) => {
-                pause_ms = PAUSE_MS;
+                pause_ms = BACKOFF_FIRST_MS;
                 let events = node.feeds.of(subject).state.borrow().difference(&items, as_of);
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
