--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -46,9 +46,9 @@
 const TARGETS_COALESCE_TIME: Duration = Duration::from_millis(300);
 /// The same for what operators and trainers write; a trainer waits for its version.
 const OPERATORS_COALESCE_TIME: Duration = Duration::from_millis(60);
-/// First pause after a failure; doubled up to [`PAUSE_MAX_MS`], with jitter.
+/// First pause after a failure; doubled up to [`BACKOFF_MAX_MS`], with jitter.
 const BACKOFF_FIRST_MS: u64 = 100;
-const PAUSE_MAX_MS: u64 = 800;
+const BACKOFF_MAX_MS: u64 = 800;
 /// How long the store may take to answer before a peer is asked as well; a slow one takes less.
 const HEDGE_AFTER: Duration = Duration::from_millis(500);
 /// How long a peer may take to tell what came since.
@@ -312,7 +312,7 @@
 async fn pause<P: Platform>(node: &Node<P>, pause_ms: u64) -> u64 {
     let jittered_ms = pause_ms / 2 + node.draw() % pause_ms;
     sleep(Duration::from_millis(jittered_ms)).await;
-    (pause_ms * 2).min(PAUSE_MAX_MS)
+    (pause_ms * 2).min(BACKOFF_MAX_MS)
 }
 
 /// Reads all keys under a prefix, and the revision after which changes are wanted.
