--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -120,7 +120,7 @@
             }
         };
         if failed {
-            pause_ms = pause(&node, pause_ms).await;
+            pause_ms = back_off(&node, pause_ms).await;
         }
     }
 }
@@ -309,7 +309,7 @@
     }
 }
 
-async fn pause<P: Platform>(node: &Node<P>, pause_ms: u64) -> u64 {
+async fn back_off<P: Platform>(node: &Node<P>, pause_ms: u64) -> u64 {
     let jittered_ms = pause_ms / 2 + node.draw() % pause_ms;
     sleep(Duration::from_millis(jittered_ms)).await;
     (pause_ms * 2).min(BACKOFF_MAX_MS)
