--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -84,7 +84,7 @@
 
 /// Follows a subject until the process ends.
 pub(crate) async fn follow<P: Platform>(node: Rc<Node<P>>, subject: Subject) {
-    let mut pause_ms = BACKOFF_FIRST_MS;
+    let mut backoff_ms = BACKOFF_FIRST_MS;
     let mut after_outage = false;
     loop {
         let idle_ms = own_read_in_ms(&node, subject);
@@ -101,7 +101,7 @@
                 true
             }
             Ok((items, as_of)) => {
-                pause_ms = BACKOFF_FIRST_MS;
+                backoff_ms = BACKOFF_FIRST_MS;
                 let events = node.feeds.of(subject).state.borrow().difference(&items, as_of);
                 let after_outage = std::mem::take(&mut after_outage);
                 let confirmed_at = Some(began_at);
@@ -120,7 +120,7 @@
             }
         };
         if failed {
-            pause_ms = back_off(&node, pause_ms).await;
+            backoff_ms = back_off(&node, backoff_ms).await;
         }
     }
 }
@@ -309,10 +309,10 @@
     }
 }
 
-async fn back_off<P: Platform>(node: &Node<P>, pause_ms: u64) -> u64 {
-    let jittered_ms = pause_ms / 2 + node.draw() % pause_ms;
+async fn back_off<P: Platform>(node: &Node<P>, backoff_ms: u64) -> u64 {
+    let jittered_ms = backoff_ms / 2 + node.draw() % backoff_ms;
     sleep(Duration::from_millis(jittered_ms)).await;
-    (pause_ms * 2).min(BACKOFF_MAX_MS)
+    (backoff_ms * 2).min(BACKOFF_MAX_MS)
 }
 
 /// Reads all keys under a prefix, and the revision after which changes are wanted.
