--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -52,7 +52,7 @@
 /// How long the store may take to answer before a peer is asked as well; a slow one takes less.
 const HEDGE_AFTER: Duration = Duration::from_millis(500);
 /// How long a peer may take to tell what came since.
-const CATCH_UP_MAX: Duration = Duration::from_millis(500);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A feed.
 #[derive(Debug, Default)]
@@ -176,7 +176,8 @@
         let after = feed.state.borrow().as_of;
         let call = PeerCall::Changes { after, subject };
         let began_at = clock::now();
-        if let Ok(PeerAnswer::Changes(changes)) = node.ask_peer(peer, &call, CATCH_UP_MAX).await {
+        if let Ok(PeerAnswer::Changes(changes)) = node.ask_peer(peer, &call, CATCH_UP_TIMEOUT).await
+        {
             apply_update(&node, subject, peer_update(changes, peer, began_at));
         } else {
             feed.state.borrow_mut().freshness.invalidate();
