--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -57,7 +57,7 @@
 /// A feed.
 #[derive(Debug, Default)]
 pub(crate) struct Feed {
-    behind: Notify,
+    catch_up_wanted: Notify,
     behind_of: RefCell<Option<SocketAddr>>,
     /// Wakes the node to look for itself, since there is something that nobody tells it.
     doubted: Notify,
@@ -171,7 +171,7 @@
 pub(crate) async fn catch_up<P: Platform>(node: Rc<Node<P>>, subject: Subject) {
     let feed = node.feeds.of(subject);
     loop {
-        feed.behind.notified().await;
+        feed.catch_up_wanted.notified().await;
         let Some(peer) = feed.behind_of.borrow_mut().take() else { continue };
         let after = feed.state.borrow().as_of;
         let call = PeerCall::Changes { after, subject };
@@ -242,7 +242,7 @@
     let as_of = feed.state.borrow().as_of;
     if changes.after > as_of || (changes.events.is_none() && changes.as_of > as_of) {
         *feed.behind_of.borrow_mut() = Some(from);
-        feed.behind.notify_one();
+        feed.catch_up_wanted.notify_one();
         return;
     }
     apply_update(node, subject, peer_update(changes, from, clock::now()));
