--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Feed {
     catch_up_wanted: Notify,
-    behind_of: RefCell<Option<SocketAddr>>,
+    catch_up_from: RefCell<Option<SocketAddr>>,
     /// Wakes the node to look for itself, since there is something that nobody tells it.
     doubted: Notify,
     /// Whether the view was older than it may be when it was last looked at.
@@ -172,7 +172,7 @@
     let feed = node.feeds.of(subject);
     loop {
         feed.catch_up_wanted.notified().await;
-        let Some(peer) = feed.behind_of.borrow_mut().take() else { continue };
+        let Some(peer) = feed.catch_up_from.borrow_mut().take() else { continue };
         let after = feed.state.borrow().as_of;
         let call = PeerCall::Changes { after, subject };
         let began_at = clock::now();
@@ -241,7 +241,7 @@
     let feed = node.feeds.of(subject);
     let as_of = feed.state.borrow().as_of;
     if changes.after > as_of || (changes.events.is_none() && changes.as_of > as_of) {
-        *feed.behind_of.borrow_mut() = Some(from);
+        *feed.catch_up_from.borrow_mut() = Some(from);
         feed.catch_up_wanted.notify_one();
         return;
     }
