--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -60,7 +60,7 @@
     catch_up_wanted: Notify,
     catch_up_from: RefCell<Option<SocketAddr>>,
     /// Wakes the node to look for itself, since there is something that nobody tells it.
-    doubted: Notify,
+    own_read_wanted: Notify,
     /// Whether the view was older than it may be when it was last looked at.
     is_old: Cell<bool>,
     state: RefCell<FeedState>,
@@ -90,8 +90,8 @@
         let idle_ms = own_read_in_ms(&node, subject);
         if idle_ms > 0 {
             let wait_ms = idle_ms.min(peers::next_settle_check_ms(&node));
-            let doubted = node.feeds.of(subject).doubted.notified();
-            drop(timeout(Duration::from_millis(wait_ms), doubted).await);
+            let own_read_wanted = node.feeds.of(subject).own_read_wanted.notified();
+            drop(timeout(Duration::from_millis(wait_ms), own_read_wanted).await);
             continue;
         }
         let began_at = clock::now();
@@ -181,7 +181,7 @@
             apply_update(&node, subject, peer_update(changes, peer, began_at));
         } else {
             feed.state.borrow_mut().freshness.invalidate();
-            feed.doubted.notify_one();
+            feed.own_read_wanted.notify_one();
         }
     }
 }
