--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -438,7 +438,7 @@
 }
 
 /// Writes down when this node's view of the store gets old, and when it is current again.
-fn watch_age<P: Platform>(node: &Node<P>, subject: Subject) {
+fn report_age<P: Platform>(node: &Node<P>, subject: Subject) {
     let Some(age_ms) = age_ms(node, subject) else { return };
     node.metrics.feed_age_ms.get_or_create(&subject.reason()).set(age_ms as i64);
     let is_old = age_ms > node.settings().change_bound.as_ms();
@@ -459,7 +459,7 @@
             node.target_changed(change, "not back after the registry's outage");
         }
         for subject in [Subject::Operators, Subject::Targets] {
-            watch_age(&node, subject);
+            report_age(&node, subject);
             if !node.leaving.get() && watches(&node, subject) {
                 send_heartbeat(&node, subject);
             }
