--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -410,7 +410,7 @@
         match node.store(&call).await {
             Ok(StoreAnswer::Events { as_of, events }) => {
                 let any = !events.is_empty();
-                let confirmed_at = Some(answered_from(began_at, wait_ms, any));
+                let confirmed_at = Some(earliest_answer_at(began_at, wait_ms, any));
                 let source = Source::Store;
                 let update =
                     FeedUpdate { after_outage: false, as_of, confirmed_at, events, source };
@@ -432,7 +432,7 @@
 
 /// Returns the earliest moment at which the store can have answered a watch that was made at
 /// `began_at`: without a change it answers only when the wait is over.
-fn answered_from(began_at: UnixMs, wait_ms: u64, with_changes: bool) -> UnixMs {
+fn earliest_answer_at(began_at: UnixMs, wait_ms: u64, with_changes: bool) -> UnixMs {
     let waited_until = began_at.plus(wait_ms);
     if with_changes || clock::now() < waited_until { began_at } else { waited_until }
 }
