--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -13,7 +13,7 @@
 /// Bytes of changes in one datagram.
 const DATAGRAM_CHANGES_BYTES: usize = 1_200;
 /// Changes kept for peers that missed a datagram.
-const LOG_MAX: usize = 512;
+const LOG_MAX_EVENTS: usize = 512;
 
 /// What a feed follows.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -112,7 +112,7 @@
         for event in &news {
             self.log.push_back(event.clone());
         }
-        while self.log.len() > LOG_MAX {
+        while self.log.len() > LOG_MAX_EVENTS {
             if let Some(event) = self.log.pop_front() {
                 self.log_from = self.log_from.max(event.revision());
             }
