--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -125,18 +125,18 @@
         let held = self.items.get(event.key()).map(|(revision, _)| *revision);
         match event {
             StoreEvent::Written(item) => {
-                let is_news = held.is_none_or(|held| item.revision > held);
-                if is_news {
+                let is_new = held.is_none_or(|held| item.revision > held);
+                if is_new {
                     self.items.insert(item.key.clone(), (item.revision, item.value.clone()));
                 }
-                is_news
+                is_new
             }
             StoreEvent::Deleted { key, revision } => {
-                let is_news = held.is_some_and(|held| *revision > held);
-                if is_news {
+                let is_new = held.is_some_and(|held| *revision > held);
+                if is_new {
                     self.items.swap_remove(key);
                 }
-                is_news
+                is_new
             }
         }
     }
