--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -107,9 +107,9 @@
 
     /// Takes changes; returns those that were news.
     pub(super) fn take(&mut self, events: Vec<StoreEvent>, as_of: u64) -> Vec<StoreEvent> {
-        let news: Vec<StoreEvent> =
+        let applied: Vec<StoreEvent> =
             events.into_iter().filter(|event| self.take_one(event)).collect();
-        for event in &news {
+        for event in &applied {
             self.log.push_back(event.clone());
         }
         while self.log.len() > LOG_MAX_EVENTS {
@@ -118,7 +118,7 @@
             }
         }
         self.as_of = self.as_of.max(as_of);
-        news
+        applied
     }
 
     fn take_one(&mut self, event: &StoreEvent) -> bool {
