--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -108,7 +108,7 @@
     /// Takes changes; returns those that were news.
     pub(super) fn take(&mut self, events: Vec<StoreEvent>, as_of: u64) -> Vec<StoreEvent> {
         let applied: Vec<StoreEvent> =
-            events.into_iter().filter(|event| self.take_one(event)).collect();
+            events.into_iter().filter(|event| self.apply_one(event)).collect();
         for event in &applied {
             self.log.push_back(event.clone());
         }
@@ -121,7 +121,7 @@
         applied
     }
 
-    fn take_one(&mut self, event: &StoreEvent) -> bool {
+    fn apply_one(&mut self, event: &StoreEvent) -> bool {
         let held = self.items.get(event.key()).map(|(revision, _)| *revision);
         match event {
             StoreEvent::Written(item) => {
