--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -11,7 +11,7 @@
 
 /// When more than one target in this many vanishes at once, the registry forgot them; targets
 /// that leave do so one by one.
-const VANISHED_PART: usize = 3;
+const LOSS_DIVISOR: usize = 3;
 
 pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
     match P::operator_update(&item.key, &item.value) {
@@ -76,7 +76,7 @@
 ) {
     let now = clock::now();
     let gone = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
-    let forgotten = gone > 1 && gone * VANISHED_PART > node.targets.borrow().count();
+    let forgotten = gone > 1 && gone * LOSS_DIVISOR > node.targets.borrow().count();
     for event in events {
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
