--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -76,12 +76,12 @@
 ) {
     let now = clock::now();
     let gone = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
-    let forgotten = gone > 1 && gone * LOSS_DIVISOR > node.targets.borrow().count();
+    let registry_lost = gone > 1 && gone * LOSS_DIVISOR > node.targets.borrow().count();
     for event in events {
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
                 let id = P::target_id(key);
-                node.targets.borrow_mut().apply_removal(now, id, after_outage || forgotten)
+                node.targets.borrow_mut().apply_removal(now, id, after_outage || registry_lost)
             }
             StoreEvent::Written(item) => match decode_target(node, item) {
                 Some(entry) => node.targets.borrow_mut().apply_entry(entry),
