--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -13,7 +13,7 @@
 /// that leave do so one by one.
 const LOSS_DIVISOR: usize = 3;
 
-pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
+pub(super) fn apply_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
     match P::operator_update(&item.key, &item.value) {
         Ok(Some(OperatorUpdate::Document(document))) => {
             install(node, document, item.revision, source);
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -24,7 +24,7 @@
 use crate::peers::{self, Datagram, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::{StoreAnswer, StoreCall, StoreEvent, StoreRefusal, StoredItem};
-use apply::{take_operator_item, take_target_events};
+use apply::{apply_operator_item, take_target_events};
 use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
 use serde_json::json;
@@ -292,7 +292,7 @@
         Subject::Operators => {
             for event in &events {
                 if let StoreEvent::Written(item) = event {
-                    take_operator_item(node, item, source);
+                    apply_operator_item(node, item, source);
                 }
             }
         }
