--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -69,7 +69,7 @@
     node.work.notify_one();
 }
 
-pub(super) fn take_target_events<P: Platform>(
+pub(super) fn apply_target_events<P: Platform>(
     node: &Node<P>,
     events: &[StoreEvent],
     after_outage: bool,
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -24,7 +24,7 @@
 use crate::peers::{self, Datagram, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::{StoreAnswer, StoreCall, StoreEvent, StoreRefusal, StoredItem};
-use apply::{apply_operator_item, take_target_events};
+use apply::{apply_operator_item, apply_target_events};
 use catkinmast_dispatch::{ConfirmationSource, WATCHERS};
 use catkinmast_model::UnixMs;
 use serde_json::json;
@@ -296,7 +296,7 @@
                 }
             }
         }
-        Subject::Targets => take_target_events(node, &events, after_outage),
+        Subject::Targets => apply_target_events(node, &events, after_outage),
     }
 }
 
