--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -232,7 +232,7 @@
 }
 
 /// Takes a watcher's datagram.
-pub(crate) fn told<P: Platform>(
+pub(crate) fn receive_changes<P: Platform>(
     node: &Node<P>,
     subject: Subject,
     changes: Changes,
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -150,7 +150,9 @@
             node.usage.record_clock(from, wall);
             with_members(node, |members, now| members.receive(now, from, message));
         }
-        Ok(Datagram::Changes { changes, subject }) => feed::told(node, subject, changes, from),
+        Ok(Datagram::Changes { changes, subject }) => {
+            feed::receive_changes(node, subject, changes, from)
+        }
         Ok(Datagram::BatchEnded { batch }) => batches::on_batch_ended(node, &batch),
         Ok(Datagram::BatchOrphaned { batch, owner }) => {
             batches::on_batch_orphaned(node, &batch, owner)
