--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -344,7 +344,7 @@
         PeerCall::Changes { after, subject } => feed::changes_since(&node, subject, after)
             .map_or(PeerAnswer::Unavailable, PeerAnswer::Changes),
         PeerCall::Usage { tables, teller } => {
-            usage::told(&node, &teller, tables);
+            usage::record_counts(&node, &teller, tables);
             PeerAnswer::Accepted
         }
         PeerCall::End { batch, scope } => batches::end_owned(&node, &batch, &scope).await,
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -108,7 +108,11 @@
 }
 
 /// Takes what another node has counted.
-pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &UsageSource, tables: Vec<WindowCounts>) {
+pub(crate) fn record_counts<P: Platform>(
+    node: &Node<P>,
+    teller: &UsageSource,
+    tables: Vec<WindowCounts>,
+) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
         ledger.record(teller, table);
@@ -152,7 +156,7 @@
             let mut counts = node.usage.counts.borrow_mut();
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
-        told(&node, &teller, tables.clone());
+        record_counts(&node, &teller, tables.clone());
         let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, FOLLOWERS)
             .into_iter()
             .filter(|to| *to != me)
