--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -318,7 +318,7 @@
             return Err(ErrorAnswer::new(status, format!("no answer in {budget_ms} ms")));
         }
         crashes::check(node, outgoing).map_err(|failure| barred(&failure, ran_somewhere))?;
-        let service = route.service(node.draw()).unwrap_or_default();
+        let service = route.service(node.random_u64()).unwrap_or_default();
         let chosen = choose(node, service, &tried);
         let failure = match chosen {
             Some(chosen) => {
@@ -390,7 +390,7 @@
     service: &str,
     tried: &[String],
 ) -> Option<ChosenTarget> {
-    let draw = node.draw();
+    let draw = node.random_u64();
     let chosen = node.pick(
         service,
         |_| true,
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -311,7 +311,7 @@
 }
 
 async fn back_off<P: Platform>(node: &Node<P>, backoff_ms: u64) -> u64 {
-    let jittered_ms = backoff_ms / 2 + node.draw() % backoff_ms;
+    let jittered_ms = backoff_ms / 2 + node.random_u64() % backoff_ms;
     sleep(Duration::from_millis(jittered_ms)).await;
     (backoff_ms * 2).min(BACKOFF_MAX_MS)
 }
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -171,7 +171,7 @@
         whole_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
     }
 
-    pub(crate) fn draw(&self) -> u64 {
+    pub(crate) fn random_u64(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -81,7 +81,7 @@
         refutation: 0,
         state: NodeState::Live,
     };
-    let rng = Pcg64Mcg::seed_from_u64(node.draw());
+    let rng = Pcg64Mcg::seed_from_u64(node.random_u64());
     node.joined_at.set(Some(clock::now()));
     *node.members.borrow_mut() = Some(Membership::open(me, seeds, MEMBERSHIP, rng));
 }
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -101,7 +101,7 @@
     let id = outgoing.request_id.clone();
     let mut tried = Vec::new();
     loop {
-        let service = route.service(node.draw()).unwrap_or_default();
+        let service = route.service(node.random_u64()).unwrap_or_default();
         let Some(chosen) = caller::choose(node, service, &tried) else {
             let failure = not_run(format!("service {service} has no target"));
             return caller::failed(node, id.as_deref(), route, &failure);
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -167,7 +167,7 @@
     let route = document.route(host, &item.path)?;
     let service = route.service(xxhash_rust::xxh3::xxh3_64(item.id.as_bytes()))?;
     let preferred = item.group.as_ref().and_then(|group| held.group_targets.get(group));
-    let draw = node.draw();
+    let draw = node.random_u64();
     let oldest = submission.oldest_version;
     let own = own.of(node, service, submission);
     let fits = |entry: &TargetEntry| {
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -92,7 +92,7 @@
     loop {
         let chosen = node.document().and_then(|document| {
             let route = document.route(&reward.host, &reward.path)?;
-            let service = route.service(node.draw())?;
+            let service = route.service(node.random_u64())?;
             crate::caller::choose(node, service, &tried)
         });
         if let Some(chosen) = chosen {
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -222,7 +222,7 @@
     let fits = |entry: &TargetEntry| {
         entry.version(model).is_some_and(|version| version >= terms.oldest_version)
     };
-    let draw = node.draw();
+    let draw = node.random_u64();
     let picked = node.pick(service, fits, |load, now, picks| {
         let others: Vec<Candidate<'_>> =
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
