--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -281,7 +281,7 @@
 
     /// Makes a call of the store from this machine.
     pub(crate) async fn store_direct(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
-        count(&self.metrics.store_calls, call.duty());
+        count(&self.metrics.store_calls, call.kind());
         let max = match call {
             StoreCall::Watch { wait_ms, .. } => Duration::from_millis(wait_ms + WATCH_SLACK_MS),
             _ => STORE_MAX,
@@ -291,7 +291,7 @@
         match &result {
             Ok(_) => {
                 self.store_backoff_until.set(UnixMs(0));
-                outage::answered(self, call.duty());
+                outage::answered(self, call.kind());
             }
             Err(refusal) => {
                 count(&self.metrics.store_failures, "direct");
@@ -300,7 +300,7 @@
                 }
                 self.store_backoff_until.set(clock::now().plus(STORE_REST_MS));
                 if self.outage.noticed(began_at) {
-                    let why = json!({ "by": call.duty(), "why": refusal.message });
+                    let why = json!({ "by": call.kind(), "why": refusal.message });
                     self.note("store_lost", why);
                 }
             }
@@ -328,7 +328,7 @@
         if matches!(call, StoreCall::Watch { .. }) {
             return Err(may_have_run("it was made during an outage"));
         }
-        self.note("store_call_again", json!({ "by": call.duty() }));
+        self.note("store_call_again", json!({ "by": call.kind() }));
         let again = timeout(max, self.exchange_with_store(call)).await;
         // The first one may yet have been done, whatever became of the second.
         again
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -104,8 +104,8 @@
 
 async fn ask<P: Platform>(node: Rc<Node<P>>) {
     let call = StoreCall::Get { key: orders::LEASE_KEY.to_owned(), may_be_old: true };
-    count(&node.metrics.store_calls, call.duty());
+    count(&node.metrics.store_calls, call.kind());
     if matches!(timeout(ASK_MAX, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
-        answered(&node, call.duty());
+        answered(&node, call.kind());
     }
 }
--- a/crates/serve/src/store.rs
+++ b/crates/serve/src/store.rs
@@ -88,7 +88,7 @@
 
 impl StoreCall {
     /// A short name for counters.
-    pub(crate) const fn duty(&self) -> &'static str {
+    pub(crate) const fn kind(&self) -> &'static str {
         match self {
             Self::Get { may_be_old: true, .. } => "get_old",
             Self::Get { .. } => "get",
