--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -291,7 +291,7 @@
         match &result {
             Ok(_) => {
                 self.store_backoff_until.set(UnixMs(0));
-                outage::answered(self, call.kind());
+                outage::record_answer(self, call.kind());
             }
             Err(refusal) => {
                 count(&self.metrics.store_failures, "direct");
@@ -299,7 +299,7 @@
                     return result;
                 }
                 self.store_backoff_until.set(clock::now().plus(STORE_REST_MS));
-                if self.outage.noticed(began_at) {
+                if self.outage.record_failure(began_at) {
                     let why = json!({ "by": call.kind(), "why": refusal.message });
                     self.note("store_lost", why);
                 }
@@ -318,7 +318,7 @@
             message: message.to_owned(),
             verdict: Verdict::MayHaveRun,
         };
-        let is_over = self.outage.over.notified();
+        let is_over = self.outage.ended.notified();
         tokio::select! {
             result = timeout(max, self.exchange_with_store(call)) => {
                 return result.unwrap_or_else(|_| Err(may_have_run("no answer in time")));
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -38,12 +38,12 @@
     /// When the first call was made that it did not answer; none while it answers.
     since: Cell<Option<UnixMs>>,
     /// Wakes the calls that wait for an answer.
-    pub over: Notify,
+    pub ended: Notify,
 }
 
 impl Outage {
     /// Tells whether the store did not answer this node when it was last asked.
-    pub(crate) const fn lasts(&self) -> bool {
+    pub(crate) const fn is_ongoing(&self) -> bool {
         self.since.get().is_some()
     }
 
@@ -55,8 +55,8 @@
     }
 
     /// Takes a call that failed; returns whether it is the first.
-    pub(crate) fn noticed(&self, began_at: UnixMs) -> bool {
-        if self.lasts() {
+    pub(crate) fn record_failure(&self, began_at: UnixMs) -> bool {
+        if self.is_ongoing() {
             return false;
         }
         self.since.set(Some(began_at));
@@ -65,7 +65,7 @@
 }
 
 /// Takes an answer of the store.
-pub(crate) fn answered<P: Platform>(node: &Node<P>, by: &'static str) {
+pub(crate) fn record_answer<P: Platform>(node: &Node<P>, by: &'static str) {
     node.batches.store_returned();
     node.outage.answered_at.set(clock::now());
     let Some(since) = node.outage.since.take() else { return };
@@ -73,7 +73,7 @@
     if clock::now().since_ms(since) < TOLD_FROM_MS {
         return;
     }
-    node.outage.over.notify_waiters();
+    node.outage.ended.notify_waiters();
     if feed::is_watcher(node) {
         peers::broadcast(node, &Datagram::StoreReturned);
     }
@@ -84,10 +84,10 @@
 /// What waits is asked again, but the outage lasts here until the store answers this node: it may
 /// still turn this one away, and its calls would be made directly first, a second each.
 pub(crate) fn receive_store_returned<P: Platform>(node: &Rc<Node<P>>) {
-    if node.outage.lasts() {
+    if node.outage.is_ongoing() {
         node.note("store_return_told", json!({}));
         node.batches.store_returned();
-        node.outage.over.notify_waiters();
+        node.outage.ended.notify_waiters();
         tokio::task::spawn_local(ask(Rc::clone(node)));
     }
 }
@@ -96,7 +96,7 @@
 pub(crate) async fn probe_until_back<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(ASK_EVERY).await;
-        if node.outage.lasts() && feed::is_watcher(&node) {
+        if node.outage.is_ongoing() && feed::is_watcher(&node) {
             tokio::task::spawn_local(ask(Rc::clone(&node)));
         }
     }
@@ -106,6 +106,6 @@
     let call = StoreCall::Get { key: orders::LEASE_KEY.to_owned(), may_be_old: true };
     count(&node.metrics.store_calls, call.kind());
     if matches!(timeout(ASK_MAX, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
-        answered(&node, call.kind());
+        record_answer(&node, call.kind());
     }
 }
