--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -318,12 +318,12 @@
             message: message.to_owned(),
             verdict: Verdict::MayHaveRun,
         };
-        let is_over = self.outage.ended.notified();
+        let outage_ended = self.outage.ended.notified();
         tokio::select! {
             result = timeout(max, self.exchange_with_store(call)) => {
                 return result.unwrap_or_else(|_| Err(may_have_run("no answer in time")));
             }
-            () = is_over => {}
+            () = outage_ended => {}
         }
         if matches!(call, StoreCall::Watch { .. }) {
             return Err(may_have_run("it was made during an outage"));
