--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -88,7 +88,7 @@
         node.note("store_return_told", json!({}));
         node.batches.store_returned();
         node.outage.ended.notify_waiters();
-        tokio::task::spawn_local(ask(Rc::clone(node)));
+        tokio::task::spawn_local(probe(Rc::clone(node)));
     }
 }
 
@@ -97,12 +97,12 @@
     loop {
         sleep(ASK_EVERY).await;
         if node.outage.is_ongoing() && feed::is_watcher(&node) {
-            tokio::task::spawn_local(ask(Rc::clone(&node)));
+            tokio::task::spawn_local(probe(Rc::clone(&node)));
         }
     }
 }
 
-async fn ask<P: Platform>(node: Rc<Node<P>>) {
+async fn probe<P: Platform>(node: Rc<Node<P>>) {
     let call = StoreCall::Get { key: orders::LEASE_KEY.to_owned(), may_be_old: true };
     count(&node.metrics.store_calls, call.kind());
     if matches!(timeout(ASK_MAX, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
