--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -24,7 +24,7 @@
 
 /// How often a watching node asks whether the store is back: at two nodes and a tenth of the price, a
 /// call a second.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long such a question may take; a slow store takes a quarter of a second.
 const ASK_MAX: Duration = Duration::from_millis(600);
 /// An outage this short took no call with it that is worth making again; nobody is told of its end.
@@ -95,7 +95,7 @@
 /// Asks for the store's return while an outage lasts, where this node watches the store.
 pub(crate) async fn probe_until_back<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        sleep(ASK_EVERY).await;
+        sleep(PROBE_INTERVAL).await;
         if node.outage.is_ongoing() && feed::is_watcher(&node) {
             tokio::task::spawn_local(probe(Rc::clone(&node)));
         }
