--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -26,7 +26,7 @@
 /// call a second.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long such a question may take; a slow store takes a quarter of a second.
-const ASK_MAX: Duration = Duration::from_millis(600);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 /// An outage this short took no call with it that is worth making again; nobody is told of its end.
 const TOLD_FROM_MS: u64 = 500;
 
@@ -105,7 +105,7 @@
 async fn probe<P: Platform>(node: Rc<Node<P>>) {
     let call = StoreCall::Get { key: orders::LEASE_KEY.to_owned(), may_be_old: true };
     count(&node.metrics.store_calls, call.kind());
-    if matches!(timeout(ASK_MAX, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
+    if matches!(timeout(PROBE_TIMEOUT, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
         record_answer(&node, call.kind());
     }
 }
