--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -28,7 +28,7 @@
 /// How long such a question may take; a slow store takes a quarter of a second.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 /// An outage this short took no call with it that is worth making again; nobody is told of its end.
-const TOLD_FROM_MS: u64 = 500;
+const ANNOUNCE_MIN_MS: u64 = 500;
 
 /// What a node knows of an outage of the store.
 #[derive(Debug, Default)]
@@ -70,7 +70,7 @@
     node.outage.answered_at.set(clock::now());
     let Some(since) = node.outage.since.take() else { return };
     node.note("store_regained", json!({ "by": by }));
-    if clock::now().since_ms(since) < TOLD_FROM_MS {
+    if clock::now().since_ms(since) < ANNOUNCE_MIN_MS {
         return;
     }
     node.outage.ended.notify_waiters();
