--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -39,7 +39,7 @@
 
 /// The store answers in milliseconds, and in up to half a second when it is slow; after this time
 /// a call is taken for lost.
-const STORE_MAX: Duration = Duration::from_millis(1_200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// What a watch may take beyond its wait.
 const WATCH_SLACK_MS: u64 = 1_000;
 /// How long peers are asked first after the store did not answer this machine.
@@ -284,7 +284,7 @@
         count(&self.metrics.store_calls, call.kind());
         let max = match call {
             StoreCall::Watch { wait_ms, .. } => Duration::from_millis(wait_ms + WATCH_SLACK_MS),
-            _ => STORE_MAX,
+            _ => STORE_TIMEOUT,
         };
         let began_at = clock::now();
         let result = self.exchange_retried_after_outage(call, max).await;
@@ -366,7 +366,7 @@
 
     async fn store_via_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let wait_ms = if let StoreCall::Watch { wait_ms, .. } = call { *wait_ms } else { 0 };
-        let max = STORE_MAX + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
+        let max = STORE_TIMEOUT + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
         let peers = if wait_ms > 0 { 1 } else { STORE_PEERS };
         let mut last = no_peer();
         for peer in self.live_peers().into_iter().take(peers) {
@@ -387,7 +387,7 @@
         call: &StoreCall,
     ) -> Result<StoreAnswer, StoreRefusal> {
         match self.live_peers().first() {
-            Some(peer) => self.store_via(*peer, call, STORE_MAX).await,
+            Some(peer) => self.store_via(*peer, call, STORE_TIMEOUT).await,
             None => Err(no_peer()),
         }
     }
