--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -43,7 +43,7 @@
 /// What a watch may take beyond its wait.
 const WATCH_SLACK_MS: u64 = 1_000;
 /// How long peers are asked first after the store did not answer this machine.
-const STORE_REST_MS: u64 = 1_500;
+const STORE_BACKOFF_MS: u64 = 1_500;
 /// Peers that are asked to make one call of the store: with two, one that is itself cut off does
 /// not fail the call.
 const STORE_PEERS: usize = 2;
@@ -298,7 +298,7 @@
                 if self.outage.answered_since(began_at) {
                     return result;
                 }
-                self.store_backoff_until.set(clock::now().plus(STORE_REST_MS));
+                self.store_backoff_until.set(clock::now().plus(STORE_BACKOFF_MS));
                 if self.outage.record_failure(began_at) {
                     let why = json!({ "by": call.kind(), "why": refusal.message });
                     self.note("store_lost", why);
