--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -46,7 +46,7 @@
 const STORE_BACKOFF_MS: u64 = 1_500;
 /// Peers that are asked to make one call of the store: with two, one that is itself cut off does
 /// not fail the call.
-const STORE_PEERS: usize = 2;
+const STORE_PEERS_MAX: usize = 2;
 /// About how long an event of a stream takes, for what is left of a run that goes on.
 const EVENT_MS: u64 = 40;
 /// The largest answer of the store: a page of a megabyte in base64, and some room.
@@ -367,7 +367,7 @@
     async fn store_via_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let wait_ms = if let StoreCall::Watch { wait_ms, .. } = call { *wait_ms } else { 0 };
         let max = STORE_TIMEOUT + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
-        let peers = if wait_ms > 0 { 1 } else { STORE_PEERS };
+        let peers = if wait_ms > 0 { 1 } else { STORE_PEERS_MAX };
         let mut last = no_peer();
         for peer in self.live_peers().into_iter().take(peers) {
             match self.store_via(peer, call, max).await {
