--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -256,22 +256,28 @@
     /// store may have dropped the history meanwhile, and tells so only with the next change. It
     /// would be noticed as a configuration that is seconds old; the feed reads the whole instead.
     pub(crate) async fn store(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
-        let rests = clock::now() < self.store_backoff_until.get();
+        let backs_off = clock::now() < self.store_backoff_until.get();
         if matches!(call, StoreCall::Watch { .. }) {
-            return if rests {
+            return if backs_off {
                 self.store_via_peers(call).await
             } else {
                 self.store_direct(call).await
             };
         }
-        let first =
-            if rests { self.store_via_peers(call).await } else { self.store_direct(call).await };
+        let first = if backs_off {
+            self.store_via_peers(call).await
+        } else {
+            self.store_direct(call).await
+        };
         let first = match first {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
-        let second =
-            if rests { self.store_direct(call).await } else { self.store_via_peers(call).await };
+        let second = if backs_off {
+            self.store_direct(call).await
+        } else {
+            self.store_via_peers(call).await
+        };
         second.map_err(|refusal| {
             let unsure = first.verdict.may_have_run() || refusal.verdict.may_have_run();
             let verdict = if unsure { Verdict::MayHaveRun } else { Verdict::NotRun };
