--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -374,7 +374,7 @@
         let wait_ms = if let StoreCall::Watch { wait_ms, .. } = call { *wait_ms } else { 0 };
         let max = STORE_TIMEOUT + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
         let peers = if wait_ms > 0 { 1 } else { STORE_PEERS_MAX };
-        let mut last = no_peer();
+        let mut last = no_live_peer();
         for peer in self.live_peers().into_iter().take(peers) {
             match self.store_via(peer, call, max).await {
                 Ok(answer) => {
@@ -394,7 +394,7 @@
     ) -> Result<StoreAnswer, StoreRefusal> {
         match self.live_peers().first() {
             Some(peer) => self.store_via(*peer, call, STORE_TIMEOUT).await,
-            None => Err(no_peer()),
+            None => Err(no_live_peer()),
         }
     }
 
@@ -444,6 +444,6 @@
     }
 }
 
-fn no_peer() -> StoreRefusal {
+fn no_live_peer() -> StoreRefusal {
     StoreRefusal { message: "no peer to ask".to_owned(), verdict: Verdict::NotRun }
 }
