--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -91,7 +91,7 @@
     pub targets: RefCell<TargetTable>,
     pub trail: Trail,
     /// The requests that wait because all targets of their service refuse for load, by service.
-    pub turns: RefCell<IndexMap<String, WaitQueue>>,
+    pub wait_queues: RefCell<IndexMap<String, WaitQueue>>,
     /// The requests of which the store does not have this node's evidence yet.
     pub unsaved_crashes: RefCell<IndexSet<Fingerprint>>,
     /// The requests of workspaces, here and as other nodes told.
@@ -137,7 +137,7 @@
             store_backoff_until: Cell::new(UnixMs(0)),
             targets: RefCell::new(TargetTable::default()),
             trail,
-            turns: RefCell::new(IndexMap::new()),
+            wait_queues: RefCell::new(IndexMap::new()),
             unsaved_crashes: RefCell::new(IndexSet::new()),
             usage: Usage::default(),
             draining: RefCell::new(IndexMap::new()),
