--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -66,17 +66,17 @@
     if node.settings().duties.is_none() {
         return;
     }
-    let Some(tenancy) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
+    let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     tokio::task::spawn_local(usage::tell(Rc::clone(&node)));
-    tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&tenancy)));
-    tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&tenancy)));
+    tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&lease)));
+    tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&lease)));
     loop {
         sleep(TICK).await;
-        tenancy.tick(&node);
+        lease.tick(&node);
     }
 }
 
-async fn report<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<DutyLease>) {
+async fn report<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
     let mut reporter = Reporter::default();
     loop {
         sleep(TICK).await;
@@ -86,12 +86,12 @@
         let oldest = windows.at(UnixMs(now.since_ms(UnixMs(duties.usage_due_ms))));
         node.usage.ledger.borrow_mut().forget_before(oldest);
         reporter.forget_before(oldest);
-        if tenancy.order_fence(clock::now()).is_none() {
+        if lease.order_fence(clock::now()).is_none() {
             reporter.mute_since = None;
             continue;
         }
         for number in oldest.0..windows.at(now).0 {
-            reporter.report(&node, &tenancy, &duties, windows, Window(number)).await;
+            reporter.report(&node, &lease, &duties, windows, Window(number)).await;
         }
     }
 }
@@ -105,7 +105,7 @@
     async fn report<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
-        tenancy: &DutyLease,
+        lease: &DutyLease,
         duties: &DutySettings,
         windows: Windows,
         window: Window,
@@ -119,14 +119,14 @@
         let written = self.written.remove(&window);
         let counts = match written {
             Some(counts) => counts,
-            None => match close(node, tenancy, window, may_wait).await {
+            None => match close(node, lease, window, may_wait).await {
                 Some(counts) => counts,
                 None => return,
             },
         };
         let counts = &*self.written.entry(window).or_insert(counts);
         let call = DutyCall::Usage { counts, window: window.0 };
-        let status = act(node, tenancy, duties, &call).await;
+        let status = act(node, lease, duties, &call).await;
         let Some(status) = status else { return };
         let (total, workspaces) = (counts.values().sum::<u64>(), counts.len());
         node.note(
@@ -142,11 +142,11 @@
         if matches!(status, Ok(StatusCode::OK)) {
             self.sent.insert(window);
         }
-        self.heard(node, tenancy, status.is_ok());
+        self.heard(node, lease, status.is_ok());
     }
 
     /// Gives the duty up where the platform does not answer this node.
-    fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, tenancy: &DutyLease, answered: bool) {
+    fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, lease: &DutyLease, answered: bool) {
         if answered {
             self.mute_since = None;
             return;
@@ -155,7 +155,7 @@
         let since = *self.mute_since.get_or_insert(now);
         if now.since_ms(since) >= RESIGN_AFTER_MS {
             self.mute_since = None;
-            tenancy.resign(node, "the platform does not answer this node");
+            lease.resign(node, "the platform does not answer this node");
         }
     }
 }
@@ -171,7 +171,7 @@
 /// Closes a window: creates its report in the store, or finds the one that is there.
 async fn close<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &DutyLease,
+    lease: &DutyLease,
     window: Window,
     may_wait: bool,
 ) -> Option<BTreeMap<String, u64>> {
@@ -185,8 +185,8 @@
     if may_wait && !missing.is_empty() {
         return None;
     }
-    let fence = tenancy.order_fence(clock::now())?;
-    let call = creation(tenancy, fence, window, &counts)?;
+    let fence = lease.order_fence(clock::now())?;
+    let call = creation(lease, fence, window, &counts)?;
     let (outcome, found) = match node.store(&call).await {
         Ok(StoreAnswer::Committed { .. }) => ("created", Some(counts)),
         Ok(StoreAnswer::Conflict { items }) => ("found", stored(&items, window)),
@@ -207,7 +207,7 @@
 }
 
 fn creation(
-    tenancy: &DutyLease,
+    lease: &DutyLease,
     fence: Fence,
     window: Window,
     counts: &BTreeMap<String, u64>,
@@ -220,7 +220,7 @@
         deletes: old.map(|number| report_key(Window(number))).collect(),
         expected: vec![
             Expectation { key: key.clone(), revision: 0 },
-            Expectation { key: tenancy.key().to_owned(), revision: fence.0 },
+            Expectation { key: lease.key().to_owned(), revision: fence.0 },
         ],
         puts: vec![Put { key, lease: None, value }],
     })
@@ -240,12 +240,12 @@
 /// Makes a call of the duty, if this node holds it; returns what came back.
 pub(crate) async fn act<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &DutyLease,
+    lease: &DutyLease,
     duties: &DutySettings,
     call: &DutyCall<'_>,
 ) -> Option<Result<StatusCode, CallError>> {
     // Asked right before the call: a pause must not let it out under a lapsed lease.
-    let fence = tenancy.order_fence(clock::now())?;
+    let fence = lease.order_fence(clock::now())?;
     let written = P::duty_request(call, &node.settings().node, fence.0);
     let mut request = Request::post(written.path)
         .header(http::header::HOST, duties.address.to_string())
--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -105,8 +105,8 @@
         let (action, change) = self.tenure.borrow_mut().tick(now, wanted);
         self.note_change(node, change);
         if let Some(action) = action {
-            let (tenancy, node) = (Rc::clone(self), Rc::clone(node));
-            tokio::task::spawn_local(async move { tenancy.carry_out(&node, action).await });
+            let (duty_lease, node) = (Rc::clone(self), Rc::clone(node));
+            tokio::task::spawn_local(async move { duty_lease.carry_out(&node, action).await });
         }
     }
 
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -59,7 +59,7 @@
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when it was last told.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
-    tenancy: Rc<DutyLease>,
+    lease: Rc<DutyLease>,
     /// The machines that were reported empty, and the revision that asked for it: one may be asked for
     /// again, and its report is gone by then.
     drained: RefCell<IndexMap<String, u64>>,
@@ -87,22 +87,22 @@
 
 /// Takes part in the duty until the process ends.
 pub(crate) async fn run_order_duty<P: Platform>(node: Rc<Node<P>>) {
-    let Some(tenancy) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
+    let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     let holder = Rc::new(Holder {
         accepted: RefCell::new(IndexMap::new()),
         rollouts: RefCell::new(IndexMap::new()),
         shared: RefCell::new(IndexMap::new()),
-        tenancy,
+        lease,
         drained: RefCell::new(IndexMap::new()),
     });
     loop {
         sleep(TICK).await;
-        holder.tenancy.tick(&node);
+        holder.lease.tick(&node);
         let now = clock::now();
-        if holder.tenancy.order_fence(now).is_some() {
+        if holder.lease.order_fence(now).is_some() {
             plan(&node, &holder);
         }
-        if holder.tenancy.fence(now).is_some() {
+        if holder.lease.fence(now).is_some() {
             report_drained(&node, &holder);
         }
     }
@@ -194,7 +194,7 @@
         },
     };
     // Asked right before the order: a pause since the plan must not let it out under a lapsed lease.
-    let fence = holder.tenancy.order_fence(clock::now());
+    let fence = holder.lease.order_fence(clock::now());
     let Some(fence) = fence else { return LoadOutcome::Failed };
     let settings = node.settings();
     let call = OrderCall {
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -32,14 +32,14 @@
 }
 
 /// Orders targets while this node holds the duty, until the process ends.
-pub(crate) async fn order<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<DutyLease>) {
+pub(crate) async fn order<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
     let mut services: IndexMap<String, Service> = IndexMap::new();
     loop {
         sleep(TICK).await;
         let Some(duties) = node.settings().duties.filter(|duties| duties.orders_targets) else {
             continue;
         };
-        if tenancy.order_fence(clock::now()).is_none() {
+        if lease.order_fence(clock::now()).is_none() {
             services.clear();
             continue;
         }
@@ -49,7 +49,7 @@
                 services.insert(name.clone(), service);
             }
             let Some(service) = services.get_mut(&name) else { continue };
-            service.plan(&node, &tenancy, &duties, &name, terms).await;
+            service.plan(&node, &lease, &duties, &name, terms).await;
         }
     }
 }
@@ -97,7 +97,7 @@
     async fn plan<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
-        tenancy: &DutyLease,
+        lease: &DutyLease,
         duties: &DutySettings,
         name: &str,
         terms: ScalingConfig,
@@ -107,7 +107,7 @@
         if !self.written
             && let Some(wanted) = self.scaling.desired()
         {
-            self.written = write(node, tenancy, name, wanted).await;
+            self.written = write(node, lease, name, wanted).await;
         }
         for order in orders {
             let call = DutyCall::Targets {
@@ -116,7 +116,7 @@
                 reclaimable: order.pool.reclaimable,
                 service: name,
             };
-            let Some(answer) = act(node, tenancy, duties, &call).await else { return };
+            let Some(answer) = act(node, lease, duties, &call).await else { return };
             note(node, name, &order, &serving, &answer);
             let outcome = outcome(&answer);
             let count = serving.get(&order.pool).copied().unwrap_or(0);
@@ -160,16 +160,16 @@
 /// Keeps what a service is to have for later holders; returns whether it is kept.
 async fn write<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &DutyLease,
+    lease: &DutyLease,
     service: &str,
     wanted: &DesiredCounts,
 ) -> bool {
-    let Some(fence) = tenancy.order_fence(clock::now()) else { return false };
+    let Some(fence) = lease.order_fence(clock::now()) else { return false };
     let pools: Vec<(&Pool, u32)> = wanted.iter().map(|(pool, count)| (pool, *count)).collect();
     let Ok(value) = postcard::to_stdvec(&pools) else { return false };
     let call = StoreCall::Transaction {
         deletes: Vec::new(),
-        expected: vec![Expectation { key: tenancy.key().to_owned(), revision: fence.0 }],
+        expected: vec![Expectation { key: lease.key().to_owned(), revision: fence.0 }],
         puts: vec![Put { key: wanted_key(service), lease: None, value }],
     };
     matches!(node.store(&call).await, Ok(StoreAnswer::Committed { .. }))
