--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -155,7 +155,7 @@
         let since = *self.mute_since.get_or_insert(now);
         if now.since_ms(since) >= RESIGN_AFTER_MS {
             self.mute_since = None;
-            lease.resign(node, "the platform does not answer this node");
+            lease.step_down(node, "the platform does not answer this node");
         }
     }
 }
--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -124,7 +124,7 @@
     }
 
     /// Gives the duty up to another node, because this one cannot do its work.
-    pub(crate) fn resign<P: Platform>(&self, node: &Node<P>, why: &str) {
+    pub(crate) fn step_down<P: Platform>(&self, node: &Node<P>, why: &str) {
         let now = clock::now();
         let Some(fence) = self.fence(now) else { return };
         let Some(successor) = peers::successor_for(node, self.duty) else { return };
