--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -42,7 +42,7 @@
     key: &'static str,
     lease: Cell<Option<LeaseId>>,
     record: HolderRecord,
-    resigned_until: Cell<UnixMs>,
+    stepped_down_until: Cell<UnixMs>,
     tenure: RefCell<Tenure>,
 }
 
@@ -75,7 +75,7 @@
             key,
             lease: Cell::new(None),
             record,
-            resigned_until: Cell::new(UnixMs(0)),
+            stepped_down_until: Cell::new(UnixMs(0)),
             tenure: RefCell::new(tenure),
         }))
     }
@@ -111,7 +111,7 @@
     }
 
     fn is_wanted<P: Platform>(&self, node: &Node<P>, now: UnixMs) -> bool {
-        if node.leaving.get() || now < self.resigned_until.get() {
+        if node.leaving.get() || now < self.stepped_down_until.get() {
             return false;
         }
         if self.held_before && !self.gained.get() {
@@ -128,7 +128,7 @@
         let now = clock::now();
         let Some(fence) = self.fence(now) else { return };
         let Some(successor) = peers::successor_for(node, self.duty) else { return };
-        self.resigned_until.set(now.plus(RESIGNED_MS));
+        self.stepped_down_until.set(now.plus(RESIGNED_MS));
         let line = json!({ "duty": self.duty, "successor": successor.node, "why": why });
         node.note("duty_resigned", line);
         let Owner { incarnation, node: name, .. } = successor;
