--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -29,7 +29,7 @@
 /// Added to the time that a new holder waits, for acts on their way.
 const ORDER_FLIGHT_MS: u64 = 200;
 /// How long a node that has named another holder does not take the duty itself.
-const RESIGNED_MS: u64 = 10_000;
+const STEP_DOWN_MS: u64 = 10_000;
 
 /// This node's part in one duty.
 #[derive(Debug)]
@@ -128,7 +128,7 @@
         let now = clock::now();
         let Some(fence) = self.fence(now) else { return };
         let Some(successor) = peers::successor_for(node, self.duty) else { return };
-        self.stepped_down_until.set(now.plus(RESIGNED_MS));
+        self.stepped_down_until.set(now.plus(STEP_DOWN_MS));
         let line = json!({ "duty": self.duty, "successor": successor.node, "why": why });
         node.note("duty_resigned", line);
         let Owner { incarnation, node: name, .. } = successor;
