--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -46,7 +46,7 @@
 /// How long the platform may take to answer.
 const CALL_MAX: Duration = Duration::from_millis(1_500);
 /// How long the platform does not answer this node before another takes the duty.
-const RESIGN_AFTER_MS: u64 = 2_500;
+const STEP_DOWN_AFTER_MS: u64 = 2_500;
 /// The largest answer of the platform.
 const ANSWER_MAX_BYTES: usize = 1 << 16;
 
@@ -153,7 +153,7 @@
         }
         let now = clock::now();
         let since = *self.mute_since.get_or_insert(now);
-        if now.since_ms(since) >= RESIGN_AFTER_MS {
+        if now.since_ms(since) >= STEP_DOWN_AFTER_MS {
             self.mute_since = None;
             lease.step_down(node, "the platform does not answer this node");
         }
