--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -27,7 +27,7 @@
 const LEASE_RENEW_MS: u64 = 500;
 const LEASE_RETRY_MS: u64 = 300;
 /// Added to the time that a new holder waits, for acts on their way.
-const ORDER_FLIGHT_MS: u64 = 200;
+const IN_FLIGHT_MS: u64 = 200;
 /// How long a node that has named another holder does not take the duty itself.
 const STEP_DOWN_MS: u64 = 10_000;
 
@@ -60,7 +60,7 @@
             record.clone(),
             TenureSettings {
                 margin_ms: LEASE_MARGIN_MS,
-                order_flight_ms: (settings.order_lease_ms + ORDER_FLIGHT_MS)
+                order_flight_ms: (settings.order_lease_ms + IN_FLIGHT_MS)
                     .saturating_sub(LEASE_MARGIN_MS),
                 renew_every_ms: LEASE_RENEW_MS,
                 retry_every_ms: LEASE_RETRY_MS,
