--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -36,7 +36,7 @@
 pub(crate) struct DutyLease {
     duty: &'static str,
     /// Whether this life has held it.
-    gained: Cell<bool>,
+    held_since_start: Cell<bool>,
     /// Whether an earlier life of this node held it when it ended.
     held_before: bool,
     key: &'static str,
@@ -70,7 +70,7 @@
         let held_before = held_before(node, key, &record).await;
         Some(Rc::new(Self {
             duty,
-            gained: Cell::new(false),
+            held_since_start: Cell::new(false),
             held_before,
             key,
             lease: Cell::new(None),
@@ -99,7 +99,7 @@
     pub(crate) fn tick<P: Platform>(self: &Rc<Self>, node: &Rc<Node<P>>) {
         let now = clock::now();
         if self.fence(now).is_some() {
-            self.gained.set(true);
+            self.held_since_start.set(true);
         }
         let wanted = self.is_wanted(node, now);
         let (action, change) = self.tenure.borrow_mut().tick(now, wanted);
@@ -114,7 +114,7 @@
         if node.leaving.get() || now < self.stepped_down_until.get() {
             return false;
         }
-        if self.held_before && !self.gained.get() {
+        if self.held_before && !self.held_since_start.get() {
             return true;
         }
         match peers::holder_of(node, &self.name()) {
