--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -191,10 +191,10 @@
                 let held = postcard::from_bytes::<HolderRecord>(&item.value);
                 // Of an earlier life, or of this one: its lease was not renewed in time, by our clock,
                 // while the store was away and let no lease lapse.
-                let mine_before = held.is_ok_and(|held| {
+                let own_earlier = held.is_ok_and(|held| {
                     held.node == self.record.node && held.incarnation <= self.record.incarnation
                 });
-                if !mine_before {
+                if !own_earlier {
                     return Report::Refused;
                 }
                 match self.create(node, lease, item.revision, &value).await {
