--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 struct Reporter {
     /// Since when the platform has not answered; none while it does.
-    mute_since: Option<UnixMs>,
+    unanswered_since: Option<UnixMs>,
     /// Reports that the platform has taken.
     sent: BTreeSet<Window>,
     /// Reports that are in the store.
@@ -87,7 +87,7 @@
         node.usage.ledger.borrow_mut().forget_before(oldest);
         reporter.forget_before(oldest);
         if lease.order_fence(clock::now()).is_none() {
-            reporter.mute_since = None;
+            reporter.unanswered_since = None;
             continue;
         }
         for number in oldest.0..windows.at(now).0 {
@@ -148,13 +148,13 @@
     /// Gives the duty up where the platform does not answer this node.
     fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, lease: &DutyLease, answered: bool) {
         if answered {
-            self.mute_since = None;
+            self.unanswered_since = None;
             return;
         }
         let now = clock::now();
-        let since = *self.mute_since.get_or_insert(now);
+        let since = *self.unanswered_since.get_or_insert(now);
         if now.since_ms(since) >= STEP_DOWN_AFTER_MS {
-            self.mute_since = None;
+            self.unanswered_since = None;
             lease.step_down(node, "the platform does not answer this node");
         }
     }
