--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -142,11 +142,16 @@
         if matches!(status, Ok(StatusCode::OK)) {
             self.sent.insert(window);
         }
-        self.heard(node, lease, status.is_ok());
+        self.record_answer(node, lease, status.is_ok());
     }
 
     /// Gives the duty up where the platform does not answer this node.
-    fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, lease: &DutyLease, answered: bool) {
+    fn record_answer<P: Platform>(
+        &mut self,
+        node: &Rc<Node<P>>,
+        lease: &DutyLease,
+        answered: bool,
+    ) {
         if answered {
             self.unanswered_since = None;
             return;
