--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -126,7 +126,7 @@
         };
         let counts = &*self.written.entry(window).or_insert(counts);
         let call = DutyCall::Usage { counts, window: window.0 };
-        let status = act(node, lease, duties, &call).await;
+        let status = send_duty_call(node, lease, duties, &call).await;
         let Some(status) = status else { return };
         let (total, workspaces) = (counts.values().sum::<u64>(), counts.len());
         node.note(
@@ -243,7 +243,7 @@
 }
 
 /// Makes a call of the duty, if this node holds it; returns what came back.
-pub(crate) async fn act<P: Platform>(
+pub(crate) async fn send_duty_call<P: Platform>(
     node: &Rc<Node<P>>,
     lease: &DutyLease,
     duties: &DutySettings,
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -1,7 +1,7 @@
 //! Orders the numbers of targets, by the node that holds the duties towards the provider.
 
 use crate::clock;
-use crate::duties::act;
+use crate::duties::send_duty_call;
 use crate::duty_lease::DutyLease;
 use crate::metrics::count;
 use crate::node::Node;
@@ -116,7 +116,7 @@
                 reclaimable: order.pool.reclaimable,
                 service: name,
             };
-            let Some(answer) = act(node, lease, duties, &call).await else { return };
+            let Some(answer) = send_duty_call(node, lease, duties, &call).await else { return };
             note(node, name, &order, &serving, &answer);
             let outcome = outcome(&answer);
             let count = serving.get(&order.pool).copied().unwrap_or(0);
