--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -44,7 +44,7 @@
 /// not told all of a window. The rest is for a slow store, a slow platform and a successor.
 const WAIT_PERCENT: u64 = 45;
 /// How long the platform may take to answer.
-const CALL_MAX: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long the platform does not answer this node before another takes the duty.
 const STEP_DOWN_AFTER_MS: u64 = 2_500;
 /// The largest answer of the platform.
@@ -265,6 +265,6 @@
         node.pool.release(connection, &head.headers);
         Ok(head.status)
     };
-    let answer = timeout(CALL_MAX, exchange).await;
+    let answer = timeout(CALL_TIMEOUT, exchange).await;
     Some(answer.unwrap_or_else(|_| Err(CallError::may_have_run("no answer in time"))))
 }
