--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -191,7 +191,7 @@
         return None;
     }
     let fence = lease.order_fence(clock::now())?;
-    let call = creation(lease, fence, window, &counts)?;
+    let call = creation_call(lease, fence, window, &counts)?;
     let (outcome, found) = match node.store(&call).await {
         Ok(StoreAnswer::Committed { .. }) => ("created", Some(counts)),
         Ok(StoreAnswer::Conflict { items }) => ("found", stored(&items, window)),
@@ -211,7 +211,7 @@
     found
 }
 
-fn creation(
+fn creation_call(
     lease: &DutyLease,
     fence: Fence,
     window: Window,
