--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -194,7 +194,7 @@
     let call = creation_call(lease, fence, window, &counts)?;
     let (outcome, found) = match node.store(&call).await {
         Ok(StoreAnswer::Committed { .. }) => ("created", Some(counts)),
-        Ok(StoreAnswer::Conflict { items }) => ("found", stored(&items, window)),
+        Ok(StoreAnswer::Conflict { items }) => ("found", stored_report(&items, window)),
         Ok(_) => ("refused", None),
         // It may be done; the next try finds it.
         Err(_) => ("unanswered", None),
@@ -236,7 +236,7 @@
 }
 
 /// Reads the report that is in the store already; none where another node holds the duty.
-fn stored(items: &[StoredItem], window: Window) -> Option<BTreeMap<String, u64>> {
+fn stored_report(items: &[StoredItem], window: Window) -> Option<BTreeMap<String, u64>> {
     let key = report_key(window);
     let item = items.iter().find(|item| item.key == key && item.revision > 0)?;
     postcard::from_bytes(&item.value).ok()
