--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -23,7 +23,7 @@
 use tokio::time::sleep;
 
 /// How often a node looks whether there is something to tell.
-const TELL_EVERY: Duration = Duration::from_millis(250);
+const SHARE_INTERVAL: Duration = Duration::from_millis(250);
 /// Nodes from which each further one lengthens that pause, so that those that are told hear some 250
 /// calls a second in a fleet of any size.
 const TELL_NODES: usize = 64;
@@ -199,5 +199,5 @@
 
 fn pause<P: Platform>(node: &Node<P>) -> Duration {
     let nodes = node.members.borrow().as_ref().map_or(1, |members| members.nodes().count());
-    TELL_EVERY * (nodes.div_ceil(TELL_NODES).max(1) as u32)
+    SHARE_INTERVAL * (nodes.div_ceil(TELL_NODES).max(1) as u32)
 }
