--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -26,7 +26,7 @@
 const SHARE_INTERVAL: Duration = Duration::from_millis(250);
 /// Nodes from which each further one lengthens that pause, so that those that are told hear some 250
 /// calls a second in a fleet of any size.
-const TELL_NODES: usize = 64;
+const SHARE_NODES_PER_INTERVAL: usize = 64;
 /// How long a node that is told may take to answer.
 const TELL_MAX: Duration = Duration::from_secs(1);
 /// The nodes that are told beside the holder: the first in rank, one of which follows it.
@@ -199,5 +199,5 @@
 
 fn pause<P: Platform>(node: &Node<P>) -> Duration {
     let nodes = node.members.borrow().as_ref().map_or(1, |members| members.nodes().count());
-    SHARE_INTERVAL * (nodes.div_ceil(TELL_NODES).max(1) as u32)
+    SHARE_INTERVAL * (nodes.div_ceil(SHARE_NODES_PER_INTERVAL).max(1) as u32)
 }
