--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -28,7 +28,7 @@
 /// calls a second in a fleet of any size.
 const SHARE_NODES_PER_INTERVAL: usize = 64;
 /// How long a node that is told may take to answer.
-const TELL_MAX: Duration = Duration::from_secs(1);
+const SHARE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The nodes that are told beside the holder: the first in rank, one of which follows it.
 const FOLLOWERS: usize = 3;
 
@@ -187,7 +187,7 @@
     tables: Vec<WindowCounts>,
 ) -> Option<Owner> {
     let call = PeerCall::Usage { tables, teller };
-    match node.ask_peer(to.address, &call, TELL_MAX).await {
+    match node.ask_peer(to.address, &call, SHARE_TIMEOUT).await {
         Ok(PeerAnswer::Accepted) => Some(to),
         Ok(_) => None,
         Err(error) => {
