--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -167,7 +167,7 @@
             let news = confirmed.entry(to.clone()).or_default().news(&tables);
             if !news.is_empty() {
                 let (node, teller) = (Rc::clone(&node), teller.clone());
-                calls.spawn_local(async move { tell_one(&node, to, teller, news).await });
+                calls.spawn_local(async move { share_with(&node, to, teller, news).await });
             }
         }
         while let Some(done) = calls.join_next().await {
@@ -180,7 +180,7 @@
 }
 
 /// Tells one node; returns it if it has confirmed that.
-async fn tell_one<P: Platform>(
+async fn share_with<P: Platform>(
     node: &Node<P>,
     to: Owner,
     teller: UsageSource,
