--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -149,7 +149,7 @@
     let teller = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
     let mut confirmed: IndexMap<Owner, Confirmed> = IndexMap::new();
     loop {
-        sleep(pause(&node)).await;
+        sleep(share_interval(&node)).await;
         let Some(windows) = windows(&node) else { continue };
         let now = node.usage.now();
         let tables = {
@@ -197,7 +197,7 @@
     }
 }
 
-fn pause<P: Platform>(node: &Node<P>) -> Duration {
+fn share_interval<P: Platform>(node: &Node<P>) -> Duration {
     let nodes = node.members.borrow().as_ref().map_or(1, |members| members.nodes().count());
     SHARE_INTERVAL * (nodes.div_ceil(SHARE_NODES_PER_INTERVAL).max(1) as u32)
 }
