--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -30,7 +30,7 @@
 /// How long a node that is told may take to answer.
 const SHARE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The nodes that are told beside the holder: the first in rank, one of which follows it.
-const FOLLOWERS: usize = 3;
+const CANDIDATES: usize = 3;
 
 /// What this node knows of the use of workspaces.
 #[derive(Debug, Default)]
@@ -157,7 +157,7 @@
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
         record_counts(&node, &teller, tables.clone());
-        let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, FOLLOWERS)
+        let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, CANDIDATES)
             .into_iter()
             .filter(|to| *to != me)
             .collect();
