--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -125,8 +125,8 @@
 
 impl Confirmed {
     /// Returns what it was not told yet.
-    fn news(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
-        let news = tables.iter().filter_map(|table| {
+    fn updates(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
+        let updates = tables.iter().filter_map(|table| {
             let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
             let is_new =
                 |workspace: &String, count: &u64| held.counts.get(workspace) != Some(count);
@@ -139,7 +139,7 @@
             let is_news = !counts.is_empty() || table.complete != held.complete;
             is_news.then(|| WindowCounts { counts, ..table.clone() })
         });
-        news.collect()
+        updates.collect()
     }
 }
 
@@ -164,10 +164,10 @@
         confirmed.retain(|to, _| duty_candidates.contains(to));
         let mut calls = JoinSet::new();
         for to in duty_candidates {
-            let news = confirmed.entry(to.clone()).or_default().news(&tables);
-            if !news.is_empty() {
+            let updates = confirmed.entry(to.clone()).or_default().updates(&tables);
+            if !updates.is_empty() {
                 let (node, teller) = (Rc::clone(&node), teller.clone());
-                calls.spawn_local(async move { share_with(&node, to, teller, news).await });
+                calls.spawn_local(async move { share_with(&node, to, teller, updates).await });
             }
         }
         while let Some(done) = calls.join_next().await {
