--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -136,8 +136,8 @@
                 .filter(|(workspace, count)| is_new(workspace, count))
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
-            let is_news = !counts.is_empty() || table.complete != held.complete;
-            is_news.then(|| WindowCounts { counts, ..table.clone() })
+            let is_update = !counts.is_empty() || table.complete != held.complete;
+            is_update.then(|| WindowCounts { counts, ..table.clone() })
         });
         updates.collect()
     }
