--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -67,7 +67,7 @@
         return;
     }
     let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
-    tokio::task::spawn_local(usage::tell(Rc::clone(&node)));
+    tokio::task::spawn_local(usage::share_counts(Rc::clone(&node)));
     tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&lease)));
     tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&lease)));
     loop {
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -144,7 +144,7 @@
 }
 
 /// Tells what this node counts until the process ends.
-pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn share_counts<P: Platform>(node: Rc<Node<P>>) {
     let Some(me) = peers::me(&node) else { return };
     let teller = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
     let mut confirmed: IndexMap<Owner, Confirmed> = IndexMap::new();
