--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -36,7 +36,7 @@
 /// How often what is due is done.
 const TICK: Duration = Duration::from_millis(100);
 /// How long an engine may take to answer a report or an order.
-const ENGINE_MAX: Duration = Duration::from_secs(1);
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after an order the first look at the engine's report is worth it, and the next ones.
 /// A load takes nearly a second, and a report is some hundred milliseconds old.
 const FIRST_LOOK: Duration = Duration::from_secs(1);
@@ -334,7 +334,7 @@
         node.pool.release(connection, &head.headers);
         Ok((head.status, body))
     };
-    match timeout(ENGINE_MAX, exchange).await {
+    match timeout(ENGINE_TIMEOUT, exchange).await {
         Ok(result) => result,
         Err(_) => Err(CallError::may_have_run("the engine did not answer in time")),
     }
