--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -39,7 +39,7 @@
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after an order the first look at the engine's report is worth it, and the next ones.
 /// A load takes nearly a second, and a report is some hundred milliseconds old.
-const FIRST_LOOK: Duration = Duration::from_secs(1);
+const FIRST_REPORT_DELAY: Duration = Duration::from_secs(1);
 const NEXT_LOOK: Duration = Duration::from_millis(300);
 /// How long a target takes no new work after an order: over 15 days of 9 targets, the first run
 /// that one took began 904 ms after it, or later.
@@ -221,7 +221,7 @@
     match sent {
         Ok((StatusCode::ACCEPTED, _)) => {
             holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders + 1);
-            sleep(FIRST_LOOK).await;
+            sleep(FIRST_REPORT_DELAY).await;
         }
         Ok((StatusCode::OK, _)) => {
             holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders);
