--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -40,7 +40,7 @@
 /// How long after an order the first look at the engine's report is worth it, and the next ones.
 /// A load takes nearly a second, and a report is some hundred milliseconds old.
 const FIRST_REPORT_DELAY: Duration = Duration::from_secs(1);
-const NEXT_LOOK: Duration = Duration::from_millis(300);
+const NEXT_REPORT_DELAY: Duration = Duration::from_millis(300);
 /// How long a target takes no new work after an order: over 15 days of 9 targets, the first run
 /// that one took began 904 ms after it, or later.
 const LOAD_MS: u64 = 900;
@@ -266,7 +266,7 @@
             }
             Err(_) => return LoadOutcome::Failed,
         }
-        sleep(NEXT_LOOK).await;
+        sleep(NEXT_REPORT_DELAY).await;
     }
     LoadOutcome::Failed
 }
