--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -45,7 +45,7 @@
 /// that one took began 904 ms after it, or later.
 const LOAD_MS: u64 = 900;
 /// Looks at a report before an order counts as lost: an order may be carried out seconds late.
-const LOOKS_MAX: u32 = 20;
+const REPORTS_MAX: u32 = 20;
 /// After an order that got no answer, the report shows within this time whether it was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(400);
 /// The largest report.
@@ -247,7 +247,7 @@
     chosen: &ChosenTarget,
     order: &LoadOrder,
 ) -> LoadOutcome {
-    for _ in 0..LOOKS_MAX {
+    for _ in 0..REPORTS_MAX {
         let known = node.targets.borrow().entry(&chosen.id).is_some_and(|entry| {
             entry.models.iter().any(|(model, held)| *model == order.model && *held >= order.version)
         });
