--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -32,7 +32,7 @@
 /// Pause between two tries to register.
 const REGISTER_PAUSE: Duration = Duration::from_millis(150);
 /// Callers keep addresses for up to three times as long as they are told.
-const KEPT_TIMES: u64 = 3;
+const ADDRESS_TTL_FACTOR: u64 = 3;
 /// Left for the exit itself.
 const EXIT_MS: u64 = 1_000;
 /// Time between two summary lines: few enough not to matter, close enough to date an incident.
@@ -251,7 +251,7 @@
     node.note("leaving", json!({ "in_flight": node.in_flight.get() }));
     peers::with_members(node, Membership::leave);
     spawn_local(batches::hand_over_all(Rc::clone(node)));
-    let named_until = began_at.plus(KEPT_TIMES * ADDRESSES_TTL_MS);
+    let named_until = began_at.plus(ADDRESS_TTL_FACTOR * ADDRESSES_TTL_MS);
     let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_MS));
     while clock::now() < grace_until {
         sleep(LOOK).await;
