--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -34,7 +34,7 @@
 /// Callers keep addresses for up to three times as long as they are told.
 const ADDRESS_TTL_FACTOR: u64 = 3;
 /// Left for the exit itself.
-const EXIT_MS: u64 = 1_000;
+const EXIT_RESERVE_MS: u64 = 1_000;
 /// Time between two summary lines: few enough not to matter, close enough to date an incident.
 const SUMMARY_EVERY: Duration = Duration::from_secs(10);
 /// How often a stop looks whether all is served.
@@ -88,7 +88,7 @@
             }
         }
         trail.note(clock::now(), "stopped", json!({}));
-        sleep(Duration::from_millis(EXIT_MS)).await;
+        sleep(Duration::from_millis(EXIT_RESERVE_MS)).await;
         Ok(())
     })
 }
@@ -252,7 +252,7 @@
     peers::with_members(node, Membership::leave);
     spawn_local(batches::hand_over_all(Rc::clone(node)));
     let named_until = began_at.plus(ADDRESS_TTL_FACTOR * ADDRESSES_TTL_MS);
-    let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_MS));
+    let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_RESERVE_MS));
     while clock::now() < grace_until {
         sleep(LOOK).await;
         if clock::now() >= named_until && node.in_flight.get() == 0 {
