--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -38,7 +38,7 @@
 /// Time between two summary lines: few enough not to matter, close enough to date an incident.
 const SUMMARY_EVERY: Duration = Duration::from_secs(10);
 /// How often a stop looks whether all is served.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// the process could not start: {0}
 #[derive(Clone, Debug, Display)]
@@ -159,7 +159,7 @@
     peers::join(&node, &settings, incarnation, seeds);
     spawn_local(peers::run_membership(Rc::clone(&node)));
     while node.document().is_none() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     node.ready.set(true);
     node.note("ready", json!({ "incarnation": incarnation.0 }));
@@ -254,7 +254,7 @@
     let named_until = began_at.plus(ADDRESS_TTL_FACTOR * ADDRESSES_TTL_MS);
     let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_RESERVE_MS));
     while clock::now() < grace_until {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
         if clock::now() >= named_until && node.in_flight.get() == 0 {
             break;
         }
@@ -262,9 +262,9 @@
     // A request that comes between the decision to end and the end would be cut: from here on
     // none is taken, and those taken are answered.
     node.closing.send_replace(true);
-    sleep(LOOK).await;
+    sleep(POLL_INTERVAL).await;
     while clock::now() < grace_until && node.in_flight.get() > 0 {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     node.note("stopped", json!({ "in_flight": node.in_flight.get() }));
     // The trail's writer gets a turn.
