--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -30,7 +30,7 @@
 /// Keys under which nodes register.
 const NODES: &str = "cm/n/";
 /// Pause between two tries to register.
-const REGISTER_PAUSE: Duration = Duration::from_millis(150);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Callers keep addresses for up to three times as long as they are told.
 const ADDRESS_TTL_FACTOR: u64 = 3;
 /// Left for the exit itself.
@@ -198,7 +198,7 @@
                 .collect();
             return (Incarnation(revision), seeds);
         }
-        sleep(REGISTER_PAUSE).await;
+        sleep(REGISTER_RETRY_DELAY).await;
     }
 }
 
