--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -36,7 +36,7 @@
 /// Left for the exit itself.
 const EXIT_RESERVE_MS: u64 = 1_000;
 /// Time between two summary lines: few enough not to matter, close enough to date an incident.
-const SUMMARY_EVERY: Duration = Duration::from_secs(10);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 /// How often a stop looks whether all is served.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -231,7 +231,7 @@
 /// Writes a line of what was done so far, from time to time.
 async fn summarize<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        sleep(SUMMARY_EVERY).await;
+        sleep(SUMMARY_INTERVAL).await;
         node.note(
             "summary",
             json!({
