--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -251,11 +251,11 @@
     node.note("leaving", json!({ "in_flight": node.in_flight.get() }));
     peers::with_members(node, Membership::leave);
     spawn_local(batches::hand_over_all(Rc::clone(node)));
-    let named_until = began_at.plus(ADDRESS_TTL_FACTOR * ADDRESSES_TTL_MS);
+    let addresses_expire_at = began_at.plus(ADDRESS_TTL_FACTOR * ADDRESSES_TTL_MS);
     let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_RESERVE_MS));
     while clock::now() < grace_until {
         sleep(POLL_INTERVAL).await;
-        if clock::now() >= named_until && node.in_flight.get() == 0 {
+        if clock::now() >= addresses_expire_at && node.in_flight.get() == 0 {
             break;
         }
     }
