--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -107,7 +107,7 @@
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut buffer = vec![0; wire::DATAGRAM_MAX_BYTES + 64];
-    let mut doubts = Doubts { refutation: 0, ticked_at: clock::now() };
+    let mut doubts = SuspicionSigns { refutation: 0, ticked_at: clock::now() };
     with_members(&node, |members, _| members.announce_to_seeds());
     loop {
         tokio::select! {
@@ -128,12 +128,12 @@
 }
 
 /// Signs that others may take this node for dead, and may have taken its batches.
-struct Doubts {
+struct SuspicionSigns {
     refutation: u32,
     ticked_at: UnixMs,
 }
 
-impl Doubts {
+impl SuspicionSigns {
     fn arise<P: Platform>(&mut self, node: &Node<P>) -> bool {
         let now = clock::now();
         let paused = now.since_ms(std::mem::replace(&mut self.ticked_at, now)) > PAUSED_MS;
