--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -107,14 +107,14 @@
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut buffer = vec![0; wire::DATAGRAM_MAX_BYTES + 64];
-    let mut doubts = SuspicionSigns { refutation: 0, ticked_at: clock::now() };
+    let mut signs = SuspicionSigns { refutation: 0, ticked_at: clock::now() };
     with_members(&node, |members, _| members.announce_to_seeds());
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 with_members(&node, Membership::tick);
                 node.usage.record_clock(node.settings().peer, UnixMs::from_wall_clock());
-                if doubts.arise(&node) {
+                if signs.arise(&node) {
                     batches::verify_ownership_of_all(&node);
                 }
             }
