--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -114,7 +114,7 @@
             _ = ticks.tick() => {
                 with_members(&node, Membership::tick);
                 node.usage.record_clock(node.settings().peer, UnixMs::from_wall_clock());
-                if signs.arise(&node) {
+                if signs.observed(&node) {
                     batches::verify_ownership_of_all(&node);
                 }
             }
@@ -134,7 +134,7 @@
 }
 
 impl SuspicionSigns {
-    fn arise<P: Platform>(&mut self, node: &Node<P>) -> bool {
+    fn observed<P: Platform>(&mut self, node: &Node<P>) -> bool {
         let now = clock::now();
         let paused = now.since_ms(std::mem::replace(&mut self.ticked_at, now)) > PAUSED_MS;
         let refutation =
