--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -43,7 +43,7 @@
 /// How often membership does what is due.
 const TICK: Duration = Duration::from_millis(100);
 /// A tick that comes this late tells of a pause in which others may have suspected this node.
-const PAUSED_MS: u64 = 700;
+const PAUSE_MIN_MS: u64 = 700;
 /// How long after joining a node knows whom else there is: several probes. Before that it takes on
 /// no duty that falls to the first in rank.
 pub(crate) const SETTLE_MS: u64 = 700;
@@ -136,7 +136,7 @@
 impl SuspicionSigns {
     fn observed<P: Platform>(&mut self, node: &Node<P>) -> bool {
         let now = clock::now();
-        let paused = now.since_ms(std::mem::replace(&mut self.ticked_at, now)) > PAUSED_MS;
+        let paused = now.since_ms(std::mem::replace(&mut self.ticked_at, now)) > PAUSE_MIN_MS;
         let refutation =
             node.members.borrow().as_ref().map_or(0, |members| members.me().refutation);
         let suspected = std::mem::replace(&mut self.refutation, refutation) != refutation;
