--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 struct Kind {
-    left_out: u32,
+    suppressed: u32,
     name: &'static str,
     second: u64,
     written: u32,
@@ -69,7 +69,7 @@
 
     /// Writes one line; `fields` must be an object.
     pub(crate) fn note(&self, now: UnixMs, event: &'static str, fields: Value) {
-        let Some(left_out) = self.admit(now, event) else { return };
+        let Some(suppressed) = self.admit(now, event) else { return };
         let mut line = Map::new();
         line.insert("at_unix_ms".into(), json!(UnixMs::from_wall_clock().0));
         line.insert("at_ms".into(), json!(now.0));
@@ -78,8 +78,8 @@
         if let Value::Object(fields) = fields {
             line.extend(fields);
         }
-        if left_out > 0 {
-            line.insert("left_out_before".into(), json!(left_out));
+        if suppressed > 0 {
+            line.insert("left_out_before".into(), json!(suppressed));
         }
         log::info!("{}", Value::Object(line));
     }
@@ -89,7 +89,7 @@
         let mut kinds = self.kinds.borrow_mut();
         let second = now.0 / 1_000;
         let at = kinds.iter().position(|kind| kind.name == name).unwrap_or_else(|| {
-            kinds.push(Kind { left_out: 0, name, second, written: 0 });
+            kinds.push(Kind { suppressed: 0, name, second, written: 0 });
             kinds.len() - 1
         });
         let kind = &mut kinds[at];
@@ -98,11 +98,11 @@
             kind.written = 0;
         }
         if kind.written >= KIND_MAX_LINES_PER_S {
-            kind.left_out += 1;
+            kind.suppressed += 1;
             return None;
         }
         kind.written += 1;
-        Some(std::mem::take(&mut kind.left_out))
+        Some(std::mem::take(&mut kind.suppressed))
     }
 }
 
