--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -17,7 +17,9 @@
 use crate::platform::Platform;
 use catkinmast_member::{CrashFact, Fact};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{ENOUGH_LIVES, Evidence, Fingerprint, Life, Standing};
+use catkinmast_quarantine::{
+    BLOCK_THRESHOLD, Evidence, Fingerprint, RequestStatus, TargetIncarnation,
+};
 use serde_json::json;
 use std::rc::Rc;
 
@@ -28,8 +30,8 @@
 
 /// Tells whether a request is free to be sent to targets.
 pub(crate) fn is_clear<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> bool {
-    let standing = node.quarantine.borrow().standing(UnixMs::from_wall_clock(), fingerprint);
-    standing == Standing::Clear
+    let standing = node.quarantine.borrow().status(UnixMs::from_wall_clock(), fingerprint);
+    standing == RequestStatus::Allowed
 }
 
 /// Tells whether a request is sent to no target, before one is chosen or waited for.
@@ -38,8 +40,8 @@
     outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
-        Standing::Barred { until } => Err(barred(until)),
-        Standing::Clear | Standing::Trial { .. } => Ok(()),
+        RequestStatus::Blocked { until } => Err(barred(until)),
+        RequestStatus::Allowed | RequestStatus::Trial { .. } => Ok(()),
     }
 }
 
@@ -49,17 +51,17 @@
     outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
-        Standing::Clear => Ok(()),
-        Standing::Barred { until } => Err(barred(until)),
-        Standing::Trial { number } => admit_to_trial(node, outgoing, number).await,
+        RequestStatus::Allowed => Ok(()),
+        RequestStatus::Blocked { until } => Err(barred(until)),
+        RequestStatus::Trial { number } => admit_to_trial(node, outgoing, number).await,
     }
 }
 
-fn standing<P: Platform>(node: &Node<P>, outgoing: &OutgoingRequest) -> Standing {
+fn standing<P: Platform>(node: &Node<P>, outgoing: &OutgoingRequest) -> RequestStatus {
     if !has_evidence(node) {
-        return Standing::Clear;
+        return RequestStatus::Allowed;
     }
-    node.quarantine.borrow().standing(UnixMs::from_wall_clock(), outgoing.fingerprint())
+    node.quarantine.borrow().status(UnixMs::from_wall_clock(), outgoing.fingerprint())
 }
 
 async fn admit_to_trial<P: Platform>(
@@ -69,7 +71,7 @@
 ) -> Result<(), AttemptFailure> {
     let fingerprint = outgoing.fingerprint();
     let now = UnixMs::from_wall_clock();
-    node.quarantine.borrow_mut().asks(now, fingerprint, number);
+    node.quarantine.borrow_mut().record_trial_request(now, fingerprint, number);
     let is_ours = records::claim_trial(node, fingerprint, number).await;
     node.note(
         "request_trial",
@@ -77,7 +79,7 @@
                 "request": outgoing.request_id }),
     );
     // The store may answer after seconds; another target may have ended meanwhile.
-    let ends = node.quarantine.borrow().evidence(fingerprint).map_or(0, Evidence::count);
+    let ends = node.quarantine.borrow().evidence(fingerprint).map_or(0, Evidence::unrefuted_count);
     if is_ours && ends <= number { Ok(()) } else { Err(barred(now.plus(records::TRIAL_MS))) }
 }
 
@@ -93,18 +95,18 @@
         return;
     }
     let fingerprint = outgoing.fingerprint();
-    node.broken_off.borrow_mut().survived(fingerprint);
-    if node.quarantine.borrow_mut().survived(fingerprint) {
+    node.broken_off.borrow_mut().forget(fingerprint);
+    if node.quarantine.borrow_mut().record_answer(fingerprint) {
         node.note("request_cleared", json!({ "fingerprint": fingerprint.to_string() }));
         spread(node, fingerprint);
     }
 }
 
 /// Takes the end of a target under a request of this node.
-fn ended<P: Platform>(node: &Node<P>, fingerprint: Fingerprint, life: Life) {
+fn ended<P: Platform>(node: &Node<P>, fingerprint: Fingerprint, life: TargetIncarnation) {
     let was_clear = is_clear(node, fingerprint);
     let now = UnixMs::from_wall_clock();
-    if node.quarantine.borrow_mut().ended(now, fingerprint, life) {
+    if node.quarantine.borrow_mut().record_end(now, fingerprint, life) {
         note_if_barred(node, fingerprint, was_clear, "seen here");
         spread(node, fingerprint);
     }
@@ -123,7 +125,7 @@
     by: &'static str,
 ) -> bool {
     let was_clear = is_clear(node, fingerprint);
-    let is_news = node.quarantine.borrow_mut().learn(fingerprint, evidence);
+    let is_news = node.quarantine.borrow_mut().merge(fingerprint, evidence);
     if is_news {
         note_if_barred(node, fingerprint, was_clear, by);
     }
@@ -154,11 +156,11 @@
         return;
     }
     let quarantine = node.quarantine.borrow();
-    let lives = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::counted);
-    let targets: Vec<String> = lives.map(Life::to_string).collect();
+    let lives = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::unrefuted);
+    let targets: Vec<String> = lives.map(TargetIncarnation::to_string).collect();
     node.note(
         "request_barred",
         json!({ "fingerprint": fingerprint.to_string(), "targets": targets, "by": by,
-                "enough": ENOUGH_LIVES }),
+                "enough": BLOCK_THRESHOLD }),
     );
 }
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -8,7 +8,7 @@
     CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, ObservedHead,
     diff, merge,
 };
-use catkinmast_lease::{HolderRecord, Report, Tenure};
+use catkinmast_lease::{HolderRecord, LeaseClaim, Report};
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
     Admission, AdmissionLimits, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
@@ -53,7 +53,7 @@
     follower: Follower,
     rng: Pcg64Mcg,
     targets: TargetBalancer,
-    tenure: Tenure,
+    tenure: LeaseClaim,
     tickets: TicketTable,
     waiting: IndexMap<WaitId, String>,
 }
@@ -79,7 +79,7 @@
             follower: Follower::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
             targets: TargetBalancer::open(TargetSettings::default()),
-            tenure: Tenure::open(holder()),
+            tenure: LeaseClaim::open(holder()),
             tickets: TicketTable::open(ticket_limits),
             waiting: IndexMap::new(),
         }
