--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -1,14 +1,15 @@
-//! How old a node's view of what others write to the store is, and when the node looks for itself.
+//! Tracks how old a node's view of the store is, and when the node must read the store itself.
 //!
-//! A few nodes watch the store and tell all others what they see. A node that hears of no answer of
-//! the store for too long looks itself, whoever else is there, so that a change is in force in time
-//! at every node that reaches the store. Nodes look in the order of their ranks, and each group of
-//! ranks is twice as large as the one before: while the first ones succeed, a fleet of any size makes
-//! a few calls, and where only one node reaches the store it is found after a few steps.
+//! A few nodes watch the store and report what they see to all others. A node that receives no
+//! report of a store answer for too long reads the store itself, whichever other nodes there are,
+//! so that a change is in force in time at every node that reaches the store. Nodes do so in the
+//! order of their ranks, and each group of ranks is twice as large as the one before: while the
+//! first nodes succeed, a fleet of any size makes a few calls, and if only one node reaches the
+//! store it is found after a few steps.
 
 use catkinmast_model::UnixMs;
 
-/// Nodes that watch.
+/// Number of nodes that watch the store.
 pub const WATCHERS: usize = 2;
 
 /// How soon a change that the store has acknowledged must be in force at the nodes that reach it.
@@ -18,7 +19,7 @@
 }
 
 impl ChangeBound {
-    /// Takes a bound in milliseconds.
+    /// Creates a bound from milliseconds.
     pub const fn from_ms(ms: u64) -> Self {
         Self { ms }
     }
@@ -28,109 +29,112 @@
         self.ms
     }
 
-    /// Returns how old a watching node's view gets before the store is asked again, in milliseconds.
+    /// Returns how old a watching node's view may get before it calls the store again, in
+    /// milliseconds.
     pub const fn wait_ms(self) -> u64 {
         self.ms / 2
     }
 
-    /// Returns the age from which a node looks for itself, in milliseconds. What is left of the
-    /// bound is for the ranks that come later, the call itself and the word to the others.
+    /// Returns the age from which a node reads the store itself, in milliseconds. The rest of the
+    /// bound is for ranks that come later, the call itself and the report to the others.
     pub const fn stale_ms(self) -> u64 {
         self.ms * 5 / 8
     }
 
-    /// Returns the time between two groups of ranks, in milliseconds: several times what the store
-    /// takes to answer and the word to arrive. Nine groups are 512 nodes.
-    const fn group_ms(self) -> u64 {
+    /// Returns the time between two groups of ranks, in milliseconds. It is several times what the
+    /// store takes to answer and a report to arrive. Nine groups are 512 nodes.
+    const fn rank_group_interval_ms(self) -> u64 {
         self.ms * 3 / 100
     }
 
-    /// Returns how long after the first ones a node of this rank looks, in milliseconds.
-    const fn turn_ms(self, rank: usize) -> u64 {
+    /// Returns how long after the first nodes a node of this rank reads the store, in milliseconds.
+    const fn rank_delay_ms(self, rank: usize) -> u64 {
         match (rank / WATCHERS).checked_ilog2() {
-            Some(group) => self.group_ms() * group as u64,
+            Some(group) => self.rank_group_interval_ms() * group as u64,
             None => 0,
         }
     }
 }
 
-/// Who told of an answer of the store.
+/// Where a confirmation of the view comes from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConfirmationSource {
-    /// This node's own call was answered.
+    /// A call of this node was answered.
     OwnCall,
-    /// Another node that comes before this one in rank.
+    /// A node with an earlier rank reported an answer.
     EarlierRank,
-    /// Another node.
+    /// A node with a later rank reported an answer.
     LaterRank,
 }
 
 /// The age of a node's view of the store.
 ///
-/// Only an answer of the store that may not be old makes a view younger. A node passes on what its
-/// own calls confirmed and nothing else: two nodes that passed on what they heard would keep each
-/// other young.
+/// Only an answer of the store that is known to be current makes a view younger. A node reports
+/// only what its own calls confirmed: two nodes that reported what they received would confirm each
+/// other's views for ever.
 #[derive(Clone, Copy, Debug, Default)]
 #[expect(clippy::struct_field_names, reason = "the suffix says that each is a point in time")]
 pub struct Freshness {
-    /// When the view was last known to be complete, whoever told it.
+    /// When the view was last known to be complete, from any source.
     confirmed_at: Option<UnixMs>,
-    /// When a call of this node last confirmed it.
-    own_at: Option<UnixMs>,
-    /// When a node that comes before this one in rank last told of it.
-    senior_at: Option<UnixMs>,
+    /// When a call of this node last confirmed the view.
+    own_call_at: Option<UnixMs>,
+    /// When a node with an earlier rank last reported a confirmation.
+    earlier_rank_at: Option<UnixMs>,
 }
 
 impl Freshness {
-    /// Takes it that the view was complete at a moment.
+    /// Records that the view was complete at `at`.
     pub fn confirm(&mut self, at: UnixMs, by: ConfirmationSource) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
         match by {
-            ConfirmationSource::OwnCall => self.own_at = self.own_at.max(Some(at)),
-            ConfirmationSource::EarlierRank => self.senior_at = self.senior_at.max(Some(at)),
+            ConfirmationSource::OwnCall => self.own_call_at = self.own_call_at.max(Some(at)),
+            ConfirmationSource::EarlierRank => {
+                self.earlier_rank_at = self.earlier_rank_at.max(Some(at))
+            }
             ConfirmationSource::LaterRank => {}
         }
     }
 
-    /// Forgets how old the view is, because there is something that it lacks.
+    /// Forgets how old the view is, because something is missing from it.
     pub fn invalidate(&mut self) {
         *self = Self::default();
     }
 
-    /// Returns how long ago the view was last known to be complete, in milliseconds; none if that is
-    /// not known.
+    /// Returns how long ago the view was last known to be complete, in milliseconds. `None` if that
+    /// is unknown.
     pub fn age_ms(&self, now: UnixMs) -> Option<u64> {
         self.confirmed_at.map(|at| now.since_ms(at))
     }
 
-    /// Returns how long ago a call of this node confirmed the view, in milliseconds; none if none
-    /// did, or if that is too long ago to be of use to others.
+    /// Returns how long ago a call of this node confirmed the view, in milliseconds. `None` if none
+    /// did, or too long ago to be of use to others.
     pub fn reportable_age_ms(&self, now: UnixMs, bound: ChangeBound) -> Option<u64> {
-        let own_ms = now.since_ms(self.own_at?);
+        let own_ms = now.since_ms(self.own_call_at?);
         (own_ms < bound.stale_ms()).then_some(own_ms)
     }
 
-    /// Returns when a node of this rank looks for itself.
+    /// Returns when a node of this rank must read the store itself.
     pub fn next_read_at(&self, rank: usize, bound: ChangeBound) -> UnixMs {
         match self.confirmed_at {
             None => UnixMs(0),
-            Some(at) => at.plus(bound.stale_ms() + bound.turn_ms(rank)),
+            Some(at) => at.plus(bound.stale_ms() + bound.rank_delay_ms(rank)),
         }
     }
 
-    /// Tells whether a node of this rank watches the store: by rank, or because none of those that
-    /// come before it has told of an answer for too long.
+    /// Returns whether a node of this rank watches the store: because of its rank, or because no
+    /// node with an earlier rank has reported an answer for too long.
     pub fn should_watch(&self, now: UnixMs, rank: usize, bound: ChangeBound) -> bool {
-        let is_relieved = self.senior_at.is_some_and(|at| now.since_ms(at) < bound.stale_ms());
-        rank < WATCHERS || !is_relieved
+        let is_covered = self.earlier_rank_at.is_some_and(|at| now.since_ms(at) < bound.stale_ms());
+        rank < WATCHERS || !is_covered
     }
 
-    /// Returns for how long a watching node waits for changes, in milliseconds. The wait ends when
-    /// the view would get old without an answer.
+    /// Returns how long a watching node's next call waits for changes, in milliseconds. The call
+    /// ends before the view becomes stale without an answer.
     pub fn next_wait_ms(&self, now: UnixMs, bound: ChangeBound) -> u64 {
-        const SHORTEST_PART: u64 = 4;
-        let age_ms = self.own_at.map_or(0, |at| now.since_ms(at));
+        const WAIT_MIN_DIVISOR: u64 = 4;
+        let age_ms = self.own_call_at.map_or(0, |at| now.since_ms(at));
         let wait_ms = bound.wait_ms();
-        wait_ms.saturating_sub(age_ms).max(wait_ms / SHORTEST_PART)
+        wait_ms.saturating_sub(age_ms).max(wait_ms / WAIT_MIN_DIVISOR)
     }
 }
--- a/crates/dispatch/src/targets.rs
+++ b/crates/dispatch/src/targets.rs
@@ -248,7 +248,7 @@
             (Some(reported), Some(held)) if reported < held => (false, TargetChange::None),
             (Some(reported), Some(held)) if reported > held => {
                 let entry = TargetEntry {
-                    started_at_unix_ms: started_at_unix_ms,
+                    started_at_unix_ms,
                     draining: false,
                     models: Vec::new(),
                     sequence: 0,
