--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -175,11 +175,11 @@
     pub fn handle(&mut self, now: UnixMs, event: FollowerEvent) -> Vec<FollowerEffect> {
         match event {
             FollowerEvent::Announced { digest, revision } => {
-                self.set_pending(now, revision, digest)
+                self.set_pending(now, revision, digest);
             }
             FollowerEvent::BodyFetched { revision } => return self.body_fetched(now, revision),
             FollowerEvent::BodyMissing => {
-                self.fetch = CallState::NotBefore(now.plus(BODY_RETRY_MS))
+                self.fetch = CallState::NotBefore(now.plus(BODY_RETRY_MS));
             }
             FollowerEvent::HeadRead(head) => {
                 self.head_read = CallState::NotBefore(now);
--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -90,7 +90,7 @@
         match by {
             ConfirmationSource::OwnCall => self.own_call_at = self.own_call_at.max(Some(at)),
             ConfirmationSource::EarlierRank => {
-                self.earlier_rank_at = self.earlier_rank_at.max(Some(at))
+                self.earlier_rank_at = self.earlier_rank_at.max(Some(at));
             }
             ConfirmationSource::LaterRank => {}
         }
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -102,7 +102,7 @@
 ) {
     match change {
         TargetChange::Left(id) if !entry.draining => {
-            take(node, TargetOutcome::Gone { id }, "registry")
+            take(node, TargetOutcome::Gone { id }, "registry");
         }
         TargetChange::Restarted(id) => {
             let started_at_unix_ms = entry.started_at_unix_ms;
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -151,11 +151,11 @@
             with_members(node, |members, now| members.receive(now, from, message));
         }
         Ok(Datagram::Changes { changes, subject }) => {
-            feed::receive_changes(node, subject, changes, from)
+            feed::receive_changes(node, subject, changes, from);
         }
         Ok(Datagram::BatchEnded { batch }) => batches::on_batch_ended(node, &batch),
         Ok(Datagram::BatchOrphaned { batch, owner }) => {
-            batches::on_batch_orphaned(node, &batch, owner)
+            batches::on_batch_orphaned(node, &batch, owner);
         }
         Ok(Datagram::BatchOwned { batch, model, owner, work_tokens }) => {
             node.note_demand(model.as_deref(), work_tokens);
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -303,7 +303,7 @@
                 let (admitted, dequeued) = self.admission.arrive(now, "workspace", class, deadline);
                 match admitted {
                     catkinmast_route::AdmissionDecision::Admitted => {
-                        writeln!(output, "{who} is served")?
+                        writeln!(output, "{who} is served")?;
                     }
                     catkinmast_route::AdmissionDecision::Queued(id) => {
                         self.waiting.insert(id, who.clone());
