--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -141,7 +141,7 @@
     body: Incoming,
     began_at: UnixMs,
 ) -> Answer<P> {
-    let terms = P::caller_terms(&head.headers);
+    let terms = P::caller_options(&head.headers);
     let id = terms.request_id.clone();
     let Some(document) = node.document() else {
         return ended(
@@ -318,7 +318,7 @@
             return Err(ErrorAnswer::new(status, format!("no answer in {budget_ms} ms")));
         }
         crashes::check(node, outgoing).map_err(|failure| barred(&failure, ran_somewhere))?;
-        let service = route.service(node.draw()).unwrap_or_default();
+        let service = route.service(node.random_u64()).unwrap_or_default();
         let chosen = choose(node, service, &tried);
         let failure = match chosen {
             Some(chosen) => {
@@ -390,7 +390,7 @@
     service: &str,
     tried: &[String],
 ) -> Option<ChosenTarget> {
-    let draw = node.draw();
+    let draw = node.random_u64();
     let chosen = node.pick(
         service,
         |_| true,
--- a/crates/serve/src/tenancy.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -27,26 +27,26 @@
 const LEASE_RENEW_MS: u64 = 500;
 const LEASE_RETRY_MS: u64 = 300;
 /// Added to the time that a new holder waits, for acts on their way.
-const ORDER_FLIGHT_MS: u64 = 200;
+const IN_FLIGHT_MS: u64 = 200;
 /// How long a node that has named another holder does not take the duty itself.
-const RESIGNED_MS: u64 = 10_000;
+const STEP_DOWN_MS: u64 = 10_000;
 
 /// This node's part in one duty.
 #[derive(Debug)]
-pub(crate) struct Tenancy {
+pub(crate) struct DutyLease {
     duty: &'static str,
     /// Whether this life has held it.
-    gained: Cell<bool>,
+    held_since_start: Cell<bool>,
     /// Whether an earlier life of this node held it when it ended.
     held_before: bool,
     key: &'static str,
     lease: Cell<Option<LeaseId>>,
     record: HolderRecord,
-    resigned_until: Cell<UnixMs>,
+    stepped_down_until: Cell<UnixMs>,
     tenure: RefCell<LeaseClaim>,
 }
 
-impl Tenancy {
+impl DutyLease {
     /// Opens a part in a duty that this node does not hold; none before it has joined the others.
     pub(crate) async fn open<P: Platform>(
         node: &Rc<Node<P>>,
@@ -60,7 +60,7 @@
             record.clone(),
             LeaseSettings {
                 margin_ms: LEASE_MARGIN_MS,
-                order_flight_ms: (settings.order_lease_ms + ORDER_FLIGHT_MS)
+                order_flight_ms: (settings.order_lease_ms + IN_FLIGHT_MS)
                     .saturating_sub(LEASE_MARGIN_MS),
                 renew_every_ms: LEASE_RENEW_MS,
                 retry_every_ms: LEASE_RETRY_MS,
@@ -70,12 +70,12 @@
         let held_before = held_before(node, key, &record).await;
         Some(Rc::new(Self {
             duty,
-            gained: Cell::new(false),
+            held_since_start: Cell::new(false),
             held_before,
             key,
             lease: Cell::new(None),
             record,
-            resigned_until: Cell::new(UnixMs(0)),
+            stepped_down_until: Cell::new(UnixMs(0)),
             tenure: RefCell::new(tenure),
         }))
     }
@@ -99,22 +99,22 @@
     pub(crate) fn tick<P: Platform>(self: &Rc<Self>, node: &Rc<Node<P>>) {
         let now = clock::now();
         if self.fence(now).is_some() {
-            self.gained.set(true);
+            self.held_since_start.set(true);
         }
         let wanted = self.is_wanted(node, now);
         let (action, change) = self.tenure.borrow_mut().tick(now, wanted);
         self.note_change(node, change);
         if let Some(action) = action {
-            let (tenancy, node) = (Rc::clone(self), Rc::clone(node));
-            tokio::task::spawn_local(async move { tenancy.carry_out(&node, action).await });
+            let (duty_lease, node) = (Rc::clone(self), Rc::clone(node));
+            tokio::task::spawn_local(async move { duty_lease.carry_out(&node, action).await });
         }
     }
 
     fn is_wanted<P: Platform>(&self, node: &Node<P>, now: UnixMs) -> bool {
-        if node.leaving.get() || now < self.resigned_until.get() {
+        if node.leaving.get() || now < self.stepped_down_until.get() {
             return false;
         }
-        if self.held_before && !self.gained.get() {
+        if self.held_before && !self.held_since_start.get() {
             return true;
         }
         match peers::holder_of(node, &self.name()) {
@@ -124,21 +124,21 @@
     }
 
     /// Gives the duty up to another node, because this one cannot do its work.
-    pub(crate) fn resign<P: Platform>(&self, node: &Node<P>, why: &str) {
+    pub(crate) fn step_down<P: Platform>(&self, node: &Node<P>, why: &str) {
         let now = clock::now();
         let Some(fence) = self.fence(now) else { return };
         let Some(successor) = peers::successor_for(node, self.duty) else { return };
-        self.resigned_until.set(now.plus(RESIGNED_MS));
+        self.stepped_down_until.set(now.plus(STEP_DOWN_MS));
         let line = json!({ "duty": self.duty, "successor": successor.node, "why": why });
         node.note("duty_resigned", line);
         let Owner { incarnation, node: name, .. } = successor;
         let fence = Fence(fence.0 + 1);
         let fact = OwnerFact { fence, incarnation, node: name, trainer: self.name() };
-        peers::tell_holder(node, fact);
+        peers::announce_holder(node, fact);
     }
 
     fn name(&self) -> Name {
-        peers::name_of(self.duty)
+        peers::to_node_name(self.duty)
     }
 
     fn note_change<P: Platform>(&self, node: &Node<P>, change: Option<Change>) {
@@ -149,7 +149,7 @@
                 node.note("duty_gained", json!({ "duty": self.duty, "fence": fence.0 }));
                 let HolderRecord { incarnation, node: name } = self.record.clone();
                 let fact = OwnerFact { fence, incarnation, node: name, trainer: self.name() };
-                peers::tell_holder(node, fact);
+                peers::announce_holder(node, fact);
             }
         }
     }
@@ -191,10 +191,10 @@
                 let held = postcard::from_bytes::<HolderRecord>(&item.value);
                 // Of an earlier life, or of this one: its lease was not renewed in time, by our clock,
                 // while the store was away and let no lease lapse.
-                let mine_before = held.is_ok_and(|held| {
+                let own_earlier = held.is_ok_and(|held| {
                     held.node == self.record.node && held.incarnation <= self.record.incarnation
                 });
-                if !mine_before {
+                if !own_earlier {
                     return Report::Refused;
                 }
                 match self.create(node, lease, item.revision, &value).await {
--- a/crates/serve/src/feed/known.rs
+++ b/crates/serve/src/feed/state.rs
@@ -13,7 +13,7 @@
 /// Bytes of changes in one datagram.
 const DATAGRAM_CHANGES_BYTES: usize = 1_200;
 /// Changes kept for peers that missed a datagram.
-const LOG_MAX: usize = 512;
+const LOG_MAX_EVENTS: usize = 512;
 
 /// What a feed follows.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -52,12 +52,12 @@
 
 /// Who told of changes.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Teller {
+pub(super) enum Source {
     Peer(SocketAddr),
     Store,
 }
 
-impl Display for Teller {
+impl Display for Source {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Peer(address) => address.fmt(f),
@@ -68,7 +68,7 @@
 
 /// Changes as a node takes them.
 #[derive(Debug)]
-pub(super) struct News {
+pub(super) struct FeedUpdate {
     /// Whether the store was away before them.
     pub(super) after_outage: bool,
     /// The revision up to which they are complete.
@@ -76,12 +76,12 @@
     /// When the view that they complete was known to be complete, by this node's clock.
     pub(super) confirmed_at: Option<UnixMs>,
     pub(super) events: Vec<StoreEvent>,
-    pub(super) teller: Teller,
+    pub(super) source: Source,
 }
 
 /// What a node knows of a feed.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct FeedState {
     pub(super) as_of: u64,
     pub(super) freshness: Freshness,
     pub(super) items: IndexMap<String, (u64, Vec<u8>)>,
@@ -90,7 +90,7 @@
     pub(super) started: bool,
 }
 
-impl Known {
+impl FeedState {
     /// Returns the changes that turn what is known into a list read whole at `as_of`.
     pub(super) fn difference(&self, items: &[StoredItem], as_of: u64) -> Vec<StoreEvent> {
         let listed = |key: &String| items.iter().any(|item| item.key == *key);
@@ -107,36 +107,36 @@
 
     /// Takes changes; returns those that were news.
     pub(super) fn take(&mut self, events: Vec<StoreEvent>, as_of: u64) -> Vec<StoreEvent> {
-        let news: Vec<StoreEvent> =
-            events.into_iter().filter(|event| self.take_one(event)).collect();
-        for event in &news {
+        let applied: Vec<StoreEvent> =
+            events.into_iter().filter(|event| self.apply_one(event)).collect();
+        for event in &applied {
             self.log.push_back(event.clone());
         }
-        while self.log.len() > LOG_MAX {
+        while self.log.len() > LOG_MAX_EVENTS {
             if let Some(event) = self.log.pop_front() {
                 self.log_from = self.log_from.max(event.revision());
             }
         }
         self.as_of = self.as_of.max(as_of);
-        news
+        applied
     }
 
-    fn take_one(&mut self, event: &StoreEvent) -> bool {
+    fn apply_one(&mut self, event: &StoreEvent) -> bool {
         let held = self.items.get(event.key()).map(|(revision, _)| *revision);
         match event {
             StoreEvent::Written(item) => {
-                let is_news = held.is_none_or(|held| item.revision > held);
-                if is_news {
+                let is_new = held.is_none_or(|held| item.revision > held);
+                if is_new {
                     self.items.insert(item.key.clone(), (item.revision, item.value.clone()));
                 }
-                is_news
+                is_new
             }
             StoreEvent::Deleted { key, revision } => {
-                let is_news = held.is_some_and(|held| *revision > held);
-                if is_news {
+                let is_new = held.is_some_and(|held| *revision > held);
+                if is_new {
                     self.items.swap_remove(key);
                 }
-                is_news
+                is_new
             }
         }
     }
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -114,11 +114,11 @@
 
 fn answer_operators<P: Platform>(node: &Node<P>, head: &Parts) -> Answer<P> {
     let ready = node.ready.get() && !node.leaving.get();
-    if P::asks_readiness(head) {
+    if P::is_readiness_probe(head) {
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return caller::plain(status, Bytes::from_static(b"{}"));
     }
-    if P::asks_addresses(head) {
+    if P::is_address_lookup(head) {
         let ttl_ms = ADDRESSES_TTL_MS.min(node.settings().directory_ttl_max_ms);
         let addresses = addresses(node);
         let status =
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -7,6 +7,7 @@
 //! finds that number changed and does nothing.
 
 use crate::clock;
+use crate::duty_lease::DutyLease;
 use crate::forward::ChosenTarget;
 use crate::metrics::count;
 use crate::node::Node;
@@ -14,7 +15,6 @@
 use crate::platform::{EngineReport, OrderCall, Platform};
 use crate::pool::{CallError, read_body};
 use crate::store::{Put, StoreCall};
-use crate::tenancy::Tenancy;
 use bytes::Bytes;
 use catkinmast_dispatch::{
     LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
@@ -36,16 +36,16 @@
 /// How often what is due is done.
 const TICK: Duration = Duration::from_millis(100);
 /// How long an engine may take to answer a report or an order.
-const ENGINE_MAX: Duration = Duration::from_secs(1);
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after an order the first look at the engine's report is worth it, and the next ones.
 /// A load takes nearly a second, and a report is some hundred milliseconds old.
-const FIRST_LOOK: Duration = Duration::from_secs(1);
-const NEXT_LOOK: Duration = Duration::from_millis(300);
+const FIRST_REPORT_DELAY: Duration = Duration::from_secs(1);
+const NEXT_REPORT_DELAY: Duration = Duration::from_millis(300);
 /// How long a target takes no new work after an order: over 15 days of 9 targets, the first run
 /// that one took began 904 ms after it, or later.
 const LOAD_MS: u64 = 900;
 /// Looks at a report before an order counts as lost: an order may be carried out seconds late.
-const LOOKS_MAX: u32 = 20;
+const REPORTS_MAX: u32 = 20;
 /// After an order that got no answer, the report shows within this time whether it was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(400);
 /// The largest report.
@@ -59,10 +59,10 @@
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when it was last told.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
-    tenancy: Rc<Tenancy>,
+    lease: Rc<DutyLease>,
     /// The machines that were reported empty, and the revision that asked for it: one may be asked for
     /// again, and its report is gone by then.
-    vacated: RefCell<IndexMap<String, u64>>,
+    drained: RefCell<IndexMap<String, u64>>,
 }
 
 /// Orders that a target has accepted since it started.
@@ -86,24 +86,24 @@
 }
 
 /// Takes part in the duty until the process ends.
-pub(crate) async fn give_orders<P: Platform>(node: Rc<Node<P>>) {
-    let Some(tenancy) = Tenancy::open(&node, DUTY, LEASE_KEY).await else { return };
+pub(crate) async fn run_order_duty<P: Platform>(node: Rc<Node<P>>) {
+    let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     let holder = Rc::new(Holder {
         accepted: RefCell::new(IndexMap::new()),
         rollouts: RefCell::new(IndexMap::new()),
         shared: RefCell::new(IndexMap::new()),
-        tenancy,
-        vacated: RefCell::new(IndexMap::new()),
+        lease,
+        drained: RefCell::new(IndexMap::new()),
     });
     loop {
         sleep(TICK).await;
-        holder.tenancy.tick(&node);
+        holder.lease.tick(&node);
         let now = clock::now();
-        if holder.tenancy.order_fence(now).is_some() {
+        if holder.lease.order_fence(now).is_some() {
             plan(&node, &holder);
         }
-        if holder.tenancy.fence(now).is_some() {
-            report_vacated(&node, &holder);
+        if holder.lease.fence(now).is_some() {
+            report_drained(&node, &holder);
         }
     }
 }
@@ -194,7 +194,7 @@
         },
     };
     // Asked right before the order: a pause since the plan must not let it out under a lapsed lease.
-    let fence = holder.tenancy.order_fence(clock::now());
+    let fence = holder.lease.order_fence(clock::now());
     let Some(fence) = fence else { return LoadOutcome::Failed };
     let settings = node.settings();
     let call = OrderCall {
@@ -206,7 +206,7 @@
         version: order.version,
     };
     let (path, body) = P::order(&call);
-    peers::tell_load(node, &chosen.id, LOAD_MS);
+    peers::announce_load(node, &chosen.id, LOAD_MS);
     let sent = engine_call::<P>(node, &chosen, Some((path, body))).await;
     let status = sent.as_ref().ok().map(|(status, _)| status.as_u16());
     node.note(
@@ -221,7 +221,7 @@
     match sent {
         Ok((StatusCode::ACCEPTED, _)) => {
             holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders + 1);
-            sleep(FIRST_LOOK).await;
+            sleep(FIRST_REPORT_DELAY).await;
         }
         Ok((StatusCode::OK, _)) => {
             holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders);
@@ -247,7 +247,7 @@
     chosen: &ChosenTarget,
     order: &LoadOrder,
 ) -> LoadOutcome {
-    for _ in 0..LOOKS_MAX {
+    for _ in 0..REPORTS_MAX {
         let known = node.targets.borrow().entry(&chosen.id).is_some_and(|entry| {
             entry.models.iter().any(|(model, held)| *model == order.model && *held >= order.version)
         });
@@ -266,7 +266,7 @@
             }
             Err(_) => return LoadOutcome::Failed,
         }
-        sleep(NEXT_LOOK).await;
+        sleep(NEXT_REPORT_DELAY).await;
     }
     LoadOutcome::Failed
 }
@@ -322,11 +322,11 @@
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
         .map_err(|error| CallError { message: error.to_string(), verdict: Verdict::NotRun })?;
-    let marks = crate::platform::RequestMarks {
+    let marks = crate::platform::TargetRequestMetadata {
         expected_target: Some(&chosen.id),
-        ..crate::platform::RequestMarks::default()
+        ..crate::platform::TargetRequestMetadata::default()
     };
-    P::mark_request(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &marks);
     let exchange = async {
         let (response, connection) = node.pool.send(chosen.address, request).await?;
         let (head, body) = response.into_parts();
@@ -334,23 +334,23 @@
         node.pool.release(connection, &head.headers);
         Ok((head.status, body))
     };
-    match timeout(ENGINE_MAX, exchange).await {
+    match timeout(ENGINE_TIMEOUT, exchange).await {
         Ok(result) => result,
         Err(_) => Err(CallError::may_have_run("the engine did not answer in time")),
     }
 }
 
 /// Reports store machines as empty: nothing that lasts is kept on them.
-fn report_vacated<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
-    let asked = node.vacating.borrow().clone();
+fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
+    let asked = node.draining.borrow().clone();
     for (machine, revision) in asked {
-        let reported = holder.vacated.borrow_mut().insert(machine.clone(), revision);
+        let reported = holder.drained.borrow_mut().insert(machine.clone(), revision);
         if reported == Some(revision) {
             continue;
         }
         let (node, holder) = (Rc::clone(node), Rc::clone(holder));
         tokio::task::spawn_local(async move {
-            let (key, value) = P::vacated(&machine);
+            let (key, value) = P::drained(&machine);
             let puts = vec![Put { key, lease: None, value }];
             let call = StoreCall::Transaction { deletes: Vec::new(), expected: Vec::new(), puts };
             match node.store(&call).await {
@@ -360,7 +360,7 @@
                 Err(refusal) => {
                     let why = json!({ "machine": machine, "why": refusal.message });
                     node.note("vacate_unreported", why);
-                    holder.vacated.borrow_mut().swap_remove(&machine);
+                    holder.drained.borrow_mut().swap_remove(&machine);
                 }
             }
         });
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -24,11 +24,11 @@
 
 /// How often a watching node asks whether the store is back: at two nodes and a tenth of the price, a
 /// call a second.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long such a question may take; a slow store takes a quarter of a second.
-const ASK_MAX: Duration = Duration::from_millis(600);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 /// An outage this short took no call with it that is worth making again; nobody is told of its end.
-const TOLD_FROM_MS: u64 = 500;
+const ANNOUNCE_MIN_MS: u64 = 500;
 
 /// What a node knows of an outage of the store.
 #[derive(Debug, Default)]
@@ -38,25 +38,25 @@
     /// When the first call was made that it did not answer; none while it answers.
     since: Cell<Option<UnixMs>>,
     /// Wakes the calls that wait for an answer.
-    pub over: Notify,
+    pub ended: Notify,
 }
 
 impl Outage {
     /// Tells whether the store did not answer this node when it was last asked.
-    pub(crate) const fn lasts(&self) -> bool {
+    pub(crate) const fn is_ongoing(&self) -> bool {
         self.since.get().is_some()
     }
 
     /// Tells whether the store has answered since a call was made: its failure says nothing of now.
     /// Taken for an outage, calls that a short one took with it made a node lose and regain the store
     /// five times in a second.
-    pub(crate) fn is_over_since(&self, began_at: UnixMs) -> bool {
+    pub(crate) fn answered_since(&self, began_at: UnixMs) -> bool {
         began_at < self.answered_at.get()
     }
 
     /// Takes a call that failed; returns whether it is the first.
-    pub(crate) fn noticed(&self, began_at: UnixMs) -> bool {
-        if self.lasts() {
+    pub(crate) fn record_failure(&self, began_at: UnixMs) -> bool {
+        if self.is_ongoing() {
             return false;
         }
         self.since.set(Some(began_at));
@@ -65,17 +65,17 @@
 }
 
 /// Takes an answer of the store.
-pub(crate) fn answered<P: Platform>(node: &Node<P>, by: &'static str) {
+pub(crate) fn record_answer<P: Platform>(node: &Node<P>, by: &'static str) {
     node.batches.store_returned();
     node.outage.answered_at.set(clock::now());
     let Some(since) = node.outage.since.take() else { return };
     node.note("store_regained", json!({ "by": by }));
-    if clock::now().since_ms(since) < TOLD_FROM_MS {
+    if clock::now().since_ms(since) < ANNOUNCE_MIN_MS {
         return;
     }
-    node.outage.over.notify_waiters();
+    node.outage.ended.notify_waiters();
     if feed::is_watcher(node) {
-        peers::tell_all(node, &Datagram::StoreReturned);
+        peers::broadcast(node, &Datagram::StoreReturned);
     }
 }
 
@@ -83,29 +83,29 @@
 ///
 /// What waits is asked again, but the outage lasts here until the store answers this node: it may
 /// still turn this one away, and its calls would be made directly first, a second each.
-pub(crate) fn told_over<P: Platform>(node: &Rc<Node<P>>) {
-    if node.outage.lasts() {
+pub(crate) fn receive_store_returned<P: Platform>(node: &Rc<Node<P>>) {
+    if node.outage.is_ongoing() {
         node.note("store_return_told", json!({}));
         node.batches.store_returned();
-        node.outage.over.notify_waiters();
-        tokio::task::spawn_local(ask(Rc::clone(node)));
+        node.outage.ended.notify_waiters();
+        tokio::task::spawn_local(probe(Rc::clone(node)));
     }
 }
 
 /// Asks for the store's return while an outage lasts, where this node watches the store.
-pub(crate) async fn look_for_return<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn probe_until_back<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        sleep(ASK_EVERY).await;
-        if node.outage.lasts() && feed::is_watcher(&node) {
-            tokio::task::spawn_local(ask(Rc::clone(&node)));
+        sleep(PROBE_INTERVAL).await;
+        if node.outage.is_ongoing() && feed::is_watcher(&node) {
+            tokio::task::spawn_local(probe(Rc::clone(&node)));
         }
     }
 }
 
-async fn ask<P: Platform>(node: Rc<Node<P>>) {
+async fn probe<P: Platform>(node: Rc<Node<P>>) {
     let call = StoreCall::Get { key: orders::LEASE_KEY.to_owned(), may_be_old: true };
-    count(&node.metrics.store_calls, call.duty());
-    if matches!(timeout(ASK_MAX, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
-        answered(&node, call.duty());
+    count(&node.metrics.store_calls, call.kind());
+    if matches!(timeout(PROBE_TIMEOUT, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
+        record_answer(&node, call.kind());
     }
 }
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -37,11 +37,11 @@
 
 /// What the operator, or a trainer, has written to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum OperatorNotice {
+pub enum OperatorUpdate {
     /// A configuration.
     Document(Document),
     /// A store machine is to be emptied.
-    Vacate {
+    Drain {
         /// The machine's node.
         node: String,
     },
@@ -82,7 +82,7 @@
 
 /// What a caller says of its request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CallerTerms {
+pub struct CallerOptions {
     /// How long the caller waits.
     pub deadline_ms: Option<u64>,
     /// The request's id.
@@ -91,7 +91,7 @@
 
 /// What we say of a request to its target.
 #[derive(Clone, Debug, Default)]
-pub struct RequestMarks<'a> {
+pub struct TargetRequestMetadata<'a> {
     /// What is left of the caller's time.
     pub deadline_ms: Option<u64>,
     /// The only target that may run it.
@@ -106,7 +106,7 @@
 
 /// What a target says of its answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerMarks {
+pub struct TargetResponseMetadata {
     /// Whether the target says that the request did not run.
     pub not_run: bool,
     /// The request that it answers.
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     /// When the value is not in its format.
-    fn operator_notice(key: &str, value: &[u8]) -> Result<Option<OperatorNotice>, DecodeError>;
+    fn operator_update(key: &str, value: &[u8]) -> Result<Option<OperatorUpdate>, DecodeError>;
 
     /// Reads a target's id from its key.
     fn target_id(key: &str) -> &str;
@@ -223,13 +223,13 @@
     fn target_entry(key: &str, value: &[u8]) -> Result<TargetEntry, DecodeError>;
 
     /// Writes that a store machine is empty.
-    fn vacated(node: &str) -> (String, Vec<u8>);
+    fn drained(node: &str) -> (String, Vec<u8>);
 
     /// Tells whether this is the platform's question for readiness.
-    fn asks_readiness(head: &Parts) -> bool;
+    fn is_readiness_probe(head: &Parts) -> bool;
 
     /// Tells whether this is a caller's question for addresses.
-    fn asks_addresses(head: &Parts) -> bool;
+    fn is_address_lookup(head: &Parts) -> bool;
 
     /// Writes the answer to a question for addresses.
     fn addresses(addresses: &[SocketAddr], ttl_ms: u64) -> Bytes;
@@ -238,7 +238,7 @@
     fn batch_call(head: &Parts) -> Option<BatchCall>;
 
     /// Reads what a caller says of its request.
-    fn caller_terms(headers: &HeaderMap) -> CallerTerms;
+    fn caller_options(headers: &HeaderMap) -> CallerOptions;
 
     /// Reads a batch submission.
     ///
@@ -250,10 +250,10 @@
     fn page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
 
     /// Marks a request to a target.
-    fn mark_request(headers: &mut HeaderMap, marks: &RequestMarks<'_>);
+    fn set_request_metadata(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
 
     /// Reads what a target says of its answer.
-    fn answer_marks(headers: &HeaderMap) -> AnswerMarks;
+    fn response_metadata(headers: &HeaderMap) -> TargetResponseMetadata;
 
     /// Reads the version that an event says it was produced by.
     fn event_version(event: &StreamEvent) -> Option<u64>;
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -30,15 +30,15 @@
 /// Keys under which nodes register.
 const NODES: &str = "cm/n/";
 /// Pause between two tries to register.
-const REGISTER_PAUSE: Duration = Duration::from_millis(150);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Callers keep addresses for up to three times as long as they are told.
-const KEPT_TIMES: u64 = 3;
+const ADDRESS_TTL_FACTOR: u64 = 3;
 /// Left for the exit itself.
-const EXIT_MS: u64 = 1_000;
+const EXIT_RESERVE_MS: u64 = 1_000;
 /// Time between two summary lines: few enough not to matter, close enough to date an incident.
-const SUMMARY_EVERY: Duration = Duration::from_secs(10);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 /// How often a stop looks whether all is served.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// the process could not start: {0}
 #[derive(Clone, Debug, Display)]
@@ -88,7 +88,7 @@
             }
         }
         trail.note(clock::now(), "stopped", json!({}));
-        sleep(Duration::from_millis(EXIT_MS)).await;
+        sleep(Duration::from_millis(EXIT_RESERVE_MS)).await;
         Ok(())
     })
 }
@@ -115,10 +115,10 @@
         spawn_local(feed::follow(Rc::clone(&node), subject));
         spawn_local(feed::catch_up(Rc::clone(&node), subject));
     }
-    spawn_local(feed::say_alive(Rc::clone(&node)));
-    spawn_local(outage::look_for_return(Rc::clone(&node)));
+    spawn_local(feed::run_heartbeats(Rc::clone(&node)));
+    spawn_local(outage::probe_until_back(Rc::clone(&node)));
     spawn_local(crashes::maintain_records(Rc::clone(&node)));
-    spawn_local(take_part(Rc::clone(&node)));
+    spawn_local(join_and_serve(Rc::clone(&node)));
     stop.recv().await;
     leave(&node).await;
     Ok(())
@@ -153,19 +153,19 @@
 }
 
 /// Registers, joins the others and takes up all duties.
-async fn take_part<P: Platform>(node: Rc<Node<P>>) {
+async fn join_and_serve<P: Platform>(node: Rc<Node<P>>) {
     let settings = node.settings();
     let (incarnation, seeds) = register(&node, &settings).await;
     peers::join(&node, &settings, incarnation, seeds);
     spawn_local(peers::run_membership(Rc::clone(&node)));
     while node.document().is_none() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     node.ready.set(true);
     node.note("ready", json!({ "incarnation": incarnation.0 }));
     spawn_local(batches::take_over_orphans(Rc::clone(&node)));
     spawn_local(runs::schedule(Rc::clone(&node)));
-    spawn_local(orders::give_orders(Rc::clone(&node)));
+    spawn_local(orders::run_order_duty(Rc::clone(&node)));
     spawn_local(duties::serve(Rc::clone(&node)));
 }
 
@@ -188,7 +188,7 @@
         {
             let registered = items.iter().filter_map(|item| {
                 let name = item.key.strip_prefix(NODES)?;
-                Some((peers::name_of(name), Incarnation(item.revision)))
+                Some((peers::to_node_name(name), Incarnation(item.revision)))
             });
             *node.registered.borrow_mut() = registered.collect();
             let seeds = items
@@ -198,7 +198,7 @@
                 .collect();
             return (Incarnation(revision), seeds);
         }
-        sleep(REGISTER_PAUSE).await;
+        sleep(REGISTER_RETRY_DELAY).await;
     }
 }
 
@@ -206,7 +206,7 @@
 /// may lack all others where the whole fleet starts for the first time.
 async fn registered_nodes<P: Platform>(node: &Node<P>) -> Result<Vec<StoredItem>, StoreRefusal> {
     let own_key = format!("{NODES}{}", node.settings().node);
-    let items = feed::read_old(node, NODES).await?;
+    let items = feed::read_stale(node, NODES).await?;
     if items.iter().any(|item| item.key != own_key) {
         return Ok(items);
     }
@@ -231,7 +231,7 @@
 /// Writes a line of what was done so far, from time to time.
 async fn summarize<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        sleep(SUMMARY_EVERY).await;
+        sleep(SUMMARY_INTERVAL).await;
         node.note(
             "summary",
             json!({
@@ -251,20 +251,20 @@
     node.note("leaving", json!({ "in_flight": node.in_flight.get() }));
     peers::with_members(node, Membership::leave);
     spawn_local(batches::hand_over_all(Rc::clone(node)));
-    let named_until = began_at.plus(KEPT_TIMES * ADDRESSES_TTL_MS);
-    let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_MS));
+    let addresses_expire_at = began_at.plus(ADDRESS_TTL_FACTOR * ADDRESSES_TTL_MS);
+    let grace_until = began_at.plus(node.settings().grace_ms.saturating_sub(EXIT_RESERVE_MS));
     while clock::now() < grace_until {
-        sleep(LOOK).await;
-        if clock::now() >= named_until && node.in_flight.get() == 0 {
+        sleep(POLL_INTERVAL).await;
+        if clock::now() >= addresses_expire_at && node.in_flight.get() == 0 {
             break;
         }
     }
     // A request that comes between the decision to end and the end would be cut: from here on
     // none is taken, and those taken are answered.
     node.closing.send_replace(true);
-    sleep(LOOK).await;
+    sleep(POLL_INTERVAL).await;
     while clock::now() < grace_until && node.in_flight.get() > 0 {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     node.note("stopped", json!({ "in_flight": node.in_flight.get() }));
     // The trail's writer gets a turn.
