--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -68,7 +68,7 @@
 /// Orders that a target has accepted since it started.
 #[derive(Clone, Copy, Debug)]
 struct Accepted {
-    born_at_unix_ms: Option<u64>,
+    started_at_unix_ms: Option<u64>,
     orders: u64,
 }
 
@@ -77,11 +77,13 @@
     /// counts anew: an order that names the former count is refused for good.
     fn accepted(&self, entry: &TargetEntry) -> Option<u64> {
         let accepted = self.accepted.borrow().get(&entry.id).copied()?;
-        (accepted.born_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
+        (accepted.started_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
     }
 
-    fn note_accepted(&self, target: &str, born_at_unix_ms: Option<u64>, orders: u64) {
-        self.accepted.borrow_mut().insert(target.to_owned(), Accepted { born_at_unix_ms, orders });
+    fn note_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
+        self.accepted
+            .borrow_mut()
+            .insert(target.to_owned(), Accepted { started_at_unix_ms, orders });
     }
 }
 
@@ -176,7 +178,7 @@
 ) -> LoadOutcome {
     let entry = node.targets.borrow().entry(&order.target).cloned();
     let Some(entry) = entry else { return LoadOutcome::Failed };
-    let born_at_unix_ms = entry.started_at_unix_ms;
+    let started_at_unix_ms = entry.started_at_unix_ms;
     let known = holder.accepted(&entry);
     let chosen = ChosenTarget { address: entry.address, id: entry.id };
     let expected_orders = match known {
@@ -220,11 +222,11 @@
     holder.accepted.borrow_mut().swap_remove(&chosen.id);
     match sent {
         Ok((StatusCode::ACCEPTED, _)) => {
-            holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders + 1);
+            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders + 1);
             sleep(FIRST_REPORT_DELAY).await;
         }
         Ok((StatusCode::OK, _)) => {
-            holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders);
+            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders);
             node.targets.borrow_mut().record_version(&chosen.id, &order.model, order.version);
             return LoadOutcome::Done;
         }
@@ -282,7 +284,7 @@
     report: &EngineReport,
 ) {
     if !report.busy {
-        holder.note_accepted(&chosen.id, report.born_at_unix_ms, report.orders_accepted);
+        holder.note_accepted(&chosen.id, report.started_at_unix_ms, report.orders_accepted);
     }
     for (model, version) in &report.models {
         node.targets.borrow_mut().record_version(&chosen.id, model, *version);
@@ -299,7 +301,7 @@
     }
     let report = P::report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
     let (of_this_life, change) =
-        node.targets.borrow_mut().apply_start_time(&chosen.id, report.born_at_unix_ms);
+        node.targets.borrow_mut().apply_start_time(&chosen.id, report.started_at_unix_ms);
     node.target_changed(&change, "its report");
     if !of_this_life {
         return Err(CallError::may_have_run("the report is of an earlier life"));
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -78,7 +78,7 @@
     /// The store answers again after an outage.
     StoreReturned,
     /// A target, in the life that began then, loads weights from now on, for about so long.
-    TargetLoads { born_at_unix_ms: Option<u64>, for_ms: u64, target: String },
+    TargetLoads { started_at_unix_ms: Option<u64>, for_ms: u64, target: String },
 }
 
 /// A life of a node.
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -162,9 +162,9 @@
             batches::on_owner_reported(node, &batch, owner);
         }
         Ok(Datagram::StoreReturned) => outage::receive_store_returned(node),
-        Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
+        Ok(Datagram::TargetLoads { started_at_unix_ms, for_ms, target }) => {
             let (of_this_life, change) =
-                node.targets.borrow_mut().apply_start_time(&target, born_at_unix_ms);
+                node.targets.borrow_mut().apply_start_time(&target, started_at_unix_ms);
             node.target_changed(&change, "a peer");
             if of_this_life {
                 target_loads(node, &target, for_ms);
@@ -255,9 +255,9 @@
 /// Tells the owners of batches, who alone start items, that a target loads.
 pub(crate) fn announce_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     target_loads(node, target, for_ms);
-    let born_at_unix_ms =
+    let started_at_unix_ms =
         node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
-    let datagram = Datagram::TargetLoads { born_at_unix_ms, for_ms, target: target.to_owned() };
+    let datagram = Datagram::TargetLoads { started_at_unix_ms, for_ms, target: target.to_owned() };
     for owner in node.batches.owner_addresses() {
         send(node, &datagram, owner);
     }
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineReport {
     /// When this life of it began, by its own clock; none where engines do not tell.
-    pub born_at_unix_ms: Option<u64>,
+    pub started_at_unix_ms: Option<u64>,
     /// Whether an order is being carried out.
     pub busy: bool,
     /// Weight versions by model.
