--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -300,10 +300,10 @@
         return Err(CallError::may_have_run(format!("the report was answered {status}")));
     }
     let report = P::report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
-    let (of_this_life, change) =
+    let (is_current, change) =
         node.targets.borrow_mut().apply_start_time(&chosen.id, report.started_at_unix_ms);
     node.target_changed(&change, "its report");
-    if !of_this_life {
+    if !is_current {
         return Err(CallError::may_have_run("the report is of an earlier life"));
     }
     Ok(report)
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -163,10 +163,10 @@
         }
         Ok(Datagram::StoreReturned) => outage::receive_store_returned(node),
         Ok(Datagram::TargetLoads { started_at_unix_ms, for_ms, target }) => {
-            let (of_this_life, change) =
+            let (is_current, change) =
                 node.targets.borrow_mut().apply_start_time(&target, started_at_unix_ms);
             node.target_changed(&change, "a peer");
-            if of_this_life {
+            if is_current {
                 target_loads(node, &target, for_ms);
             }
         }
