--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -161,7 +161,7 @@
 
 /// Returns how long ago the store confirmed a view to this node itself, as others may be told, in
 /// milliseconds.
-fn told_age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
+fn reportable_age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
     let freshness = node.feeds.of(subject).state.borrow().freshness;
     freshness.reportable_age_ms(clock::now(), node.settings().change_bound)
 }
@@ -262,7 +262,7 @@
     let events = Some(update.events.clone());
     apply_update(node, subject, update);
     if watches(node, subject) {
-        let confirmed_ms_ago = told_age_ms(node, subject);
+        let confirmed_ms_ago = reportable_age_ms(node, subject);
         forward(node, subject, Changes { after, after_outage, as_of, confirmed_ms_ago, events });
     }
 }
@@ -468,7 +468,7 @@
 }
 
 fn send_heartbeat<P: Platform>(node: &Node<P>, subject: Subject) {
-    let Some(age_ms) = told_age_ms(node, subject) else { return };
+    let Some(age_ms) = reportable_age_ms(node, subject) else { return };
     let as_of = node.feeds.of(subject).state.borrow().as_of;
     let confirmed_ms_ago = Some(age_ms);
     let events = Some(Vec::new());
