--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -72,7 +72,7 @@
     pub joined_at: Cell<Option<UnixMs>>,
     pub key: SharedKey,
     pub leaving: Cell<bool>,
-    pub lengths: RefCell<RunTimeEstimator>,
+    pub run_times: RefCell<RunTimeEstimator>,
     pub load: RefCell<LoadBalancer>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
@@ -122,7 +122,7 @@
             // The platform gives no secret to share; the tag still refuses what is not a frame.
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
-            lengths: RefCell::new(RunTimeEstimator::default()),
+            run_times: RefCell::new(RunTimeEstimator::default()),
             load: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
@@ -166,8 +166,8 @@
 
     /// Returns how long the run of an item is expected to take that begins after an event.
     pub(crate) fn expected_run_ms(&self, item: &Item, after: Option<u64>) -> u64 {
-        let lengths = self.lengths.borrow();
-        let whole_ms = lengths.expected_ms(item.expected_tokens());
+        let run_times = self.run_times.borrow();
+        let whole_ms = run_times.expected_ms(item.expected_tokens());
         whole_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
     }
 
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -121,7 +121,7 @@
         RunEnd::Whole => {
             if resumed_after.is_none() {
                 let run_ms = clock::now().since_ms(began_at);
-                node.lengths.borrow_mut().record(item.expected_tokens(), run_ms);
+                node.run_times.borrow_mut().record(item.expected_tokens(), run_ms);
             }
             if let Some(run) = held.borrow_mut().runs.get_mut(&index) {
                 run.scoring = true;
