--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -76,7 +76,7 @@
     }
     let life = TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
-    let is_first = node.broken_off.borrow_mut().record(now, outgoing.fingerprint(), &life);
+    let is_first = node.interrupted.borrow_mut().record(now, outgoing.fingerprint(), &life);
     if is_first {
         tokio::task::spawn_local(ask(Rc::clone(node), chosen.address, life));
     }
@@ -113,10 +113,10 @@
 }
 
 fn take<P: Platform>(node: &Node<P>, fate: TargetOutcome<'_>, by: &'static str) {
-    if node.broken_off.borrow().is_empty() {
+    if node.interrupted.borrow().is_empty() {
         return;
     }
-    let ended = node.broken_off.borrow_mut().resolve(UnixMs::from_wall_clock(), fate);
+    let ended = node.interrupted.borrow_mut().resolve(UnixMs::from_wall_clock(), fate);
     if ended.is_empty() {
         return;
     }
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -91,11 +91,11 @@
 
 /// Takes it that a target has answered a request.
 pub(crate) fn answer_received<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
-    if !has_evidence(node) && node.broken_off.borrow().is_empty() {
+    if !has_evidence(node) && node.interrupted.borrow().is_empty() {
         return;
     }
     let fingerprint = outgoing.fingerprint();
-    node.broken_off.borrow_mut().forget(fingerprint);
+    node.interrupted.borrow_mut().forget(fingerprint);
     if node.quarantine.borrow_mut().record_answer(fingerprint) {
         node.note("request_cleared", json!({ "fingerprint": fingerprint.to_string() }));
         spread(node, fingerprint);
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -57,7 +57,7 @@
 pub(crate) struct Node<P> {
     pub batches: Batches,
     /// Requests that broke off at targets of which nothing was heard since.
-    pub broken_off: RefCell<InterruptedRequests>,
+    pub interrupted: RefCell<InterruptedRequests>,
     /// Whether no more connections and requests of callers are taken, because the process ends.
     pub closing: watch::Sender<bool>,
     /// Wakes the keeper of the evidence against requests that end targets.
@@ -110,7 +110,7 @@
         let pool = Pool::open(metrics.connections_opened.clone());
         Self {
             batches: Batches::default(),
-            broken_off: RefCell::new(InterruptedRequests::default()),
+            interrupted: RefCell::new(InterruptedRequests::default()),
             closing: watch::Sender::new(false),
             crashes_changed: Notify::new(),
             datagrams,
