--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -77,7 +77,7 @@
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
     /// When the last batch of each model was opened.
-    pub opened: RefCell<IndexMap<String, UnixMs>>,
+    pub batch_opened_at: RefCell<IndexMap<String, UnixMs>>,
     pub outage: Outage,
     pub pool: Pool,
     /// The requests under which targets ended.
@@ -126,7 +126,7 @@
             load: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
-            opened: RefCell::new(IndexMap::new()),
+            batch_opened_at: RefCell::new(IndexMap::new()),
             outage: Outage::default(),
             pool,
             quarantine: RefCell::new(Quarantine::default()),
@@ -159,7 +159,7 @@
     /// and its time where loads are ordered.
     pub(crate) fn note_demand(&self, model: Option<&str>, work_tokens: u64) {
         if let Some(model) = model {
-            self.opened.borrow_mut().insert(model.to_owned(), clock::now());
+            self.batch_opened_at.borrow_mut().insert(model.to_owned(), clock::now());
             self.demand.borrow_mut().record_batch(model, work_tokens);
         }
     }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -134,7 +134,7 @@
             for (model, version) in node.versions.borrow().iter() {
                 rollout.version_published(model, *version);
             }
-            for (model, at) in node.opened.borrow().iter() {
+            for (model, at) in node.batch_opened_at.borrow().iter() {
                 rollout.batch_opened(*at, model);
             }
             let orders = rollout.plan(now, &targets, &engine.models, &node.demand.borrow());
