--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Refuses a selector that matches no expected instance, since it is most likely a typing error.
+    /// Refuses a selector that matches no expected instance, since it is most likely a typing
+    /// error.
     fn check_selector(
         &mut self,
         list: &str,
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The deployment's name.
+    /// Name of the deployment.
     pub deployment: Name,
     /// The data centres that hold instances.
     pub data_centres: Vec<DataCentre>,
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentre {
-    /// Its name.
+    /// Name of the data centre.
     pub name: Name,
-    /// Its region.
+    /// Region of the data centre.
     pub region: Name,
 }
 
@@ -92,7 +92,7 @@
 pub struct Workspace {
     /// Name of the workspace; a caller's token names it.
     pub name: Name,
-    /// Labels, for people.
+    /// Labels for operators; the service does not use them.
     #[serde(default)]
     pub labels: Labels,
     /// Maximum number of its requests that a node serves at once. Default: the node's own limit.
@@ -124,9 +124,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: Name,
-    /// Labels, for people.
+    /// Labels for operators; the service does not use them.
     #[serde(default)]
     pub labels: Labels,
     /// Selects the engines that serve the model.
@@ -149,7 +149,7 @@
 pub struct PlainService {
     /// Name of the service, as callers write it.
     pub name: Name,
-    /// Labels, for people.
+    /// Labels for operators; the service does not use them.
     #[serde(default)]
     pub labels: Labels,
     /// Selects the instances that serve calls.
@@ -209,7 +209,7 @@
 pub struct Trainer {
     /// Name of the trainer; its token names it.
     pub name: Name,
-    /// Labels, for people.
+    /// Labels for operators; the service does not use them.
     #[serde(default)]
     pub labels: Labels,
     /// The workspace of the trainer. Documents in force may still use the former name, `team`.
--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -41,12 +41,12 @@
     Announced {
         /// Digest of the document.
         digest: Digest,
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// A document was fetched and matches its digest.
     BodyFetched {
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// A document could not be fetched.
@@ -71,10 +71,10 @@
     },
     /// A watch ended, with a newer head if there is one.
     WatchEnded {
-        /// The newer head.
+        /// The newer head, if there is one.
         head: Option<ObservedHead>,
         /// Whether the service answered.
-        worked: bool,
+        succeeded: bool,
     },
 }
 
@@ -85,21 +85,21 @@
     AskPeers,
     /// Fetch a document.
     FetchBody {
-        /// Its digest.
+        /// Digest of the document.
         digest: Digest,
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// Put the fetched document in force.
     Install {
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// Read the head.
     ReadHead,
     /// Wait for a head that is newer than this version of its key.
     Watch {
-        /// The version.
+        /// Version of the head's key.
         after_version: u64,
     },
 }
@@ -121,7 +121,7 @@
     }
 }
 
-/// A node's knowledge of the configuration in force.
+/// A node's view of the configuration in force, and the calls it makes to follow it.
 #[derive(Clone, Debug)]
 pub struct Follower {
     head_read: CallState,
@@ -197,8 +197,8 @@
                 self.peers_answered(now, answers, newest);
             }
             FollowerEvent::Tick { peers, watches } => return self.tick(now, peers, watches),
-            FollowerEvent::WatchEnded { head, worked } => {
-                let pause_ms = if worked { 0 } else { WATCH_PAUSE_MS };
+            FollowerEvent::WatchEnded { head, succeeded } => {
+                let pause_ms = if succeeded { 0 } else { WATCH_PAUSE_MS };
                 self.watch = CallState::NotBefore(now.plus(pause_ms));
                 self.head_seen(now, head);
             }
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -67,7 +67,7 @@
 pub enum Message {
     /// The answer to a probe.
     Ack {
-        /// Digest of the sender's board.
+        /// Digest of the sender's fact table.
         digest: u64,
         /// Facts to pass on.
         facts: Vec<Fact>,
@@ -81,7 +81,7 @@
     },
     /// A probe.
     Ping {
-        /// Digest of the sender's board.
+        /// Digest of the sender's fact table.
         digest: u64,
         /// Facts to pass on.
         facts: Vec<Fact>,
@@ -281,7 +281,7 @@
         outputs
     }
 
-    /// Handles one datagram.
+    /// Handles a datagram from the address `from`.
     pub fn receive(&mut self, now: UnixMs, from: SocketAddr, message: Message) -> Vec<Output> {
         let mut outputs = Vec::new();
         match message {
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Why a text is not a name.
+/// The error of parsing a [`Name`].
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum NameError {
     /// a name is empty
--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -155,14 +155,14 @@
 }
 
 async fn watch(shared: Arc<Shared>, after_version: u64) {
-    let (head, worked) = match watch_head(&shared, after_version).await {
+    let (head, succeeded) = match watch_head(&shared, after_version).await {
         Ok(head) => (seen(head), true),
         Err(error) => {
             log::debug!("the watch of the configuration broke: {error}");
             (None, false)
         }
     };
-    shared.tell(Input::Follow(FollowerEvent::WatchEnded { head, worked }));
+    shared.tell(Input::Follow(FollowerEvent::WatchEnded { head, succeeded }));
 }
 
 async fn fetch_body(
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -51,26 +51,26 @@
 /// The error of reading or writing a frame.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum FrameError {
-    /// a frame has {size_bytes} bytes, {allowed_bytes} are allowed
+    /// frame of {size_bytes} bytes exceeds the limit of {allowed_bytes} bytes
     TooLarge {
         /// Size of the frame.
         size_bytes: usize,
         /// Maximum size.
         allowed_bytes: usize,
     },
-    /// a frame of {size_bytes} bytes is too short
+    /// frame of {size_bytes} bytes is too short
     TooShort {
         /// Size of the frame.
         size_bytes: usize,
     },
-    /// a frame has format version {found}, this process speaks 1
+    /// frame has format version {found}, expected 1
     Version {
         /// Format version of the frame.
         found: u8,
     },
-    /// a frame's tag does not fit the shared key
+    /// frame tag does not match the shared key
     Tag,
-    /// a frame's message cannot be read: {message}
+    /// message of a frame cannot be encoded or decoded: {message}
     Message {
         /// Error message of the codec.
         message: String,
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -230,7 +230,7 @@
                 if event == "head" {
                     FollowerEvent::HeadRead(head)
                 } else {
-                    FollowerEvent::WatchEnded { head, worked: take_required(args, "worked")? }
+                    FollowerEvent::WatchEnded { head, succeeded: take_required(args, "worked")? }
                 }
             }
             "head-unavailable" => FollowerEvent::HeadUnavailable,
