--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -1,4 +1,5 @@
-//! What changes of a feed mean: a configuration, a version, a target that comes or goes.
+//! Applies the changes of a feed: configurations, weight versions, drain requests, and targets that
+//! join or leave.
 
 use super::state::Source;
 use crate::clock;
@@ -9,8 +10,8 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// When more than one target in this many vanishes at once, the registry forgot them; targets
-/// that leave do so one by one.
+/// When more than one target in this many is removed at once, the registry has lost its entries;
+/// targets that leave do so one by one.
 const LOSS_DIVISOR: usize = 3;
 
 pub(super) fn apply_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
@@ -50,8 +51,8 @@
     }
 }
 
-/// Puts a configuration in force if it is newer than the one held: a late answer must not bring
-/// an old one back.
+/// Puts a configuration in force if its version is newer than the current one, so that a late
+/// answer does not restore an old configuration.
 fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, source: Source) {
     let held = node.document().map_or(0, |held| held.version);
     if node.document().is_some() && document.version <= held {
@@ -85,8 +86,8 @@
             }
             StoreEvent::Written(item) => match decode_target(node, item) {
                 Some(entry) => node.targets.borrow_mut().apply_entry(entry),
-                // As it stands the entry names no target. Used on, the target that it named before
-                // could have left without a word of it.
+                // The entry cannot be decoded, so it may no longer describe the target that is
+                // known by this id. That target may have left unnoticed, so it is removed.
                 None => {
                     node.targets.borrow_mut().apply_removal(now, P::target_id(&item.key), false)
                 }
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of a feed, and how changes of it are told.
+//! The state of a feed at one node, and the messages that carry its changes between nodes.
 
 use crate::metrics::Reason;
 use crate::store::{StoreEvent, StoredItem};
@@ -10,22 +10,22 @@
 use std::fmt::{Display, Formatter};
 use std::net::SocketAddr;
 
-/// Bytes of changes in one datagram.
+/// Size limit of the changes in one datagram.
 const DATAGRAM_CHANGES_BYTES: usize = 1_200;
-/// Changes kept for peers that missed a datagram.
+/// Changes that are kept for peers that have missed a datagram.
 const LOG_MAX_EVENTS: usize = 512;
 
-/// What a feed follows.
+/// What a feed follows. The names of the variants are written to the audit trail.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Subject {
-    /// Configuration and versions.
+    /// Configuration, weight versions and drain requests.
     Operators,
-    /// Entries of targets.
+    /// Entries of targets in the registry.
     Targets,
 }
 
 impl Subject {
-    /// Returns the label of this subject in metrics.
+    /// Returns the metrics label of this subject.
     pub(super) const fn reason(self) -> Reason {
         match self {
             Self::Operators => Reason { reason: "operators" },
@@ -34,23 +34,24 @@
     }
 }
 
-/// Changes of a feed, as they go between nodes.
+/// Changes of a feed, as nodes send them to each other.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Changes {
-    /// The revision after which they begin.
+    /// The revision after which the changes begin.
     pub after: u64,
-    /// Whether the store was away before them, so that what vanished may be back soon.
+    /// Whether the store was unavailable before the changes, so that removed targets may register
+    /// again soon.
     pub after_outage: bool,
-    /// The revision up to which they are complete.
+    /// The revision up to which the changes are complete.
     pub as_of: u64,
-    /// How long before it sent them the store confirmed the teller's view to the teller itself;
-    /// clocks of two instances cannot be compared. None where it did not of late.
+    /// How long before sending the sender last had its view confirmed by the store itself; none if
+    /// that was too long ago. A duration, because the clocks of two instances cannot be compared.
     pub confirmed_ms_ago: Option<u64>,
-    /// The changes; left out where they do not fit a datagram.
+    /// The changes; none if they do not fit in a datagram.
     pub events: Option<Vec<StoreEvent>>,
 }
 
-/// Who told of changes.
+/// The source of an update.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Source {
     Peer(SocketAddr),
@@ -66,20 +67,20 @@
     }
 }
 
-/// Changes as a node takes them.
+/// Changes as a node applies them.
 #[derive(Debug)]
 pub(super) struct FeedUpdate {
-    /// Whether the store was away before them.
+    /// Whether the store was unavailable before the changes.
     pub(super) after_outage: bool,
-    /// The revision up to which they are complete.
+    /// The revision up to which the changes are complete.
     pub(super) as_of: u64,
-    /// When the view that they complete was known to be complete, by this node's clock.
+    /// When the resulting view was confirmed as complete, by this node's clock.
     pub(super) confirmed_at: Option<UnixMs>,
     pub(super) events: Vec<StoreEvent>,
     pub(super) source: Source,
 }
 
-/// What a node knows of a feed.
+/// The state of a feed at one node.
 #[derive(Debug, Default)]
 pub(super) struct FeedState {
     pub(super) as_of: u64,
@@ -91,7 +92,7 @@
 }
 
 impl FeedState {
-    /// Returns the changes that turn what is known into a list read whole at `as_of`.
+    /// Returns the changes from this state to a complete list of keys that was read at `as_of`.
     pub(super) fn difference(&self, items: &[StoredItem], as_of: u64) -> Vec<StoreEvent> {
         let listed = |key: &String| items.iter().any(|item| item.key == *key);
         let gone = self.items.keys().filter(|key| !listed(key));
@@ -100,12 +101,13 @@
         let new = items.iter().filter(|item| item.revision > held(item));
         let mut events: Vec<StoreEvent> =
             gone.chain(new.cloned().map(StoreEvent::Written)).collect();
-        // A peer that misses a part of them asks for what came after the last revision it has.
+        // A peer that misses some of them asks for the changes after its last revision, so they
+        // must be in order.
         events.sort_by_key(StoreEvent::revision);
         events
     }
 
-    /// Takes changes; returns those that were news.
+    /// Applies changes and returns those that were new.
     pub(super) fn take(&mut self, events: Vec<StoreEvent>, as_of: u64) -> Vec<StoreEvent> {
         let applied: Vec<StoreEvent> =
             events.into_iter().filter(|event| self.apply_one(event)).collect();
@@ -142,8 +144,8 @@
     }
 }
 
-/// Cuts changes into parts that fit a datagram each; one change that does not fit is left out of
-/// its part, and the receiver asks for it.
+/// Splits changes into parts that fit in a datagram each. If a single change does not fit, the
+/// result is one datagram without changes, and the receiver asks for them.
 pub(super) fn datagrams(changes: Changes) -> Vec<Changes> {
     let Changes { after, after_outage, as_of, confirmed_ms_ago, events } = changes;
     let mut parts = Vec::new();
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,13 +1,17 @@
-//! The process between callers and targets: listeners, connections, the platform's store, peers.
+//! Implements the process between callers and targets: listeners, connections, calls of the
+//! platform's store, and calls between nodes.
 //!
-//! One thread runs everything. The decisions are those of `catkinmast-dispatch`; this crate
-//! carries them out and decides nothing of what may run where. What the platform calls things is
-//! behind the [`Platform`] trait, which is chosen at compile time.
+//! Everything runs on one thread. `catkinmast-dispatch` decides what may run where; this crate
+//! carries out its decisions. The platform's names and formats are behind the [`Platform`] trait,
+//! which is chosen at compile time.
 //!
-//! A request's way: `listener` → `caller` → `forward` → target → answer. A sample's: `caller` →
-//! `batch_calls` → `batches` (made durable) → `runs` (scheduled, run, scored) → `batches` (listed) →
-//! reader. What one node does for all is held under a lease by `duty_lease`: `orders` to engines, and the
-//! `duties` towards the platform, which `usage` and `scaling` serve.
+//! A request passes `listener` → `caller` → `forward` → target → answer. A sample passes `caller` →
+//! `batch_calls` → `batches` (made durable) → `runs` (scheduled, run, scored) → `batches` (listed)
+//! → reader.
+//!
+//! A duty is a job that one node at a time does for all nodes; `duty_lease` holds the lease of a
+//! duty. `orders` is the duty that sends load orders to engines. `duties` is the duty that makes
+//! the calls to the platform, for `usage` and `scaling`.
 
 mod access;
 mod batch_calls;
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -1,4 +1,4 @@
-//! What one process holds, and its calls of the store.
+//! The state of one process, and its calls to the store and to peers.
 
 use crate::batches::Batches;
 use crate::clock;
@@ -37,38 +37,39 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 
-/// The store answers in milliseconds, and in up to half a second when it is slow; after this time
-/// a call is taken for lost.
+/// After this time a call counts as lost. The store usually answers within milliseconds, and within
+/// half a second when it is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// What a watch may take beyond its wait.
+/// Time that a watch may take beyond its wait.
 const WATCH_SLACK_MS: u64 = 1_000;
-/// How long peers are asked first after the store did not answer this machine.
+/// How long calls go to peers first after a direct call to the store has failed.
 const STORE_BACKOFF_MS: u64 = 1_500;
-/// Peers that are asked to make one call of the store: with two, one that is itself cut off does
-/// not fail the call.
+/// Peers that are tried for one call of the store: with two, the call succeeds even if one of them
+/// is itself cut off from the store.
 const STORE_PEERS_MAX: usize = 2;
-/// About how long an event of a stream takes, for what is left of a run that goes on.
+/// Approximate time per stream event, to estimate the remaining time of a resumed run.
 const EVENT_MS: u64 = 40;
-/// The largest answer of the store: a page of a megabyte in base64, and some room.
+/// Size limit of the store's answers: a page of 1 MB in base64, with a margin.
 const STORE_ANSWER_MAX_BYTES: usize = 4 << 20;
 
-/// One process's state. Everything runs on one thread; borrows never cross a wait.
+/// The state of one process. Everything runs on one thread, and no borrow is held across an await.
 #[derive(Debug)]
 pub(crate) struct Node<P> {
     pub batches: Batches,
-    /// Requests that broke off at targets of which nothing was heard since.
+    /// Requests that were interrupted at targets that have sent nothing since.
     pub interrupted: RefCell<InterruptedRequests>,
-    /// Whether no more connections and requests of callers are taken, because the process ends.
+    /// Set when the process stops accepting connections and requests of callers.
     pub closing: watch::Sender<bool>,
-    /// Wakes the keeper of the evidence against requests that end targets.
+    /// Wakes the background task that stores the evidence against requests that crash targets.
     pub crashes_changed: Notify,
     pub datagrams: UdpSocket,
-    /// The work of each model, by which targets are shared among them.
+    /// The work queued for each model, by which targets are shared among the models.
     pub demand: RefCell<Demand>,
+    /// The configuration in force.
     pub document: RefCell<Option<Rc<Document>>>,
     pub feeds: Feeds,
     pub in_flight: Cell<usize>,
-    /// When this node joined the others; none before.
+    /// When this node joined the fleet; none before.
     pub joined_at: Cell<Option<UnixMs>>,
     pub key: SharedKey,
     pub leaving: Cell<bool>,
@@ -76,27 +77,27 @@
     pub load: RefCell<LoadBalancer>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
-    /// When the last batch of each model was opened.
+    /// When the last batch was opened, by model.
     pub batch_opened_at: RefCell<IndexMap<String, UnixMs>>,
     pub outage: Outage,
     pub pool: Pool,
-    /// The requests under which targets ended.
+    /// The requests during which targets have ended, and the evidence against each.
     pub quarantine: RefCell<Quarantine>,
     pub ready: Cell<bool>,
-    /// The incarnations under which nodes were registered when this one started.
+    /// The incarnations of the nodes that were registered when this one started.
     pub registered: RefCell<IndexMap<Name, Incarnation>>,
     pub rng: RefCell<Pcg64Mcg>,
     pub settings: RefCell<Rc<Settings>>,
     pub store_backoff_until: Cell<UnixMs>,
     pub targets: RefCell<TargetTable>,
     pub trail: Trail,
-    /// The requests that wait because all targets of their service refuse for load, by service.
+    /// Requests that wait because all targets of their service are overloaded, by service.
     pub wait_queues: RefCell<IndexMap<String, WaitQueue>>,
-    /// The requests of which the store does not have this node's evidence yet.
+    /// Requests for which this node's evidence is not in the store yet.
     pub unsaved_crashes: RefCell<IndexSet<Fingerprint>>,
-    /// The requests of workspaces, here and as other nodes told.
+    /// The requests of workspaces, counted here and reported by other nodes.
     pub usage: Usage,
-    /// The machines that are to be emptied, and the revision that asks for it.
+    /// The store instances that are to be drained, each with the revision of the request.
     pub draining: RefCell<IndexMap<String, u64>>,
     pub versions: RefCell<IndexMap<String, u64>>,
     /// Wakes the scheduler of batch items.
@@ -119,7 +120,8 @@
             feeds: Feeds::default(),
             in_flight: Cell::new(0),
             joined_at: Cell::new(None),
-            // The platform gives no secret to share; the tag still refuses what is not a frame.
+            // The platform provides no shared secret; the tag still rejects datagrams that are
+            // not frames.
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
             run_times: RefCell::new(RunTimeEstimator::default()),
@@ -155,8 +157,8 @@
         self.document.borrow().clone()
     }
 
-    /// Takes the opening of a batch into account: its work where targets are shared among models,
-    /// and its time where loads are ordered.
+    /// Records that a batch was opened: its work, by which targets are shared among models, and
+    /// its time, by which load orders are planned.
     pub(crate) fn note_demand(&self, model: Option<&str>, work_tokens: u64) {
         if let Some(model) = model {
             self.batch_opened_at.borrow_mut().insert(model.to_owned(), clock::now());
@@ -164,7 +166,8 @@
         }
     }
 
-    /// Returns how long the run of an item is expected to take that begins after an event.
+    /// Returns the expected run time of an item, in milliseconds. A resumed run begins after the
+    /// event `after`.
     pub(crate) fn expected_run_ms(&self, item: &Item, after: Option<u64>) -> u64 {
         let run_times = self.run_times.borrow();
         let whole_ms = run_times.expected_ms(item.expected_tokens());
@@ -175,12 +178,12 @@
         self.rng.borrow_mut().random()
     }
 
-    /// Writes a line of the audit trail.
+    /// Writes a line to the audit trail.
     pub(crate) fn note(&self, event: &'static str, fields: serde_json::Value) {
         self.trail.note(clock::now(), event, fields);
     }
 
-    /// Returns the peers that live, in a random order.
+    /// Returns the addresses of the live peers, in random order.
     pub(crate) fn live_peers(&self) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let Some(members) = members.as_ref() else { return Vec::new() };
@@ -196,7 +199,8 @@
         peers
     }
 
-    /// Acts on a change of the targets.
+    /// Handles a change of the target table: logs it, closes idle connections, and stops the runs
+    /// at a target that has restarted.
     pub(crate) fn target_changed(&self, change: &TargetChange, why: &'static str) {
         let (id, event) = match change {
             TargetChange::Joined(id) => (id, "target_joined"),
@@ -219,14 +223,15 @@
         crashes::target_changed(self, change, &entry);
         if matches!(change, TargetChange::Restarted(_)) {
             self.load.borrow_mut().target_restarted(id);
-            // Their connections may stay silent; the texts go on elsewhere at once.
+            // Connections of the ended incarnation may hang without an error; stopping the runs
+            // lets their generated output continue on other targets at once.
             self.batches.stop_runs_at(id);
         }
         self.work.notify_one();
     }
 
-    /// Runs `choose` over the usable targets of a service and returns the chosen target's id and
-    /// address.
+    /// Runs `choose` over the usable targets of a service that `fits` accepts. Returns the chosen
+    /// target's id and address.
     pub(crate) fn pick(
         &self,
         service: &str,
@@ -250,11 +255,11 @@
         targets.entry(&id).map(|entry| (id.clone(), entry.address))
     }
 
-    /// Makes a call of the store, directly or by way of a peer.
+    /// Calls the store, directly or via a peer.
     ///
-    /// A watch is tried one way only. One that was cut must not go on from its revision: the
-    /// store may have dropped the history meanwhile, and tells so only with the next change. It
-    /// would be noticed as a configuration that is seconds old; the feed reads the whole instead.
+    /// A watch is tried one way only. A watch that was cut must not be resumed at its revision: the
+    /// store may have dropped that history, and reports so only with the next change, so the
+    /// configuration would be seconds old here. The feed reads all keys again instead.
     pub(crate) async fn store(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let backs_off = clock::now() < self.store_backoff_until.get();
         if matches!(call, StoreCall::Watch { .. }) {
@@ -285,7 +290,7 @@
         })
     }
 
-    /// Makes a call of the store from this machine.
+    /// Calls the store directly from this instance.
     pub(crate) async fn store_direct(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         count(&self.metrics.store_calls, call.kind());
         let max = match call {
@@ -314,7 +319,7 @@
         result
     }
 
-    /// Makes a call, and makes it again when an outage ends while it waits for its answer.
+    /// Calls the store, and repeats the call when an outage ends while it waits for its answer.
     async fn exchange_retried_after_outage(
         &self,
         call: &StoreCall,
@@ -336,13 +341,13 @@
         }
         self.note("store_call_again", json!({ "by": call.kind() }));
         let again = timeout(max, self.exchange_with_store(call)).await;
-        // The first one may yet have been done, whatever became of the second.
+        // The first call may still have been carried out, whatever the outcome of the second.
         again
             .unwrap_or_else(|_| Err(may_have_run("no answer in time")))
             .map_err(|refusal| StoreRefusal { verdict: Verdict::MayHaveRun, ..refusal })
     }
 
-    /// Makes a call of the store once, and waits for its answer without bound.
+    /// Calls the store once, without a timeout.
     pub(crate) async fn exchange_with_store(
         &self,
         call: &StoreCall,
@@ -387,7 +392,7 @@
         Err(last)
     }
 
-    /// Makes a call of the store by way of one peer, once.
+    /// Calls the store once, via one live peer.
     pub(crate) async fn store_via_one_peer(
         &self,
         call: &StoreCall,
@@ -416,7 +421,7 @@
         result
     }
 
-    /// Asks a peer.
+    /// Calls a peer, with a timeout of `max`.
     pub(crate) async fn ask_peer(
         &self,
         peer: SocketAddr,
