--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -1,16 +1,17 @@
-//! Follows what others write to the store: the operators' configuration, the trainers' versions
-//! and the targets' entries.
+//! Follows the keys that others write to the store: the operators' configuration, the trainers'
+//! weight versions and the targets' entries.
 //!
-//! Each call of the store is priced, and its rate does not grow with the fleet. So two nodes watch,
-//! and pass on what they see to all others by datagrams; two, so that the death of one is not even
-//! noticed. A datagram names the revisions that it covers: a node that misses some asks a peer for
-//! what came since.
+//! Calls of the store cost money, and their rate must not grow with the fleet. So only two nodes
+//! watch the store and forward the changes to all others by datagrams; with two, the death of one
+//! delays nothing. A datagram names the revisions that it covers, and a node that misses some asks
+//! a peer for the changes since its own revision.
 //!
-//! *Watchers that have lost the store keep all others from looking.* It would be noticed as a change
-//! that is late at nodes which reach the store. So each datagram says how old the answer of the store
-//! is on which it rests, and a node whose view gets old looks for itself ([`Freshness`]).
+//! Fault guarded against: watchers that have lost the store keep sending datagrams, so nodes that
+//! could reach the store do not read it and receive changes late. Each datagram therefore carries
+//! the age of the store's answer behind it, and a node whose view gets too old reads the store
+//! itself ([`Freshness`]).
 //!
-//! Reads that may be old are never used here: an old entry would bring back a target that has left.
+//! Stale reads are never used here: a stale entry would bring back a target that has left.
 //!
 //! [`Freshness`]: catkinmast_dispatch::Freshness
 
@@ -37,31 +38,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// The duty of the nodes that watch.
+/// The duty whose first ranks watch the store.
 const DUTY: &str = "feeds";
-/// How often a watcher says that it still watches, for nodes that have lost a datagram.
+/// Interval of a watcher's heartbeats, by which nodes notice that they have missed a datagram.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Changes of targets that come within this time cost one call and one datagram instead of several.
-/// A leaving target must be out of use within two seconds.
+/// Changes of targets within this time are coalesced into one call and one datagram. The time is
+/// bounded because a leaving target must be out of use within two seconds.
 const TARGETS_COALESCE_TIME: Duration = Duration::from_millis(300);
-/// The same for what operators and trainers write; a trainer waits for its version.
+/// The same for the keys of operators and trainers. It is shorter because a trainer waits for its
+/// version.
 const OPERATORS_COALESCE_TIME: Duration = Duration::from_millis(60);
-/// First pause after a failure; doubled up to [`BACKOFF_MAX_MS`], with jitter.
+/// First backoff after a failure; it doubles up to [`BACKOFF_MAX_MS`], with jitter.
 const BACKOFF_FIRST_MS: u64 = 100;
 const BACKOFF_MAX_MS: u64 = 800;
-/// How long the store may take to answer before a peer is asked as well; a slow one takes less.
+/// How long the store may take to answer before a peer is asked as well. A slow store takes less.
 const HEDGE_AFTER: Duration = Duration::from_millis(500);
-/// How long a peer may take to tell what came since.
+/// How long a peer may take to answer with the missed changes.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A feed.
+/// One feed of this node.
 #[derive(Debug, Default)]
 pub(crate) struct Feed {
     catch_up_wanted: Notify,
     catch_up_from: RefCell<Option<SocketAddr>>,
-    /// Wakes the node to look for itself, since there is something that nobody tells it.
+    /// Wakes the node to read the store itself, because no peer has the changes that it misses.
     own_read_wanted: Notify,
-    /// Whether the view was older than it may be when it was last looked at.
+    /// Whether the view was older than the change bound at the last check.
     is_old: Cell<bool>,
     state: RefCell<FeedState>,
 }
@@ -111,7 +113,7 @@
                     subject,
                     FeedUpdate { after_outage, as_of, confirmed_at, events, source },
                 );
-                // One way to the store that fails is no outage: the whole is read by way of a peer.
+                // A failed watch alone is no outage: the next read may go via a peer.
                 watch(&node, subject).await.is_some_and(|refusal| {
                     let why = json!({ "subject": format!("{subject:?}"), "why": refusal.message });
                     node.note("feed_lost", why);
@@ -125,7 +127,8 @@
     }
 }
 
-/// Returns how long this node may go by what it is told before it looks for itself, in milliseconds.
+/// Returns for how long this node may rely on the watchers before it reads the store itself, in
+/// milliseconds.
 fn own_read_in_ms<P: Platform>(node: &Node<P>, subject: Subject) -> u64 {
     let state = node.feeds.of(subject).state.borrow();
     if !state.started || is_watcher(node) {
@@ -143,15 +146,16 @@
     }
 }
 
-/// Tells whether this node watches. One that has just started does not know yet who else is there, and
-/// what it has read holds until it does: when each watched meanwhile, a start cost two calls of the
-/// store more (660 of 7,560 on a day with 330 starts).
+/// Returns whether this node is a watcher by its rank. A node that has just started does not know the
+/// other nodes yet and does not watch until it does; its first read is enough meanwhile. When each
+/// starting node watched, a start cost two more calls of the store (660 of 7,560 on a day with 330
+/// starts).
 pub(crate) fn is_watcher<P: Platform>(node: &Node<P>) -> bool {
     peers::settles_after_ms(node) == Some(0)
         && peers::rank_for(node, DUTY).is_some_and(|rank| rank < WATCHERS)
 }
 
-/// Tells whether this node watches a subject, be it in place of the watchers.
+/// Returns whether this node watches a subject, as a watcher or in place of one.
 fn watches<P: Platform>(node: &Node<P>, subject: Subject) -> bool {
     let Some(rank) = peers::rank_for(node, DUTY) else { return false };
     let freshness = node.feeds.of(subject).state.borrow().freshness;
@@ -159,15 +163,15 @@
         && freshness.should_watch(clock::now(), rank, node.settings().change_bound)
 }
 
-/// Returns how long ago the store confirmed a view to this node itself, as others may be told, in
-/// milliseconds.
+/// Returns how long ago the store confirmed the view to this node itself, in milliseconds, if the
+/// value may be sent to peers.
 fn reportable_age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
     let freshness = node.feeds.of(subject).state.borrow().freshness;
     freshness.reportable_age_ms(clock::now(), node.settings().change_bound)
 }
 
-/// Asks peers for what this node has missed, until the process ends. A node that has lost the store
-/// does so while its own call still waits for an answer.
+/// Asks peers for the changes that this node has missed, until the process ends. It runs beside
+/// [`follow`], so that a node that has lost the store catches up while its own call still waits.
 pub(crate) async fn catch_up<P: Platform>(node: Rc<Node<P>>, subject: Subject) {
     let feed = node.feeds.of(subject);
     loop {
@@ -186,7 +190,8 @@
     }
 }
 
-/// Answers a peer that missed changes.
+/// Returns the changes after a revision, for a peer that has missed them. None if this node does not
+/// have them all.
 pub(crate) fn changes_since<P: Platform>(
     node: &Node<P>,
     subject: Subject,
@@ -199,7 +204,8 @@
     let events = if after >= state.log_from {
         state.log.iter().filter(|event| event.revision() > after).cloned().collect()
     } else {
-        // What was deleted since cannot be told any more; the whole list is read from the store.
+        // The log no longer holds all deletions since then; the peer reads the full list from the
+        // store.
         return None;
     };
     let confirmed_ms_ago =
@@ -208,17 +214,17 @@
     Some(Changes { after, after_outage: false, as_of: state.as_of, confirmed_ms_ago, events })
 }
 
-/// Returns how long ago a view of the store was last known to be complete, in milliseconds.
+/// Returns how long ago the view of a subject was last confirmed as complete, in milliseconds.
 pub(crate) fn age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
     node.feeds.of(subject).state.borrow().freshness.age_ms(clock::now())
 }
 
-/// Tells whether a view of the store is no older than the bound of a change.
+/// Returns whether the view of a subject is no older than the change bound.
 pub(crate) fn is_current<P: Platform>(node: &Node<P>, subject: Subject) -> bool {
     age_ms(node, subject).is_some_and(|age_ms| age_ms <= node.settings().change_bound.as_ms())
 }
 
-/// Turns what a peer told, not before `sent_after`, into what this node may believe.
+/// Converts a peer's changes, sent at `sent_after` or later, into an update by this node's clock.
 fn peer_update(changes: Changes, from: SocketAddr, sent_after: UnixMs) -> FeedUpdate {
     FeedUpdate {
         after_outage: changes.after_outage,
@@ -231,7 +237,8 @@
     }
 }
 
-/// Takes a watcher's datagram.
+/// Handles a watcher's datagram. If this node has missed earlier changes, it asks the sender for them
+/// instead.
 pub(crate) fn receive_changes<P: Platform>(
     node: &Node<P>,
     subject: Subject,
@@ -248,7 +255,7 @@
     apply_update(node, subject, peer_update(changes, from, clock::now()));
 }
 
-/// Takes changes that this node saw itself, and passes them on.
+/// Applies changes that this node has read from the store, and forwards them if it watches.
 fn apply_and_forward<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let after = {
         let mut state = node.feeds.of(subject).state.borrow_mut();
@@ -285,7 +292,7 @@
         if let Some(at) = confirmed_at {
             state.freshness.confirm(at, witness);
         }
-        // What was told meanwhile is newer: late changes could bring back what was deleted since.
+        // A later update was applied meanwhile; older changes could restore deleted keys.
         if as_of < state.as_of { Vec::new() } else { state.take(events, as_of) }
     };
     match subject {
@@ -316,7 +323,7 @@
     (backoff_ms * 2).min(BACKOFF_MAX_MS)
 }
 
-/// Reads all keys under a prefix, and the revision after which changes are wanted.
+/// Reads all keys under a prefix. Returns them with the revision after which to watch.
 pub(crate) async fn read_whole<P: Platform>(
     node: &Node<P>,
     prefix: &str,
@@ -324,7 +331,7 @@
     read_pages(prefix, false, async |call| node.store(&call).await).await
 }
 
-/// Reads all keys under a prefix as they were some seconds ago at most, at a tenth of the price.
+/// Reads all keys under a prefix by stale reads: they may be some seconds old and cost a tenth.
 pub(crate) async fn read_stale<P: Platform>(
     node: &Node<P>,
     prefix: &str,
@@ -333,14 +340,14 @@
     read_pages(prefix, true, ask).await.map(|(items, _)| items)
 }
 
-/// Reads all keys under a prefix as they are, by the first way to the store that answers: tried one
-/// after the other, a way that fails would keep one that has come back from being used.
+/// Reads the current keys under a prefix, directly and, if that is slow, also via a peer; the first
+/// answer wins. Tried one after the other, a path that hangs would delay one that works again.
 async fn read_hedged<P: Platform>(
     node: &Rc<Node<P>>,
     prefix: &'static str,
 ) -> Result<(Vec<StoredItem>, u64), StoreRefusal> {
     let here = Rc::clone(node);
-    // It runs to its end, so that a way that fails is known as such.
+    // It runs to its end even if a peer answers first, so that its failure is recorded.
     let mut direct = spawn_local(async move {
         read_pages(prefix, false, async |call| here.store_direct(&call).await).await
     });
@@ -382,7 +389,8 @@
                 verdict: catkinmast_model::Verdict::Ran,
             });
         };
-        // Pages are no snapshot: what changed between them is seen again from the first one on.
+        // Pages are not a snapshot: the watch starts after the first page's revision, so that changes
+        // between pages are seen again.
         first_as_of.get_or_insert(as_of);
         let more = truncated && !items.is_empty();
         all.extend(items);
@@ -392,7 +400,8 @@
     }
 }
 
-/// Waits for changes until the history is lost, the store does not answer, or others watch.
+/// Watches the store until the history is lost, a call fails, or another node watches. Returns the
+/// refusal of the failed call.
 async fn watch<P: Platform>(node: &Rc<Node<P>>, subject: Subject) -> Option<StoreRefusal> {
     let coalesce_time = match subject {
         Subject::Operators => OPERATORS_COALESCE_TIME,
@@ -430,14 +439,15 @@
     None
 }
 
-/// Returns the earliest moment at which the store can have answered a watch that was made at
-/// `began_at`: without a change it answers only when the wait is over.
+/// Returns the earliest time at which the store can have answered a watch that was sent at
+/// `began_at`. Without a change the store answers only after the wait.
 fn earliest_answer_at(began_at: UnixMs, wait_ms: u64, with_changes: bool) -> UnixMs {
     let waited_until = began_at.plus(wait_ms);
     if with_changes || clock::now() < waited_until { began_at } else { waited_until }
 }
 
-/// Writes down when this node's view of the store gets old, and when it is current again.
+/// Exports the age of this node's view, and logs when the view gets too old and when it is current
+/// again.
 fn report_age<P: Platform>(node: &Node<P>, subject: Subject) {
     let Some(age_ms) = age_ms(node, subject) else { return };
     node.metrics.feed_age_ms.get_or_create(&subject.reason()).set(age_ms as i64);
@@ -450,7 +460,8 @@
     }
 }
 
-/// Tells the others that this node still watches, as long as it hears the store, and does what is due.
+/// Sends heartbeats while this node watches and the store answers it. Each round also removes
+/// targets that did not register again after an outage and checks the age of the views.
 pub(crate) async fn run_heartbeats<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -86,8 +86,11 @@
     pub(super) as_of: u64,
     pub(super) freshness: Freshness,
     pub(super) items: IndexMap<String, (u64, Vec<u8>)>,
+    /// The last changes, in the order in which they were applied.
     pub(super) log: VecDeque<StoreEvent>,
+    /// The revision after which the log holds all changes.
     pub(super) log_from: u64,
+    /// Whether the first read from the store has succeeded.
     pub(super) started: bool,
 }
 
