--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -6,7 +6,7 @@
 pub(crate) use messages::{Datagram, Owner, PeerAnswer, PeerCall};
 pub(crate) use ranks::{
     announce_holder, duty_candidates, first_for, holder_of, is_first_for, rank_for, ranks_before,
-    successor_for, tellers,
+    successor_for, usage_sources,
 };
 
 use crate::batches::{self, Acceptance};
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -68,7 +68,7 @@
 }
 
 /// Returns the lives that may serve callers now.
-pub(crate) fn tellers<P: Platform>(node: &Node<P>) -> Vec<UsageSource> {
+pub(crate) fn usage_sources<P: Platform>(node: &Node<P>) -> Vec<UsageSource> {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
     let serving = members.nodes().filter(|peer| peer.state != NodeState::Gone);
