--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -180,7 +180,7 @@
     window: Window,
     may_wait: bool,
 ) -> Option<BTreeMap<String, u64>> {
-    let alive = peers::tellers(node);
+    let alive = peers::usage_sources(node);
     let (counts, missing, tellers) = {
         let ledger = node.usage.ledger.borrow();
         let missing = ledger.missing(window, &alive);
