--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -199,7 +199,7 @@
         // It may be done; the next try finds it.
         Err(_) => ("unanswered", None),
     };
-    let missing: Vec<&str> = missing.iter().map(|teller| teller.node.as_str()).collect();
+    let missing: Vec<&str> = missing.iter().map(|source| source.node.as_str()).collect();
     node.note(
         "usage_closed",
         json!({
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -343,8 +343,8 @@
         }
         PeerCall::Changes { after, subject } => feed::changes_since(&node, subject, after)
             .map_or(PeerAnswer::Unavailable, PeerAnswer::Changes),
-        PeerCall::Usage { tables, teller } => {
-            usage::record_counts(&node, &teller, tables);
+        PeerCall::Usage { tables, source } => {
+            usage::record_counts(&node, &source, tables);
             PeerAnswer::Accepted
         }
         PeerCall::End { batch, scope } => batches::end_owned(&node, &batch, &scope).await,
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -110,12 +110,12 @@
 /// Takes what another node has counted.
 pub(crate) fn record_counts<P: Platform>(
     node: &Node<P>,
-    teller: &UsageSource,
+    source: &UsageSource,
     tables: Vec<WindowCounts>,
 ) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
-        ledger.record(teller, table);
+        ledger.record(source, table);
     }
 }
 
@@ -146,7 +146,7 @@
 /// Tells what this node counts until the process ends.
 pub(crate) async fn share_counts<P: Platform>(node: Rc<Node<P>>) {
     let Some(me) = peers::me(&node) else { return };
-    let teller = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
+    let source = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
     let mut confirmed: IndexMap<Owner, Confirmed> = IndexMap::new();
     loop {
         sleep(share_interval(&node)).await;
@@ -156,7 +156,7 @@
             let mut counts = node.usage.counts.borrow_mut();
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
-        record_counts(&node, &teller, tables.clone());
+        record_counts(&node, &source, tables.clone());
         let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, CANDIDATES)
             .into_iter()
             .filter(|to| *to != me)
@@ -166,8 +166,8 @@
         for to in duty_candidates {
             let updates = confirmed.entry(to.clone()).or_default().updates(&tables);
             if !updates.is_empty() {
-                let (node, teller) = (Rc::clone(&node), teller.clone());
-                calls.spawn_local(async move { share_with(&node, to, teller, updates).await });
+                let (node, source) = (Rc::clone(&node), source.clone());
+                calls.spawn_local(async move { share_with(&node, to, source, updates).await });
             }
         }
         while let Some(done) = calls.join_next().await {
@@ -183,10 +183,10 @@
 async fn share_with<P: Platform>(
     node: &Node<P>,
     to: Owner,
-    teller: UsageSource,
+    source: UsageSource,
     tables: Vec<WindowCounts>,
 ) -> Option<Owner> {
-    let call = PeerCall::Usage { tables, teller };
+    let call = PeerCall::Usage { tables, source };
     match node.ask_peer(to.address, &call, SHARE_TIMEOUT).await {
         Ok(PeerAnswer::Accepted) => Some(to),
         Ok(_) => None,
