--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -28,7 +28,7 @@
     /// Reads results of a batch that the receiver owns.
     Read { after: usize, batch: String, scope: Scope, wait_ms: u64 },
     /// Tells what the sender has counted of the requests of workspaces.
-    Usage { tables: Vec<WindowCounts>, source: UsageSource },
+    Usage { window_counts: Vec<WindowCounts>, source: UsageSource },
     /// Makes a call of the store for a node that the store turns away.
     Store(StoreCall),
     /// Hands a submission to the owner of its model's batches.
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -343,8 +343,8 @@
         }
         PeerCall::Changes { after, subject } => feed::changes_since(&node, subject, after)
             .map_or(PeerAnswer::Unavailable, PeerAnswer::Changes),
-        PeerCall::Usage { tables, source } => {
-            usage::record_counts(&node, &source, tables);
+        PeerCall::Usage { window_counts, source } => {
+            usage::record_counts(&node, &source, window_counts);
             PeerAnswer::Accepted
         }
         PeerCall::End { batch, scope } => batches::end_owned(&node, &batch, &scope).await,
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -111,10 +111,10 @@
 pub(crate) fn record_counts<P: Platform>(
     node: &Node<P>,
     source: &UsageSource,
-    tables: Vec<WindowCounts>,
+    window_counts: Vec<WindowCounts>,
 ) {
     let mut ledger = node.usage.ledger.borrow_mut();
-    for table in tables {
+    for table in window_counts {
         ledger.record(source, table);
     }
 }
@@ -125,8 +125,8 @@
 
 impl Confirmed {
     /// Returns what it was not told yet.
-    fn updates(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
-        let updates = tables.iter().filter_map(|table| {
+    fn updates(&self, window_counts: &[WindowCounts]) -> Vec<WindowCounts> {
+        let updates = window_counts.iter().filter_map(|table| {
             let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
             let is_new =
                 |workspace: &String, count: &u64| held.counts.get(workspace) != Some(count);
@@ -152,11 +152,11 @@
         sleep(share_interval(&node)).await;
         let Some(windows) = windows(&node) else { continue };
         let now = node.usage.now();
-        let tables = {
+        let window_counts = {
             let mut counts = node.usage.counts.borrow_mut();
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
-        record_counts(&node, &source, tables.clone());
+        record_counts(&node, &source, window_counts.clone());
         let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, CANDIDATES)
             .into_iter()
             .filter(|to| *to != me)
@@ -164,7 +164,7 @@
         confirmed.retain(|to, _| duty_candidates.contains(to));
         let mut calls = JoinSet::new();
         for to in duty_candidates {
-            let updates = confirmed.entry(to.clone()).or_default().updates(&tables);
+            let updates = confirmed.entry(to.clone()).or_default().updates(&window_counts);
             if !updates.is_empty() {
                 let (node, source) = (Rc::clone(&node), source.clone());
                 calls.spawn_local(async move { share_with(&node, to, source, updates).await });
@@ -172,7 +172,7 @@
         }
         while let Some(done) = calls.join_next().await {
             if let Ok(Some(to)) = done {
-                let held = tables.iter().map(|table| (table.window, table.clone()));
+                let held = window_counts.iter().map(|table| (table.window, table.clone()));
                 confirmed.insert(to, Confirmed(held.collect()));
             }
         }
@@ -184,9 +184,9 @@
     node: &Node<P>,
     to: Owner,
     source: UsageSource,
-    tables: Vec<WindowCounts>,
+    window_counts: Vec<WindowCounts>,
 ) -> Option<Owner> {
-    let call = PeerCall::Usage { tables, source };
+    let call = PeerCall::Usage { window_counts, source };
     match node.ask_peer(to.address, &call, SHARE_TIMEOUT).await {
         Ok(PeerAnswer::Accepted) => Some(to),
         Ok(_) => None,
