--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -157,13 +157,11 @@
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
         record_counts(&node, &source, window_counts.clone());
-        let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, CANDIDATES)
-            .into_iter()
-            .filter(|to| *to != me)
-            .collect();
-        confirmed.retain(|to, _| duty_candidates.contains(to));
+        let candidates: Vec<Owner> =
+            peers::candidates(&node, DUTY, CANDIDATES).into_iter().filter(|to| *to != me).collect();
+        confirmed.retain(|to, _| candidates.contains(to));
         let mut calls = JoinSet::new();
-        for to in duty_candidates {
+        for to in candidates {
             let updates = confirmed.entry(to.clone()).or_default().updates(&window_counts);
             if !updates.is_empty() {
                 let (node, source) = (Rc::clone(&node), source.clone());
