--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -158,7 +158,7 @@
         };
         record_counts(&node, &source, window_counts.clone());
         let candidates: Vec<Owner> =
-            peers::candidates(&node, DUTY, CANDIDATES).into_iter().filter(|to| *to != me).collect();
+            peers::duty_candidates(&node, DUTY, CANDIDATES).into_iter().filter(|to| *to != me).collect();
         confirmed.retain(|to, _| candidates.contains(to));
         let mut calls = JoinSet::new();
         for to in candidates {
