--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -1,11 +1,11 @@
-//! How nodes learn that the store is back after an outage.
+//! Detects the end of an outage of the store and announces it to all nodes.
 //!
-//! *Work stands still after the store's return.* A call that was made while the store was silent counts
-//! as lost only after a second, and the ways to the store are tried one after the other. It would be
-//! noticed as results that are listed, and batches that are taken over, up to 3.6 s after the return
-//! (1.3 s for a dead owner's batch on a day with an outage of seven seconds). So the nodes that watch
-//! the store ask it again and again with a read that costs a tenth; as one is answered they tell all,
-//! and what waits for an answer is asked again at once.
+//! Fault guarded against: work is delayed after the store is back. A call made during the outage counts
+//! as lost only after a second, and the paths to the store are tried one after the other. Results were
+//! listed, and batches taken over, up to 3.6 s after the store's return (1.3 s for a dead owner's batch
+//! with an outage of seven seconds). So the watching nodes probe the store with stale reads, which cost
+//! a tenth. When one is answered they notify all nodes, and calls that still wait for an answer are
+//! repeated at once.
 
 use crate::feed;
 use crate::metrics::count;
@@ -22,39 +22,39 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// How often a watching node asks whether the store is back: at two nodes and a tenth of the price, a
-/// call a second.
+/// Interval of a watching node's probes. With two nodes and a tenth of the price they cost as much as
+/// one call a second.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// How long such a question may take; a slow store takes a quarter of a second.
+/// How long a probe may take; a slow store answers in a quarter of a second.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
-/// An outage this short took no call with it that is worth making again; nobody is told of its end.
+/// The end of a shorter outage is not announced: no call waits long enough to be worth repeating.
 const ANNOUNCE_MIN_MS: u64 = 500;
 
-/// What a node knows of an outage of the store.
+/// The state of the store's availability, as this node sees it.
 #[derive(Debug, Default)]
 pub(crate) struct Outage {
-    /// When the store was last known to answer.
+    /// When the store last answered this node.
     answered_at: Cell<UnixMs>,
-    /// When the first call was made that it did not answer; none while it answers.
+    /// When the first unanswered call was made; none while the store answers.
     since: Cell<Option<UnixMs>>,
-    /// Wakes the calls that wait for an answer.
+    /// Wakes the calls that wait for an answer, to be repeated.
     pub ended: Notify,
 }
 
 impl Outage {
-    /// Tells whether the store did not answer this node when it was last asked.
+    /// Returns whether the last call of this node to the store failed.
     pub(crate) const fn is_ongoing(&self) -> bool {
         self.since.get().is_some()
     }
 
-    /// Tells whether the store has answered since a call was made: its failure says nothing of now.
-    /// Taken for an outage, calls that a short one took with it made a node lose and regain the store
-    /// five times in a second.
+    /// Returns whether the store has answered since a call was made. If so, the call's failure does not
+    /// mean that an outage is going on: when such failures counted, the calls lost in one short outage
+    /// made a node lose and regain the store five times in a second.
     pub(crate) fn answered_since(&self, began_at: UnixMs) -> bool {
         began_at < self.answered_at.get()
     }
 
-    /// Takes a call that failed; returns whether it is the first.
+    /// Records a failed call. Returns whether it is the first of an outage.
     pub(crate) fn record_failure(&self, began_at: UnixMs) -> bool {
         if self.is_ongoing() {
             return false;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Takes an answer of the store.
+/// Records an answer of the store; ends the outage and announces that, if there was one.
 pub(crate) fn record_answer<P: Platform>(node: &Node<P>, by: &'static str) {
     node.batches.store_returned();
     node.outage.answered_at.set(clock::now());
@@ -79,10 +79,11 @@
     }
 }
 
-/// Takes the word of a watching node that the store answers it again.
+/// Handles a watching node's datagram that the store answers again.
 ///
-/// What waits is asked again, but the outage lasts here until the store answers this node: it may
-/// still turn this one away, and its calls would be made directly first, a second each.
+/// Waiting calls are repeated, but for this node the outage lasts until the store answers it. The
+/// store may still refuse this node, and without an outage its calls would go directly first and
+/// lose a second each.
 pub(crate) fn receive_store_returned<P: Platform>(node: &Rc<Node<P>>) {
     if node.outage.is_ongoing() {
         node.note("store_return_told", json!({}));
@@ -92,7 +93,7 @@
     }
 }
 
-/// Asks for the store's return while an outage lasts, where this node watches the store.
+/// Probes the store during an outage, if this node is a watcher, until the process ends.
 pub(crate) async fn probe_until_back<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(PROBE_INTERVAL).await;
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -1,4 +1,6 @@
-//! What nodes say to each other.
+//! The messages between nodes: calls, answers and datagrams.
+//!
+//! They are encoded with postcard: the order of variants and fields is the format.
 
 use crate::batches::{BatchCopy, Origin, Scope};
 use crate::feed::{Changes, Subject};
@@ -13,34 +15,34 @@
 /// A call between nodes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum PeerCall {
-    /// Gives a batch to the receiver, which the store names as its owner already.
+    /// Hands a batch over to the receiver, which is its owner in the store already.
     Adopt { batch: String, texts: Vec<(String, Progress)> },
-    /// Asks for the changes of a feed that came after a revision.
+    /// Asks for the changes of a feed after a revision.
     Changes { after: u64, subject: Subject },
     /// Ends a batch that the receiver owns.
     End { batch: String, scope: Scope },
-    /// Keeps a copy of a batch for its owner, whom the receiver would follow.
+    /// Sends a copy of a batch to the receiver, which takes the batch over if its owner dies.
     KeepCopy { batch: String, copy: Box<BatchCopy> },
-    /// Keeps what is new of the texts of a batch of which the receiver has a copy.
+    /// Sends the new generated output of a batch of which the receiver has a copy.
     KeepOutputs { batch: String, texts: Vec<TextUpdate> },
     /// Reads the body of an item of a batch that the receiver owns.
     ItemBody { batch: String, item: String, scope: Scope },
     /// Reads results of a batch that the receiver owns.
     Read { after: usize, batch: String, scope: Scope, wait_ms: u64 },
-    /// Tells what the sender has counted of the requests of workspaces.
+    /// Reports the sender's counts of the requests of workspaces.
     Usage { window_counts: Vec<WindowCounts>, source: UsageSource },
-    /// Makes a call of the store for a node that the store turns away.
+    /// Calls the store for a node that cannot reach it.
     Store(StoreCall),
-    /// Hands a submission to the owner of its model's batches.
+    /// Forwards a submission to the owner of its model's batches.
     Submit { batch: String, origin: Origin, submission: Box<Submission> },
 }
 
 /// The answer to a [`PeerCall`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum PeerAnswer {
-    /// The batch is kept.
+    /// The call was accepted; a batch that came with it is kept.
     Accepted,
-    /// The receiver takes the batch.
+    /// The receiver takes the batch over.
     Adopting,
     /// The body of an item.
     Body(Vec<u8>),
@@ -48,17 +50,17 @@
     Changes(Changes),
     /// The batch is ended, and that is durable.
     Ended,
-    /// No batch that the caller may see.
+    /// There is no such batch, or the caller may not see it.
     NoBatch,
-    /// No such item.
+    /// There is no such item.
     NoItem,
     /// The receiver does not own the batch.
     NotOwner,
-    /// Results.
+    /// A page of results.
     Page { results: Vec<ItemResult>, total: usize },
-    /// What the store answered.
+    /// The store's answer.
     Store(Result<StoreAnswer, StoreRefusal>),
-    /// The receiver could not do it now.
+    /// The receiver cannot serve the call now.
     Unavailable,
 }
 
@@ -67,24 +69,25 @@
 pub(crate) enum Datagram {
     /// A batch was ended, and that is durable.
     BatchEnded { batch: String },
-    /// A batch's owner is dead, and the batch falls to the receiver.
+    /// The owner of a batch is dead; the receiver is to take the batch over.
     BatchOrphaned { batch: String, owner: Owner },
     /// A batch has a new owner.
     BatchOwned { batch: String, model: Option<String>, owner: Owner, work_tokens: u64 },
     /// Changes of a feed.
     Changes { changes: Changes, subject: Subject },
-    /// Membership, and what the sender's clock shows.
+    /// A membership message, with the sender's wall-clock time.
     Member { message: Message, wall: UnixMs },
     /// The store answers again after an outage.
     StoreReturned,
-    /// A target, in the life that began then, loads weights from now on, for about so long.
+    /// The incarnation of a target that started at `started_at_unix_ms` loads weights for about
+    /// `for_ms` from now on.
     TargetLoads { started_at_unix_ms: Option<u64>, for_ms: u64, target: String },
 }
 
-/// A life of a node.
+/// An incarnation of a node, as the owner of batches.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub(crate) struct Owner {
-    /// Where it is reached.
+    /// Where the node takes calls and datagrams of its peers.
     pub address: SocketAddr,
     pub incarnation: Incarnation,
     pub node: Name,
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other nodes: who lives, and calls between nodes.
+//! The other nodes: membership, datagrams, and the answers to their calls.
 
 mod messages;
 mod ranks;
@@ -35,22 +35,24 @@
 use std::time::Duration;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Failure detection. A dead owner's batches must run elsewhere within three seconds of its death:
-/// a probe finds it within about 0.3 s in a small fleet, and it has 0.9 s to refute. A pause of
-/// less than a second is not taken for a death.
+/// Settings of the failure detector. The batches of a dead owner must run elsewhere within three
+/// seconds: a probe finds the death within about 0.3 s in a small fleet, and the node has 0.9 s to
+/// refute the suspicion. A pause of less than a second does not count as a death.
 const MEMBERSHIP: MembershipSettings =
     MembershipSettings { probe_every_ms: 300, probe_timeout_ms: 200, suspicion_ms: 900 };
-/// How often membership does what is due.
+/// Interval of the membership ticks.
 const TICK: Duration = Duration::from_millis(100);
-/// A tick that comes this late tells of a pause in which others may have suspected this node.
+/// A gap this long between two ticks means that the process was paused, and that others may have
+/// suspected this node.
 const PAUSE_MIN_MS: u64 = 700;
-/// How long after joining a node knows whom else there is: several probes. Before that it takes on
-/// no duty that falls to the first in rank.
+/// How long after joining a node knows the other nodes: the time of several probes. Before that it
+/// does not watch the store, although it may rank first.
 pub(crate) const SETTLE_MS: u64 = 700;
-/// The largest call between nodes: a page of results or a value of the store.
+/// Size limit of a call between nodes: a page of results or a value of the store.
 const PEER_CALL_MAX_BYTES: usize = 4 << 20;
 
-/// Makes a name of a text; what our names do not allow is replaced.
+/// Converts a text into a valid node name: other characters become `-`, and it is cut at 64
+/// characters.
 pub(crate) fn to_node_name(text: &str) -> Name {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
     let cleaned: String = text
@@ -63,7 +65,7 @@
     cleaned.parse().unwrap_or_else(|_| fallback())
 }
 
-/// Joins the fleet.
+/// Joins the fleet by way of the seeds.
 pub(crate) fn join<P: Platform>(
     node: &Node<P>,
     settings: &Settings,
@@ -86,14 +88,15 @@
     *node.members.borrow_mut() = Some(Membership::open(me, seeds, MEMBERSHIP, rng));
 }
 
-/// Returns how long it takes until this node knows whom else there is; none before it has joined.
+/// Returns the time until this node knows the other nodes, in milliseconds; none before it has
+/// joined.
 pub(crate) fn settles_after_ms<P: Platform>(node: &Node<P>) -> Option<u64> {
     let joined_at = node.joined_at.get()?;
     Some(joined_at.plus(SETTLE_MS).since_ms(clock::now()))
 }
 
-/// Returns after how long a node that does not know its duties yet has to look at them again; one that
-/// knows them hears of changes.
+/// Returns after how long this node must check its rank again, in milliseconds. Once it knows the
+/// other nodes, changes are reported to it and it need not check.
 pub(crate) fn next_settle_check_ms<P: Platform>(node: &Node<P>) -> u64 {
     match settles_after_ms(node) {
         None => SETTLE_MS,
@@ -127,7 +130,8 @@
     }
 }
 
-/// Signs that others may take this node for dead, and may have taken its batches.
+/// Detects that others may have taken this node for dead and may have taken over its batches: it was
+/// paused, or it had to refute a suspicion.
 struct SuspicionSigns {
     refutation: u32,
     ticked_at: UnixMs,
@@ -176,7 +180,7 @@
     }
 }
 
-/// Runs membership's outputs.
+/// Calls `act` on the membership, if this node has joined, and carries out its outputs.
 pub(crate) fn with_members<P: Platform>(
     node: &Node<P>,
     act: impl FnOnce(&mut Membership, UnixMs) -> Vec<Output>,
@@ -224,7 +228,7 @@
     }
 }
 
-/// Sends a datagram; one that is lost is made good by the next probe.
+/// Sends a datagram without waiting. A lost one is made up for by later messages.
 pub(crate) fn send<P: Platform>(node: &Node<P>, datagram: &Datagram, to: SocketAddr) {
     match wire::seal(&node.key, datagram, wire::DATAGRAM_MAX_BYTES) {
         Ok(frame) => {
@@ -239,7 +243,7 @@
     }
 }
 
-/// Sends a datagram to all nodes that were ever heard of: one that is taken for dead may live.
+/// Sends a datagram to all known nodes, also to those considered dead: one of them may be alive.
 pub(crate) fn broadcast<P: Platform>(node: &Node<P>, datagram: &Datagram) {
     let all: Vec<SocketAddr> = {
         let members = node.members.borrow();
@@ -252,7 +256,7 @@
     }
 }
 
-/// Tells the owners of batches, who alone start items, that a target loads.
+/// Announces to the owners of batches, which alone start items, that a target loads weights.
 pub(crate) fn announce_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     target_loads(node, target, for_ms);
     let started_at_unix_ms =
@@ -267,24 +271,24 @@
     node.load.borrow_mut().loading_until(target, clock::now().plus(for_ms));
 }
 
-/// Returns this life of this node, once it has joined.
+/// Returns this incarnation of this node; none before it has joined.
 pub(crate) fn me<P: Platform>(node: &Node<P>) -> Option<Owner> {
     let members = node.members.borrow();
     members.as_ref().map(|members| ranks::owner_of(members.me()))
 }
 
-/// What is known of a node's life.
+/// The status of an owner's incarnation, as far as this node knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OwnerStatus {
-    /// It is over.
+    /// It has ended.
     Ended,
-    /// It goes on.
+    /// It is running.
     Running,
-    /// Nothing was heard of it yet.
+    /// No report about it was received yet.
     Unknown,
 }
 
-/// Returns what is known of an owner's life.
+/// Returns the status of an owner's incarnation.
 pub(crate) fn owner_status<P: Platform>(node: &Node<P>, owner: &Owner) -> OwnerStatus {
     let registered = node.registered.borrow().get(&owner.node).copied();
     if registered.is_some_and(|incarnation| incarnation > owner.incarnation) {
@@ -301,7 +305,7 @@
     }
 }
 
-/// Answers a call of another node.
+/// Answers a call of another node. A body that cannot be decoded is answered with 400.
 pub(crate) async fn answer<P: Platform>(
     node: Rc<Node<P>>,
     request: Request<Incoming>,
@@ -362,7 +366,7 @@
     Ok(response)
 }
 
-/// Tells whether a failed call of a peer cannot have been carried out there.
+/// Returns whether a failed call cannot have been carried out by the peer.
 pub(crate) const fn cannot_have_run(error: &CallError) -> bool {
     matches!(error.verdict, Verdict::NotRun)
 }
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -1,4 +1,4 @@
-//! Which node does what one node does for all.
+//! Ranks of nodes for duties, the jobs that one node at a time does for all nodes.
 
 use super::{Owner, to_node_name, with_members};
 use crate::node::Node;
@@ -8,7 +8,7 @@
 use catkinmast_usage::UsageSource;
 use std::net::SocketAddr;
 
-/// Returns this node's rank for a duty among those that live; none before it has joined.
+/// Returns this node's rank for a duty among the live nodes; none before it has joined.
 pub(crate) fn rank_for<P: Platform>(node: &Node<P>, duty: &str) -> Option<usize> {
     let members = node.members.borrow();
     let members = members.as_ref()?;
@@ -17,7 +17,7 @@
     Some(live.filter(|peer| DutyRank::of(peer, duty) < mine).count())
 }
 
-/// Tells whether the node at an address comes before this one for a duty.
+/// Returns whether the node at an address ranks before this one for a duty.
 pub(crate) fn ranks_before<P: Platform>(node: &Node<P>, address: SocketAddr, duty: &str) -> bool {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return false };
@@ -26,12 +26,12 @@
     peer.is_some_and(|peer| DutyRank::of(peer, duty) < mine)
 }
 
-/// Tells whether this node comes first for a duty among those that live.
+/// Returns whether this node ranks first for a duty among the live nodes.
 pub(crate) fn is_first_for<P: Platform>(node: &Node<P>, duty: &str) -> bool {
     rank_for(node, duty) == Some(0)
 }
 
-/// Returns where the node that comes first for a duty is reached; none if it is this one.
+/// Returns the address of the node that ranks first for a duty; none if it is this one.
 pub(crate) fn first_for<P: Platform>(node: &Node<P>, duty: &str) -> Option<SocketAddr> {
     if is_first_for(node, duty) {
         return None;
@@ -39,7 +39,7 @@
     successor_for(node, duty).map(|owner| owner.address)
 }
 
-/// Returns the node that comes first for a duty among the others that live.
+/// Returns the node that ranks first for a duty among the other live nodes.
 pub(crate) fn successor_for<P: Platform>(node: &Node<P>, duty: &str) -> Option<Owner> {
     let members = node.members.borrow();
     let members = members.as_ref()?;
@@ -48,7 +48,7 @@
     Some(owner_of(first))
 }
 
-/// Returns the holder of a duty, and the nodes that come first in rank for it, this one among them.
+/// Returns the `count` nodes that rank first for a duty, this one included, and its holder.
 pub(crate) fn duty_candidates<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
     let holder = holder_of(node, &to_node_name(duty));
     let members = node.members.borrow();
@@ -67,7 +67,7 @@
     Owner { address: peer.control, incarnation: peer.incarnation, node: peer.name.clone() }
 }
 
-/// Returns the lives that may serve callers now.
+/// Returns the incarnations that may serve callers now, and so may report usage.
 pub(crate) fn usage_sources<P: Platform>(node: &Node<P>) -> Vec<UsageSource> {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
@@ -77,7 +77,7 @@
         .collect()
 }
 
-/// Returns the holder of a duty that all are told of, if it lives.
+/// Returns the announced holder of a duty, if it is alive.
 pub(crate) fn holder_of<P: Platform>(node: &Node<P>, duty: &Name) -> Option<Name> {
     let members = node.members.borrow();
     let members = members.as_ref()?;
@@ -91,7 +91,7 @@
     lives.then_some(fact.node)
 }
 
-/// Tells all that this node holds a duty.
+/// Announces the holder of a duty to all nodes.
 pub(crate) fn announce_holder<P: Platform>(node: &Node<P>, fact: OwnerFact) {
     with_members(node, |members, now| members.observe(now, Fact::Owner(fact)));
 }
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -157,8 +157,10 @@
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
         record_counts(&node, &source, window_counts.clone());
-        let candidates: Vec<Owner> =
-            peers::duty_candidates(&node, DUTY, CANDIDATES).into_iter().filter(|to| *to != me).collect();
+        let candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, CANDIDATES)
+            .into_iter()
+            .filter(|to| *to != me)
+            .collect();
         confirmed.retain(|to, _| candidates.contains(to));
         let mut calls = JoinSet::new();
         for to in candidates {
