--- a/crates/serve/src/access.rs
+++ b/crates/serve/src/access.rs
@@ -1,4 +1,4 @@
-//! Who a caller's request is from, by the configuration in force here.
+//! Determines the workspace of a caller's request, by the configuration in force on this node.
 
 use crate::batches::Scope;
 use crate::feed::{self, Subject};
@@ -9,19 +9,19 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderValue};
 
-/// Why a request is turned away; none of these texts holds any part of a key.
+/// Why a request is refused. The texts contain no part of a key.
 #[derive(Clone, Debug)]
 pub(crate) enum Refusal {
-    /// For good: its key belongs to no workspace.
+    /// Permanently: the key belongs to no workspace.
     Denied(String),
-    /// For now: this node's configuration is too old to tell.
+    /// Temporarily: this node's configuration is too old to decide.
     Unsure(String),
 }
 
-/// Returns the workspace of a request; none where no key is asked for.
+/// Returns the workspace of a request; none if no key is required.
 ///
 /// # Errors
-/// When the key names no workspace, or may name one that this node does not know.
+/// If the key belongs to no workspace, or may belong to one that this node does not know yet.
 pub(crate) fn workspace<P: Platform>(
     node: &Node<P>,
     document: &Document,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns whose batches a call may see.
+/// Returns the scope of batches that a call may see.
 ///
 /// # Errors
 /// As [`workspace`].
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -1,9 +1,11 @@
-//! Duties towards the platform that one node has at a time: reports of usage.
+//! The duty towards the platform: reports of usage, and the calls of `scaling`.
 //!
-//! *Two reports of one window differ.* It would be noticed as a window that is billed twice. The holder
-//! dies, or is cut off, between the writing of a report and its sending, and its successor has heard of
-//! other requests. So what will be sent is first created in the store, under the holder's fencing number;
-//! whoever holds the duty sends exactly that.
+//! A duty is a job that one node at a time does for all nodes, under a lease.
+//!
+//! Fault guarded against: two different reports of one window, which bill it twice. They come about
+//! when the holder dies, or is cut off, between making a report and sending it, and its successor
+//! has received other counts. So each report is first created in the store, under the holder's
+//! fencing number, and every holder sends exactly the stored report.
 
 use crate::clock;
 use crate::duty_lease::DutyLease;
@@ -28,40 +30,44 @@
 
 /// The duty's name among nodes.
 pub(crate) const DUTY: &str = "platform";
-/// The key of its lease.
+/// The key of the duty's lease.
 const LEASE_KEY: &str = "cm/duties";
-/// Keys of the reports, by window.
+/// Prefix of the keys of the reports, by window.
 const REPORTS: &str = "cm/u/";
-/// Reports are kept for so many windows.
+/// Number of windows for which reports are kept.
 const REPORTS_KEPT: u64 = 60;
-/// Reports that are deleted with each new one: those of windows before that were not followed by one.
+/// Old reports that are deleted with each new one. Several, because a window without a report
+/// deletes none.
 const REPORTS_DELETED: u64 = 4;
-/// How often what is due is done.
+/// Interval at which due work is done.
 const TICK: Duration = Duration::from_millis(200);
-/// How long after its end a window is closed at the earliest: what nodes tell is on its way.
+/// Earliest time after its end at which a window is closed; the last counts are in flight until
+/// then.
 const CLOSE_AFTER_MS: u64 = 700;
-/// The part of the time in which a report is due, in percent, for which nodes are waited for that have
-/// not told all of a window. The rest is for a slow store, a slow platform and a successor.
+/// Percentage of the time until a report is due during which the holder waits for nodes that have
+/// not sent all counts of the window. The rest is reserved for a slow store, a slow platform and a
+/// successor.
 const WAIT_PERCENT: u64 = 45;
 /// How long the platform may take to answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the platform does not answer this node before another takes the duty.
+/// After this time without an answer of the platform, this node steps down for another.
 const STEP_DOWN_AFTER_MS: u64 = 2_500;
-/// The largest answer of the platform.
+/// Size limit of the platform's answers.
 const ANSWER_MAX_BYTES: usize = 1 << 16;
 
-/// What the holder of the duty knows.
+/// The state of the duty's holder.
 #[derive(Debug, Default)]
 struct Reporter {
-    /// Since when the platform has not answered; none while it does.
+    /// Since when the platform has not answered this node; none while it answers.
     unanswered_since: Option<UnixMs>,
-    /// Reports that the platform has taken.
+    /// Windows whose reports the platform has accepted.
     sent: BTreeSet<Window>,
-    /// Reports that are in the store.
+    /// Reports that are in the store but not accepted yet.
     written: BTreeMap<Window, BTreeMap<String, u64>>,
 }
 
-/// Takes part in the duty until the process ends.
+/// Takes part in the duty until the process ends: shares counts, and while this node holds the
+/// duty, sends reports and orders targets.
 pub(crate) async fn serve<P: Platform>(node: Rc<Node<P>>) {
     if node.settings().duties.is_none() {
         return;
@@ -145,7 +151,7 @@
         self.record_answer(node, lease, status.is_ok());
     }
 
-    /// Gives the duty up where the platform does not answer this node.
+    /// Records whether the platform answered, and steps down if it has not answered for too long.
     fn record_answer<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
@@ -173,7 +179,8 @@
     }
 }
 
-/// Closes a window: creates its report in the store, or finds the one that is there.
+/// Closes a window: creates its report in the store, or reads the one that is there. None if nodes
+/// still have to send counts or the store did not answer.
 async fn close<P: Platform>(
     node: &Rc<Node<P>>,
     lease: &DutyLease,
@@ -196,7 +203,7 @@
         Ok(StoreAnswer::Committed { .. }) => ("created", Some(counts)),
         Ok(StoreAnswer::Conflict { items }) => ("found", stored_report(&items, window)),
         Ok(_) => ("refused", None),
-        // It may be done; the next try finds it.
+        // It may have been created; the next try finds it.
         Err(_) => ("unanswered", None),
     };
     let missing: Vec<&str> = missing.iter().map(|source| source.node.as_str()).collect();
@@ -235,21 +242,23 @@
     format!("{REPORTS}{:012}", window.0)
 }
 
-/// Reads the report that is in the store already; none where another node holds the duty.
+/// Returns the report from the keys of a conflict; none if the conflict is that another node holds
+/// the duty.
 fn stored_report(items: &[StoredItem], window: Window) -> Option<BTreeMap<String, u64>> {
     let key = report_key(window);
     let item = items.iter().find(|item| item.key == key && item.revision > 0)?;
     postcard::from_bytes(&item.value).ok()
 }
 
-/// Makes a call of the duty, if this node holds it; returns what came back.
+/// Sends a call of the duty to the platform. Returns the outcome, or none if this node does not
+/// hold the duty.
 pub(crate) async fn send_duty_call<P: Platform>(
     node: &Rc<Node<P>>,
     lease: &DutyLease,
     duties: &DutySettings,
     call: &DutyCall<'_>,
 ) -> Option<Result<StatusCode, CallError>> {
-    // Asked right before the call: a pause must not let it out under a lapsed lease.
+    // Checked right before the call: after a pause the lease may have lapsed.
     let fence = lease.order_fence(clock::now())?;
     let written = P::duty_request(call, &node.settings().node, fence.0);
     let mut request = Request::post(written.path)
--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -1,9 +1,10 @@
-//! Holds a duty of one node at a time, under a lease with a fencing number.
+//! Holds the lease of a duty, with a fencing number.
 //!
-//! What the holder acts on need not check the number. So the holder stops before its lease can lapse,
-//! by a clock that counts pauses, and a new holder waits until no act of the former one can arrive near
-//! its own. The holder stays while it lives; if none is known to, the first in rank follows. One that
-//! cannot do the duty's work names the node that is to follow it.
+//! A duty is a job that one node at a time does for all nodes. The receivers of its calls need not
+//! check the fencing number. So the holder stops before its lease can lapse, by a clock that counts
+//! pauses, and a new holder waits until no call of the previous one can still arrive. A holder
+//! keeps the duty while it lives; if no live holder is known, the first in rank takes it. A holder
+//! that cannot do the work names its successor.
 
 use crate::clock;
 use crate::node::Node;
@@ -17,27 +18,27 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The lease lasts this long without renewal: long enough for a slow store's half second, short
-/// enough that a dead holder's successor begins before the next step of a trainer.
+/// Duration of the lease without renewal: long enough for a slow store, which takes half a second,
+/// and short enough that a dead holder's successor begins before the next step of a trainer.
 const LEASE_TTL_MS: u64 = 2_500;
-/// The holder stops this long before the lapse. A successor need not wait again for what the
-/// holder has waited, so a large margin brings the duty back sooner; what is left of the lease
-/// covers one renewal that is lost and one that a slow store answers after half a second.
+/// The holder stops this long before the lease lapses. The margin counts towards the successor's
+/// wait, so a large one shortens the gap. The rest of the lease covers one lost renewal and one
+/// that a slow store answers after half a second.
 const LEASE_MARGIN_MS: u64 = 1_200;
 const LEASE_RENEW_MS: u64 = 500;
 const LEASE_RETRY_MS: u64 = 300;
-/// Added to the time that a new holder waits, for acts on their way.
+/// Added to a new holder's wait, for calls of the previous holder that are in flight.
 const IN_FLIGHT_MS: u64 = 200;
-/// How long a node that has named another holder does not take the duty itself.
+/// How long a node that has stepped down does not take the duty again.
 const STEP_DOWN_MS: u64 = 10_000;
 
-/// This node's part in one duty.
+/// This node's claim to one duty.
 #[derive(Debug)]
 pub(crate) struct DutyLease {
     duty: &'static str,
-    /// Whether this life has held it.
+    /// Whether this incarnation has held the duty.
     held_since_start: Cell<bool>,
-    /// Whether an earlier life of this node held it when it ended.
+    /// Whether the previous incarnation of this node held the duty when it ended.
     held_before: bool,
     key: &'static str,
     lease: Cell<Option<LeaseId>>,
@@ -47,7 +48,7 @@
 }
 
 impl DutyLease {
-    /// Opens a part in a duty that this node does not hold; none before it has joined the others.
+    /// Opens a claim that does not hold the duty yet; none before this node has joined the fleet.
     pub(crate) async fn open<P: Platform>(
         node: &Rc<Node<P>>,
         duty: &'static str,
@@ -85,7 +86,7 @@
         self.tenure.borrow().fence(now)
     }
 
-    /// Returns the fencing number while the duty is held and may be acted on towards others.
+    /// Returns the fencing number while the duty is held and its calls may be sent.
     pub(crate) fn order_fence(&self, now: UnixMs) -> Option<Fence> {
         self.tenure.borrow().order_fence(now)
     }
@@ -95,7 +96,7 @@
         self.key
     }
 
-    /// Does what has become due.
+    /// Takes, renews, reads or releases the lease, as far as due.
     pub(crate) fn tick<P: Platform>(self: &Rc<Self>, node: &Rc<Node<P>>) {
         let now = clock::now();
         if self.fence(now).is_some() {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Gives the duty up to another node, because this one cannot do its work.
+    /// Hands the duty to the next node in rank, because this one cannot do its work.
     pub(crate) fn step_down<P: Platform>(&self, node: &Node<P>, why: &str) {
         let now = clock::now();
         let Some(fence) = self.fence(now) else { return };
@@ -161,7 +162,7 @@
             Action::Renew => self.renew(node).await,
             Action::Release => {
                 if let Some(lease) = self.lease.take() {
-                    // A release that is lost costs the successor the lease's time, no more.
+                    // If the release is lost, the successor waits until the lease lapses.
                     drop(node.store(&StoreCall::LeaseEnd { lease }).await);
                 }
                 return;
@@ -189,8 +190,8 @@
             Ok(StoreAnswer::Conflict { items }) => {
                 let Some(item) = items.first() else { return Report::Refused };
                 let held = postcard::from_bytes::<HolderRecord>(&item.value);
-                // Of an earlier life, or of this one: its lease was not renewed in time, by our clock,
-                // while the store was away and let no lease lapse.
+                // Held by a previous incarnation, or by this one: during an outage the store lets
+                // no lease lapse, but by our clock the lease was not renewed in time.
                 let own_earlier = held.is_ok_and(|held| {
                     held.node == self.record.node && held.incarnation <= self.record.incarnation
                 });
@@ -230,8 +231,8 @@
     async fn read<P: Platform>(&self, node: &Node<P>) -> Report {
         let call = StoreCall::Get { key: self.key.to_owned(), may_be_old: false };
         match node.store(&call).await {
-            // A key of ours from before hangs on a lease that nobody renews: it lapses, and another
-            // takes it, while renewals of the new lease succeed.
+            // The key is bound to an earlier lease of ours, which is no longer renewed. It will
+            // lapse and another node will take it, while renewals of the new lease succeed.
             Ok(StoreAnswer::Item(Some(item))) if item.lease != self.lease.get() => {
                 Report::Read(None)
             }
@@ -254,14 +255,14 @@
     }
 }
 
-/// Tells whether an earlier life of this node held the lease when it ended. It takes up the duty
-/// at once; another would have to wait for the lapse, and then for acts on their way.
+/// Returns whether the previous incarnation of this node held the lease when it ended. If so, this
+/// node takes the duty at once; another would wait for the lapse, and then for calls in flight.
 async fn held_before<P: Platform>(
     node: &Node<P>,
     key: &'static str,
     record: &HolderRecord,
 ) -> bool {
-    // Taking the lease reads the key again, so an old answer does no harm.
+    // Taking the lease checks the key again, so a stale read is sufficient.
     let call = StoreCall::Get { key: key.to_owned(), may_be_old: true };
     let found = node.store(&call).await;
     let Ok(StoreAnswer::Item(Some(item))) = found else { return false };
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -146,10 +146,10 @@
     }
 }
 
-/// Returns whether this node is a watcher by its rank. A node that has just started does not know the
-/// other nodes yet and does not watch until it does; its first read is enough meanwhile. When each
-/// starting node watched, a start cost two more calls of the store (660 of 7,560 on a day with 330
-/// starts).
+/// Returns whether this node is a watcher by its rank. A node that has just started does not know
+/// the other nodes yet and does not watch until it does; its first read is enough meanwhile. When
+/// each starting node watched, a start cost two more calls of the store (660 of 7,560 on a day with
+/// 330 starts).
 pub(crate) fn is_watcher<P: Platform>(node: &Node<P>) -> bool {
     peers::settles_after_ms(node) == Some(0)
         && peers::rank_for(node, DUTY).is_some_and(|rank| rank < WATCHERS)
@@ -190,8 +190,8 @@
     }
 }
 
-/// Returns the changes after a revision, for a peer that has missed them. None if this node does not
-/// have them all.
+/// Returns the changes after a revision, for a peer that has missed them. None if this node does
+/// not have them all.
 pub(crate) fn changes_since<P: Platform>(
     node: &Node<P>,
     subject: Subject,
@@ -237,8 +237,8 @@
     }
 }
 
-/// Handles a watcher's datagram. If this node has missed earlier changes, it asks the sender for them
-/// instead.
+/// Handles a watcher's datagram. If this node has missed earlier changes, it asks the sender for
+/// them instead.
 pub(crate) fn receive_changes<P: Platform>(
     node: &Node<P>,
     subject: Subject,
@@ -389,8 +389,8 @@
                 verdict: catkinmast_model::Verdict::Ran,
             });
         };
-        // Pages are not a snapshot: the watch starts after the first page's revision, so that changes
-        // between pages are seen again.
+        // Pages are not a snapshot: the watch starts after the first page's revision, so that
+        // changes between pages are seen again.
         first_as_of.get_or_insert(as_of);
         let more = truncated && !items.is_empty();
         all.extend(items);
--- a/crates/serve/src/metrics.rs
+++ b/crates/serve/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the process counts, in the `OpenMetrics` text format.
+//! The metrics of the process, exported in the `OpenMetrics` text format.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -9,16 +9,16 @@
 use prometheus_client::registry::Registry;
 use serde_json::Map;
 
-/// Upper bounds of the latency buckets, in seconds: from a lookup's work to a trainer's patience.
+/// Upper bounds of the latency buckets, in seconds: from a short lookup to a trainer's timeout.
 const LATENCY_BUCKETS_S: [f64; 10] = [0.01, 0.03, 0.06, 0.1, 0.15, 0.4, 1.0, 2.5, 7.5, 15.0];
 
-/// One label with few values.
+/// A metrics label with few values.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct Reason {
     pub reason: &'static str,
 }
 
-/// The process's counters and histograms.
+/// The counters, gauges and histograms of the process.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     pub answers: Family<Reason, Counter>,
@@ -122,7 +122,7 @@
         Self { registry, ..metrics }
     }
 
-    /// Returns the calls of the store so far, by duty.
+    /// Returns the number of calls of the store so far, by kind.
     pub(crate) fn store_calls_so_far(&self) -> serde_json::Value {
         let duties = ["get", "get_old", "lease", "renew", "range_old", "range", "write", "watch"];
         let count = |reason| self.store_calls.get_or_create(&Reason { reason }).get();
@@ -142,7 +142,7 @@
     }
 }
 
-/// Counts one more of a reason.
+/// Increments the counter of a reason.
 pub(crate) fn count(family: &Family<Reason, Counter>, reason: &'static str) {
     family.get_or_create(&Reason { reason }).inc();
 }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -1,10 +1,10 @@
-//! Brings engines to the weight versions that trainers publish.
+//! Orders engines to load the weight versions that trainers publish.
 //!
-//! One node gives all orders, under a lease with a fencing number. Engines need not check the
-//! number: so the holder stops before its lease can lapse, by a clock that counts pauses, and a
-//! new holder waits until no order of the old one can arrive near its own. Every order names the
-//! number of orders that the engine must have accepted before it, so one that is carried out late
-//! finds that number changed and does nothing.
+//! One node at a time sends all orders, under a lease with a fencing number. Engines need not check
+//! the number. So the holder stops before its lease can lapse, by a clock that counts pauses, and a
+//! new holder waits until no order of the previous one can still arrive. Every order states how
+//! many orders the engine must have accepted before it; one that arrives late finds another number
+//! and has no effect.
 
 use crate::clock;
 use crate::duty_lease::DutyLease;
@@ -29,43 +29,44 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The key of the lease.
+/// The key of the duty's lease.
 pub(crate) const LEASE_KEY: &str = "cm/orders";
 /// The duty's name among nodes.
 const DUTY: &str = "orders";
-/// How often what is due is done.
+/// Interval at which due work is done.
 const TICK: Duration = Duration::from_millis(100);
-/// How long an engine may take to answer a report or an order.
+/// How long an engine may take to answer an order or a request for its report.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long after an order the first look at the engine's report is worth it, and the next ones.
-/// A load takes nearly a second, and a report is some hundred milliseconds old.
+/// Delay from an order to the first read of the engine's report. A load takes nearly a second, and
+/// a report is a few hundred milliseconds old.
 const FIRST_REPORT_DELAY: Duration = Duration::from_secs(1);
+/// Delay to each further read of the report.
 const NEXT_REPORT_DELAY: Duration = Duration::from_millis(300);
-/// How long a target takes no new work after an order: over 15 days of 9 targets, the first run
-/// that one took began 904 ms after it, or later.
+/// How long a target counts as loading after an order. In 15 days with 9 targets, no target began a
+/// run earlier than 904 ms after an order.
 const LOAD_MS: u64 = 900;
-/// Looks at a report before an order counts as lost: an order may be carried out seconds late.
+/// Reads of the report before an order counts as lost. An engine may carry it out seconds late.
 const REPORTS_MAX: u32 = 20;
-/// After an order that got no answer, the report shows within this time whether it was accepted.
+/// Within this time the engine's report shows whether an order without an answer was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(400);
-/// The largest report.
+/// Size limit of an engine's report.
 const REPORT_MAX_BYTES: usize = 1 << 20;
 
-/// What the holder of the orders knows.
+/// The state of the duty's holder.
 #[derive(Debug)]
 struct Holder {
-    /// Orders that each target has accepted in which life, as far as known.
+    /// Orders that each target has accepted, by target id, as far as known.
     accepted: RefCell<IndexMap<String, Accepted>>,
     rollouts: RefCell<IndexMap<String, Rollout>>,
-    /// How each service's targets were shared among models when it was last told.
+    /// How each service's targets were shared among models when that was last logged.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
     lease: Rc<DutyLease>,
-    /// The machines that were reported empty, and the revision that asked for it: one may be asked for
-    /// again, and its report is gone by then.
+    /// The store instances that were reported as drained, each with the revision of the request. A
+    /// new request for the same instance needs a new report.
     drained: RefCell<IndexMap<String, u64>>,
 }
 
-/// Orders that a target has accepted since it started.
+/// Orders that a target has accepted in one incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Accepted {
     started_at_unix_ms: Option<u64>,
@@ -73,8 +74,8 @@
 }
 
 impl Holder {
-    /// Returns how many orders a target has accepted in its present life. One that started again
-    /// counts anew: an order that names the former count is refused for good.
+    /// Returns how many orders a target has accepted in its current incarnation. The count starts
+    /// anew when the target restarts, and the engine refuses every order with the old count.
     fn accepted(&self, entry: &TargetEntry) -> Option<u64> {
         let accepted = self.accepted.borrow().get(&entry.id).copied()?;
         (accepted.started_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
@@ -110,7 +111,7 @@
     }
 }
 
-/// Orders the loads that are due.
+/// Starts the load orders that are due.
 fn plan<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let Some(document) = node.document() else { return };
     let now = clock::now();
@@ -160,7 +161,7 @@
     }
 }
 
-/// Writes a line when the targets of a service are shared anew among its models.
+/// Logs how the targets of a service are shared among its models, when that has changed.
 fn note_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
     let counts = json!(rollout.counts());
     let mut shared = holder.shared.borrow_mut();
@@ -195,7 +196,7 @@
             Err(_) => return LoadOutcome::Failed,
         },
     };
-    // Asked right before the order: a pause since the plan must not let it out under a lapsed lease.
+    // Checked right before the order: after a pause since the plan the lease may have lapsed.
     let fence = holder.lease.order_fence(clock::now());
     let Some(fence) = fence else { return LoadOutcome::Failed };
     let settings = node.settings();
@@ -304,12 +305,12 @@
         node.targets.borrow_mut().apply_start_time(&chosen.id, report.started_at_unix_ms);
     node.target_changed(&change, "its report");
     if !is_current {
-        return Err(CallError::may_have_run("the report is of an earlier life"));
+        return Err(CallError::may_have_run("the report is from an earlier incarnation"));
     }
     Ok(report)
 }
 
-/// Sends an order, or asks for the report, at an engine.
+/// Sends an order to an engine, or reads its report if `order` is none.
 async fn engine_call<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
@@ -342,7 +343,7 @@
     }
 }
 
-/// Reports store machines as empty: nothing that lasts is kept on them.
+/// Reports the store instances to be drained as drained at once: nothing durable is kept on them.
 fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let asked = node.draining.borrow().clone();
     for (machine, revision) in asked {
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -1,11 +1,11 @@
 //! Detects the end of an outage of the store and announces it to all nodes.
 //!
-//! Fault guarded against: work is delayed after the store is back. A call made during the outage counts
-//! as lost only after a second, and the paths to the store are tried one after the other. Results were
-//! listed, and batches taken over, up to 3.6 s after the store's return (1.3 s for a dead owner's batch
-//! with an outage of seven seconds). So the watching nodes probe the store with stale reads, which cost
-//! a tenth. When one is answered they notify all nodes, and calls that still wait for an answer are
-//! repeated at once.
+//! Fault guarded against: work is delayed after the store is back. A call made during the outage
+//! counts as lost only after a second, and the paths to the store are tried one after the other.
+//! Results were listed, and batches taken over, up to 3.6 s after the store's return (1.3 s for a
+//! dead owner's batch with an outage of seven seconds). So the watching nodes probe the store with
+//! stale reads, which cost a tenth. When one is answered they notify all nodes, and calls that
+//! still wait for an answer are repeated at once.
 
 use crate::feed;
 use crate::metrics::count;
@@ -22,8 +22,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// Interval of a watching node's probes. With two nodes and a tenth of the price they cost as much as
-/// one call a second.
+/// Interval of a watching node's probes. With two nodes and a tenth of the price they cost as much
+/// as one call a second.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a probe may take; a slow store answers in a quarter of a second.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
@@ -47,9 +47,9 @@
         self.since.get().is_some()
     }
 
-    /// Returns whether the store has answered since a call was made. If so, the call's failure does not
-    /// mean that an outage is going on: when such failures counted, the calls lost in one short outage
-    /// made a node lose and regain the store five times in a second.
+    /// Returns whether the store has answered since a call was made. If so, the call's failure does
+    /// not mean that an outage is going on: when such failures counted, the calls lost in one short
+    /// outage made a node lose and regain the store five times in a second.
     pub(crate) fn answered_since(&self, began_at: UnixMs) -> bool {
         began_at < self.answered_at.get()
     }
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -130,8 +130,8 @@
     }
 }
 
-/// Detects that others may have taken this node for dead and may have taken over its batches: it was
-/// paused, or it had to refute a suspicion.
+/// Detects that others may have taken this node for dead and may have taken over its batches: it
+/// was paused, or it had to refute a suspicion.
 struct SuspicionSigns {
     refutation: u32,
     ticked_at: UnixMs,
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -1,6 +1,6 @@
-//! What the process needs from the platform it runs on: names, formats and calls.
+//! The interface to the platform that the process runs on: its names, formats and calls.
 //!
-//! An implementation translates and decides nothing: no retry, no timeout, no choice.
+//! An implementation only translates. It decides nothing: no retries, no timeouts, no choices.
 
 use crate::settings::{Settings, SettingsError};
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal};
@@ -18,16 +18,16 @@
 pub struct DecodeError {
     /// What went wrong.
     pub problem: String,
-    /// What was read.
+    /// What was decoded.
     pub what: String,
 }
 
 impl std::error::Error for DecodeError {}
 
-/// A call of the platform's store as it goes over the wire.
+/// A call of the platform's store in its wire format.
 #[derive(Clone, Debug)]
 pub struct StoreRequest {
-    /// The body, empty where there is none.
+    /// The body; empty if the call has none.
     pub body: Bytes,
     /// The method.
     pub method: Method,
@@ -35,17 +35,17 @@
     pub path: String,
 }
 
-/// What the operator, or a trainer, has written to the store.
+/// An update that an operator or a trainer has written to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OperatorUpdate {
     /// A configuration.
     Document(Document),
-    /// A store machine is to be emptied.
+    /// An instance of the store is to be drained.
     Drain {
-        /// The machine's node.
+        /// The name of the instance's node.
         node: String,
     },
-    /// A trainer has published a version of its model.
+    /// A trainer has published a weight version of its model.
     Version {
         /// The model.
         model: String,
@@ -54,7 +54,7 @@
     },
 }
 
-/// A caller's call about a batch submission.
+/// A caller's call about a batch that it has submitted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BatchCall {
     /// Ends the batch.
@@ -71,62 +71,62 @@
     },
     /// Reads results.
     Read {
-        /// The first position wanted.
+        /// The position of the first result to return.
         after: usize,
         /// The batch.
         batch: String,
-        /// How long the call may wait for a result.
+        /// How long the call may wait for a result, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// What a caller says of its request.
+/// The options that a caller sends with its request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CallerOptions {
-    /// How long the caller waits.
+    /// How long the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// The request's id.
     pub request_id: Option<String>,
 }
 
-/// What we say of a request to its target.
+/// The metadata that is sent to a target with a request.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRequestMetadata<'a> {
-    /// What is left of the caller's time.
+    /// The rest of the caller's deadline, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The only target that may run it.
+    /// The only target that may run the request.
     pub expected_target: Option<&'a str>,
-    /// The event after which a stream goes on.
+    /// The event after which a resumed stream continues.
     pub last_event_id: Option<u64>,
     /// The request's id.
     pub request_id: Option<&'a str>,
-    /// The workspace that it is from; whatever the caller says of it is replaced.
+    /// The workspace of the request. It replaces any value that the caller has sent.
     pub workspace: Option<&'a str>,
 }
 
-/// What a target says of its answer.
+/// The metadata that a target sends with its response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TargetResponseMetadata {
-    /// Whether the target says that the request did not run.
+    /// Whether the target reports that the request did not run.
     pub not_run: bool,
-    /// The request that it answers.
+    /// The id of the request that the response is for.
     pub request_id: Option<String>,
     /// The target's signature.
     pub signature: Option<String>,
-    /// The weight version that the run began with.
+    /// The weight version with which the run began.
     pub version: Option<u64>,
 }
 
-/// What an engine reports of itself.
+/// The status report of an engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineReport {
-    /// When this life of it began, by its own clock; none where engines do not tell.
+    /// When the engine started, by its own clock; none if engines do not report it.
     pub started_at_unix_ms: Option<u64>,
-    /// Whether an order is being carried out.
+    /// Whether the engine is carrying out an order.
     pub busy: bool,
     /// Weight versions by model.
     pub models: Vec<(String, u64)>,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the engine started.
     pub orders_accepted: u64,
 }
 
@@ -137,51 +137,51 @@
     pub expected_orders: u64,
     /// The fencing number.
     pub fence: u64,
-    /// Who gives the order.
+    /// The node that sends the order.
     pub holder: &'a str,
     /// The model.
     pub model: &'a str,
-    /// Whether running requests go on under the new version.
+    /// Whether running requests continue under the new version.
     pub runs_continue: bool,
     /// The version to load.
     pub version: u64,
 }
 
-/// What one node at a time tells the platform.
+/// A call of the duty towards the platform, which one node at a time makes.
 #[derive(Clone, Debug)]
 pub enum DutyCall<'a> {
-    /// How many targets of a service a data centre is to have.
+    /// Sets how many targets of a service a data centre is to have.
     Targets {
         /// The number.
         count: u32,
         /// The data centre.
         data_centre: &'a str,
-        /// Whether it is about targets that the platform may take back.
+        /// Whether the call is about targets that the platform may reclaim.
         reclaimable: bool,
         /// The service.
         service: &'a str,
     },
-    /// The requests of each workspace that began to run in a window.
+    /// Reports how many requests of each workspace began to run in a window.
     Usage {
-        /// The requests by workspace.
+        /// The number of requests by workspace.
         counts: &'a BTreeMap<String, u64>,
         /// The window's number.
         window: u64,
     },
 }
 
-/// A duty's call as it goes over the wire, by POST.
+/// A duty's call in its wire format, sent by POST.
 #[derive(Clone, Debug)]
 pub struct DutyRequest {
     /// The body.
     pub body: Bytes,
-    /// The headers that name the holder.
+    /// The headers that name the holder and its fencing number.
     pub headers: HeaderMap,
     /// The path.
     pub path: &'static str,
 }
 
-/// The names, formats and calls of a platform.
+/// The names, formats and calls of a platform, chosen at compile time.
 pub trait Platform: Copy + Debug + 'static {
     /// Prefix of the keys that the operators write.
     const OPERATOR_PREFIX: &'static str;
@@ -191,85 +191,85 @@
     /// Reads the settings of this process.
     ///
     /// # Errors
-    /// Names the field and the value that is wrong.
+    /// If a setting is missing or wrong; the error names the field and its value.
     fn settings() -> Result<Settings, SettingsError>;
 
-    /// Writes a call of the store.
+    /// Encodes a call of the store.
     fn store_request(call: &StoreCall) -> StoreRequest;
 
-    /// Reads the store's answer.
+    /// Decodes the store's answer.
     ///
     /// # Errors
-    /// When the store refused, or the answer cannot be read.
+    /// If the store refused the call, or the answer cannot be decoded.
     fn store_answer(
         call: &StoreCall,
         status: u16,
         body: &[u8],
     ) -> Result<StoreAnswer, StoreRefusal>;
 
-    /// Reads what the operator wrote under a key; none for keys that matter to others.
+    /// Decodes the value that was written under a key; none for keys that mean nothing here.
     ///
     /// # Errors
-    /// When the value is not in its format.
+    /// If the value is not in its format.
     fn operator_update(key: &str, value: &[u8]) -> Result<Option<OperatorUpdate>, DecodeError>;
 
-    /// Reads a target's id from its key.
+    /// Returns a target's id from its key.
     fn target_id(key: &str) -> &str;
 
-    /// Reads a target's entry.
+    /// Decodes a target's registry entry.
     ///
     /// # Errors
-    /// When the value is not in its format: others than targets may have written it.
+    /// If the value is not in its format; others than targets may have written it.
     fn target_entry(key: &str, value: &[u8]) -> Result<TargetEntry, DecodeError>;
 
-    /// Writes that a store machine is empty.
+    /// Returns the key and value which report that an instance of the store is drained.
     fn drained(node: &str) -> (String, Vec<u8>);
 
-    /// Tells whether this is the platform's question for readiness.
+    /// Returns whether this is the platform's readiness probe.
     fn is_readiness_probe(head: &Parts) -> bool;
 
-    /// Tells whether this is a caller's question for addresses.
+    /// Returns whether this is a caller's lookup of addresses.
     fn is_address_lookup(head: &Parts) -> bool;
 
-    /// Writes the answer to a question for addresses.
+    /// Encodes the answer to a lookup of addresses.
     fn addresses(addresses: &[SocketAddr], ttl_ms: u64) -> Bytes;
 
-    /// Reads a call about a batch submission.
+    /// Decodes a call about a batch; none if the request is another call.
     fn batch_call(head: &Parts) -> Option<BatchCall>;
 
-    /// Reads what a caller says of its request.
+    /// Reads the options of a request from its headers.
     fn caller_options(headers: &HeaderMap) -> CallerOptions;
 
-    /// Reads a batch submission.
+    /// Decodes a batch submission.
     ///
     /// # Errors
-    /// When it is not in its format; the error names the field.
+    /// If it is not in its format; the error names the field.
     fn submission(body: &[u8]) -> Result<Submission, DecodeError>;
 
-    /// Writes a page of results.
+    /// Encodes a page of results.
     fn page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
 
-    /// Marks a request to a target.
+    /// Writes the metadata of a request to a target into its headers.
     fn set_request_metadata(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
 
-    /// Reads what a target says of its answer.
+    /// Reads the metadata of a target's response from its headers.
     fn response_metadata(headers: &HeaderMap) -> TargetResponseMetadata;
 
-    /// Reads the version that an event says it was produced by.
+    /// Returns the weight version that produced an event, if the event names it.
     fn event_version(event: &StreamEvent) -> Option<u64>;
 
-    /// Writes an order: path and body.
+    /// Encodes an order. Returns its path and body.
     fn order(call: &OrderCall<'_>) -> (&'static str, Bytes);
 
-    /// Writes a duty's call of the holder with a fencing number.
+    /// Encodes a call of a duty, by its holder with a fencing number.
     fn duty_request(call: &DutyCall<'_>, holder: &str, fence: u64) -> DutyRequest;
 
-    /// The path of an engine's report.
+    /// Returns the path of an engine's report.
     fn report_path() -> &'static str;
 
-    /// Reads an engine's report.
+    /// Decodes an engine's report.
     ///
     /// # Errors
-    /// When it is not in its format.
+    /// If it is not in its format.
     fn report(body: &[u8]) -> Result<EngineReport, DecodeError>;
 }
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a process.
+//! Starts and stops a process.
 
 use crate::batches;
 use crate::clock;
@@ -27,17 +27,17 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// Keys under which nodes register.
+/// Prefix of the keys under which nodes register.
 const NODES: &str = "cm/n/";
-/// Pause between two tries to register.
+/// Delay between two attempts to register.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Callers keep addresses for up to three times as long as they are told.
+/// Callers keep addresses for up to three times their TTL.
 const ADDRESS_TTL_FACTOR: u64 = 3;
-/// Left for the exit itself.
+/// Part of the grace time that is reserved for the exit itself.
 const EXIT_RESERVE_MS: u64 = 1_000;
-/// Time between two summary lines: few enough not to matter, close enough to date an incident.
+/// Interval of the summary lines: rare enough to cost little, close enough to date an incident.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
-/// How often a stop looks whether all is served.
+/// Interval at which a start waits for the configuration, and a stop for its last requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// the process could not start: {0}
@@ -58,22 +58,22 @@
     LocalSet::new().block_on(&runtime, work)
 }
 
-/// Runs an entry node until it is told to stop.
+/// Runs an entry node until it receives SIGTERM.
 ///
 /// # Errors
-/// When a setting is wrong or an address cannot be bound.
+/// If a setting is wrong or an address cannot be bound.
 pub fn run_front<P: Platform>(metrics_port: Option<u16>) -> Result<(), StartError> {
     let settings = P::settings().map_err(|error| StartError(error.to_string()))?;
     block_on(front::<P>(settings, metrics_port))
 }
 
-/// Runs a process on a machine that holds nothing for us, until it is told to stop.
+/// Runs a standby process, which serves nothing, until it receives SIGTERM.
 ///
-/// The platform wants a process on each of its store machines. All that lasts is in the
-/// platform's store, so this one only says that it is there.
+/// The platform requires a process on each instance of its store. All durable data is in that
+/// store, so this process only logs that it runs.
 ///
 /// # Errors
-/// When a setting is wrong.
+/// If a setting is wrong.
 pub fn run_standby<P: Platform>() -> Result<(), StartError> {
     let settings = P::settings().map_err(|error| StartError(error.to_string()))?;
     block_on(async move {
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-/// Registers, joins the others and takes up all duties.
+/// Registers, joins the fleet, waits for a configuration and starts all background tasks.
 async fn join_and_serve<P: Platform>(node: Rc<Node<P>>) {
     let settings = node.settings();
     let (incarnation, seeds) = register(&node, &settings).await;
@@ -169,8 +169,9 @@
     spawn_local(duties::serve(Rc::clone(&node)));
 }
 
-/// Writes where this node is reached; the store's revision of that write is its incarnation, so
-/// that a restart has a higher one whatever the machine's clock says.
+/// Registers this node's address, and retries until that succeeds. The store's revision of that
+/// write is the incarnation, so a restart has a higher one whatever the instance's clock shows.
+/// Returns the incarnation and the addresses of the other nodes.
 async fn register<P: Platform>(
     node: &Rc<Node<P>>,
     settings: &Settings,
@@ -202,8 +203,8 @@
     }
 }
 
-/// Reads where nodes are registered. Rumours tell the rest, so a list that is seconds old will do; it
-/// may lack all others where the whole fleet starts for the first time.
+/// Reads the registered nodes. Gossip adds the missing ones, so a stale read is sufficient, unless
+/// it lists no other node, as when the whole fleet starts for the first time.
 async fn registered_nodes<P: Platform>(node: &Node<P>) -> Result<Vec<StoredItem>, StoreRefusal> {
     let own_key = format!("{NODES}{}", node.settings().node);
     let items = feed::read_stale(node, NODES).await?;
@@ -228,7 +229,7 @@
     }
 }
 
-/// Writes a line of what was done so far, from time to time.
+/// Logs a summary of the counters at a fixed interval.
 async fn summarize<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(SUMMARY_INTERVAL).await;
@@ -243,8 +244,8 @@
     }
 }
 
-/// Leaves: out of the directory at once, serving until the last address handed out has expired
-/// and every request in progress is answered, as far as the grace time allows.
+/// Shuts down gracefully. The node leaves the directory at once, and serves until the last address
+/// given out has expired and all requests are answered, as far as the grace time allows.
 async fn leave<P: Platform>(node: &Rc<Node<P>>) {
     let began_at = clock::now();
     node.leaving.set(true);
@@ -259,14 +260,14 @@
             break;
         }
     }
-    // A request that comes between the decision to end and the end would be cut: from here on
-    // none is taken, and those taken are answered.
+    // A request that arrived between the decision to stop and the exit would be cut. From here on
+    // no request is accepted, and the accepted ones are answered.
     node.closing.send_replace(true);
     sleep(POLL_INTERVAL).await;
     while clock::now() < grace_until && node.in_flight.get() > 0 {
         sleep(POLL_INTERVAL).await;
     }
     node.note("stopped", json!({ "in_flight": node.in_flight.get() }));
-    // The trail's writer gets a turn.
+    // Leaves the writer of the audit trail time to write the last lines.
     sleep(Duration::from_millis(300)).await;
 }
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -1,4 +1,5 @@
-//! Orders the numbers of targets, by the node that holds the duties towards the provider.
+//! Orders the number of targets of each service from the platform, on the node that holds the duty
+//! towards it.
 
 use crate::clock;
 use crate::duties::send_duty_call;
@@ -17,21 +18,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Keys of what each service is to have, by service. Without it a new holder would take what is left
-/// after a loss for what the service began with.
+/// Prefix of the keys with the desired counts, by service. Without them a new holder would take the
+/// targets left after a loss for the number that the service started with.
 const WANTED: &str = "cm/w/";
-/// How often what is due is done.
+/// Interval at which due work is done.
 const TICK: Duration = Duration::from_millis(250);
 
-/// One service's targets, as the holder of the duty sees them.
+/// The scaling state of one service, at the holder of the duty.
 #[derive(Debug)]
 struct Service {
     scaling: Scaling,
-    /// Whether what it is to have is in the store.
+    /// Whether the desired counts are in the store.
     written: bool,
 }
 
-/// Orders targets while this node holds the duty, until the process ends.
+/// Orders targets whenever this node holds the duty, until the process ends.
 pub(crate) async fn order<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
     let mut services: IndexMap<String, Service> = IndexMap::new();
     loop {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Returns the services whose targets are ordered.
+/// Returns the services whose targets are ordered, with their scaling settings.
 fn scaled<P: Platform>(node: &Node<P>) -> Vec<(String, ScalingConfig)> {
     let Some(document) = node.document() else { return Vec::new() };
     let scaled = document.services.iter().filter_map(|(name, terms)| {
@@ -64,8 +65,8 @@
     scaled.collect()
 }
 
-/// Opens a service with what it is to have, as an earlier holder found it; none while the store does not
-/// tell.
+/// Opens a service with the desired counts that an earlier holder stored; none while the store does
+/// not answer.
 async fn open<P: Platform>(node: &Rc<Node<P>>, service: &str) -> Option<Service> {
     let call = StoreCall::Get { key: wanted_key(service), may_be_old: false };
     let Ok(StoreAnswer::Item(found)) = node.store(&call).await else { return None };
@@ -81,7 +82,7 @@
     format!("{WANTED}{service}")
 }
 
-/// Returns how many targets of each pool serve.
+/// Returns the number of usable targets in each pool of a service.
 fn serving<P: Platform>(node: &Node<P>, service: &str) -> DesiredCounts {
     let mut serving = DesiredCounts::new();
     for entry in node.targets.borrow().usable(service) {
@@ -157,7 +158,7 @@
     );
 }
 
-/// Keeps what a service is to have for later holders; returns whether it is kept.
+/// Stores the desired counts of a service for later holders. Returns whether they were stored.
 async fn write<P: Platform>(
     node: &Rc<Node<P>>,
     lease: &DutyLease,
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -1,57 +1,57 @@
-//! Settings of a process, checked at start.
+//! The settings of a process, validated at start.
 
 use catkinmast_dispatch::ChangeBound;
 use displaydoc::Display;
 use std::net::SocketAddr;
 
-/// Settings of a process.
+/// The settings of a process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Processor time that this process has, in thousandths of a core.
+    /// CPU capacity of this process, in thousandths of a core.
     pub capacity_millicores: u32,
-    /// Where callers reach this process; none on a process without traffic.
+    /// The address for callers; none on a process without traffic.
     pub callers: Option<SocketAddr>,
-    /// How soon a change of configuration or targets must be in force.
+    /// The time within which a change of configuration or targets must be in force.
     pub change_bound: ChangeBound,
-    /// The data centre that this process stands in.
+    /// The data centre of this process.
     pub data_centre: String,
-    /// Where callers ask for addresses.
+    /// The address at which callers look up addresses; none if this process has no directory.
     pub directory: Option<SocketAddr>,
-    /// The longest time for which an answer with addresses counts.
+    /// The longest TTL of the addresses in an answer of the directory.
     pub directory_ttl_max_ms: u64,
-    /// The duties that one node at a time has towards the platform; none where there are none.
+    /// The duty towards the platform; none if there is none.
     pub duties: Option<DutySettings>,
     /// How long a planned stop may take.
     pub grace_ms: u64,
-    /// The age of the configuration from which no key is served, in milliseconds; none where keys that
-    /// are known are served however old it is.
+    /// The age of the configuration from which requests with keys are refused, in milliseconds;
+    /// none if known keys are accepted at any age.
     pub keys_refused_from_age_ms: Option<u64>,
     /// The shortest lease that the store grants.
     pub lease_min_ms: u64,
-    /// Name of this node; its instance's.
+    /// The name of this node, which is its instance's.
     pub node: String,
-    /// How long after another holder's last order to a target ours may come.
+    /// How long after a previous holder's last order to a target a new holder's may come.
     pub order_lease_ms: u64,
-    /// Where the other nodes reach this one, by UDP and TCP.
+    /// The address for the other nodes, by UDP and TCP.
     pub peer: SocketAddr,
-    /// Where the platform asks whether this node is ready.
+    /// The address for the platform's readiness probes; none if it sends none.
     pub ready: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The largest value that the store takes.
+    /// The largest value that the store accepts, in bytes.
     pub value_max_bytes: usize,
 }
 
-/// The duties that one node at a time has towards the platform.
+/// The settings of the duty towards the platform, which one node at a time does for all.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DutySettings {
-    /// Where its calls go.
+    /// The address that its calls go to.
     pub address: SocketAddr,
-    /// Whether the numbers of targets are ordered.
+    /// Whether numbers of targets are ordered.
     pub orders_targets: bool,
-    /// Whether the use of each workspace is reported.
+    /// Whether the usage of each workspace is reported.
     pub reports_usage: bool,
-    /// How long after its end a window's usage is due.
+    /// How long after a window's end its usage report is due.
     pub usage_due_ms: u64,
     /// The length of a window of usage.
     pub window_ms: u64,
@@ -64,7 +64,7 @@
     pub field: String,
     /// What is wrong with it.
     pub problem: String,
-    /// What stands there.
+    /// The value that was found.
     pub value: String,
 }
 
--- a/crates/serve/src/store.rs
+++ b/crates/serve/src/store.rs
@@ -1,8 +1,8 @@
-//! The platform's store: typed calls, directly or by way of a peer.
+//! Typed calls of the platform's store, and their answers.
 //!
-//! The store may turn this machine away while it serves the others. Then a peer makes the call:
-//! one hop, never further. A call that may have been done is reported so; whoever makes it must
-//! be able to tell afterwards whether it was.
+//! The store may refuse this instance while it serves the others. Then a peer makes the call on its
+//! behalf; a peer never forwards it further. A call that may have been carried out is reported as
+//! such, and the caller must be able to find out whether it was.
 
 use catkinmast_model::Verdict;
 use displaydoc::Display;
@@ -12,12 +12,12 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseId(pub u64);
 
-/// What a transaction expects of a key.
+/// A condition of a transaction on a key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Expectation {
     /// The key.
     pub key: String,
-    /// The revision of its last change; 0: it does not exist.
+    /// The revision of its last change; 0 if it must not exist.
     pub revision: u64,
 }
 
@@ -26,13 +26,13 @@
 pub struct Put {
     /// The key.
     pub key: String,
-    /// The lease on which it hangs.
+    /// The lease that the key is bound to; none if it does not expire.
     pub lease: Option<LeaseId>,
     /// The value.
     pub value: Vec<u8>,
 }
 
-/// One call of the store.
+/// A call of the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoreCall {
     /// Reads one key.
@@ -49,7 +49,7 @@
     },
     /// Opens a lease.
     LeaseOpen {
-        /// How long it lasts without renewal.
+        /// How long the lease lasts without renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Renews a lease.
@@ -57,37 +57,37 @@
         /// The lease.
         lease: LeaseId,
     },
-    /// Reads the keys under a prefix, a page at a time.
+    /// Reads one page of the keys under a prefix.
     Range {
-        /// The key after which the page begins; empty for the first.
+        /// The key after which the page begins; empty for the first page.
         after: String,
         /// Whether an answer that is seconds old will do; it costs a tenth.
         may_be_old: bool,
         /// The prefix.
         prefix: String,
     },
-    /// Changes keys, all or none.
+    /// Changes keys atomically, if all expectations hold.
     Transaction {
         /// Keys to delete.
         deletes: Vec<String>,
-        /// What must hold.
+        /// The conditions that must hold.
         expected: Vec<Expectation>,
         /// Keys to write.
         puts: Vec<Put>,
     },
     /// Waits for changes under a prefix.
     Watch {
-        /// The revision after which changes are wanted.
+        /// The revision after which changes are reported.
         after: u64,
         /// The prefix.
         prefix: String,
-        /// How long to wait.
+        /// How long to wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
 impl StoreCall {
-    /// A short name for counters.
+    /// Returns the kind of the call, as a label in metrics and the audit trail.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
             Self::Get { may_be_old: true, .. } => "get_old",
@@ -102,14 +102,14 @@
     }
 }
 
-/// A key as it stands.
+/// A key in the store, with its value.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredItem {
     /// The key.
     pub key: String,
-    /// The lease with which it lapses.
+    /// The lease that the key is bound to.
     pub lease: Option<LeaseId>,
-    /// The revision of its last change; 0 where it does not exist.
+    /// The revision of its last change; 0 if the key does not exist.
     pub revision: u64,
     /// The value.
     pub value: Vec<u8>,
@@ -118,69 +118,69 @@
 /// A change of a key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoreEvent {
-    /// It was removed.
+    /// The key was removed.
     Deleted {
         /// The key.
         key: String,
         /// The revision of the removal.
         revision: u64,
     },
-    /// It was written.
+    /// The key was written.
     Written(StoredItem),
 }
 
-/// What the store answered.
+/// An answer of the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoreAnswer {
-    /// A transaction was done.
+    /// A transaction was committed.
     Committed {
         /// Its revision.
         revision: u64,
     },
-    /// A transaction's expectations do not hold.
+    /// An expectation of a transaction does not hold.
     Conflict {
-        /// The expected keys as they stand.
+        /// The current state of the expected keys.
         items: Vec<StoredItem>,
     },
-    /// Changes.
+    /// The changes of a watch.
     Events {
-        /// The revision up to which they are complete.
+        /// The revision up to which the changes are complete.
         as_of: u64,
         /// The changes, in order.
         events: Vec<StoreEvent>,
     },
-    /// The history after the wanted revision is no longer there.
+    /// The store no longer has the history after the requested revision.
     HistoryLost,
-    /// One key, or none.
+    /// One key, or none if it does not exist.
     Item(Option<StoredItem>),
     /// A page of keys.
     Items {
-        /// The store's revision.
+        /// The store's revision at the time of the read.
         as_of: u64,
         /// The keys.
         items: Vec<StoredItem>,
-        /// Whether there are more.
+        /// Whether more keys follow.
         truncated: bool,
     },
     /// A lease was opened or renewed.
     Lease {
         /// The lease; none in the answer to a renewal.
         lease: Option<LeaseId>,
-        /// How long it lasts.
+        /// How long the lease lasts, in milliseconds.
         ttl_ms: u64,
     },
     /// A lease was ended.
     LeaseEnded,
-    /// The lease is not there.
+    /// The lease does not exist.
     NoLease,
 }
 
 /// the store refused ({verdict}): {message}
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub struct StoreRefusal {
-    /// What was seen.
+    /// What failed.
     pub message: String,
-    /// Whether the call may have been done.
+    /// Whether the call may have been carried out.
     pub verdict: Verdict,
 }
 
--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -1,8 +1,8 @@
-//! The audit trail: one JSON object a line, on standard output.
+//! Writes the audit trail to standard output, one JSON object per line.
 //!
-//! A line is written for each decision that touches a request or changes what the process
-//! believes. Lines pass through a bounded queue to a thread that writes them, so that a reader
-//! that does not read never blocks a request; what does not fit is dropped and counted.
+//! A line is written for each decision that affects a request or changes the state of the process.
+//! Lines go through a bounded queue to a writer thread, so that a reader that does not read never
+//! blocks a request. Lines that do not fit in the queue are dropped and counted.
 
 use catkinmast_model::UnixMs;
 use serde_json::{Map, Value, json};
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Lines that may wait for the writer: at the 200 bytes of a usual line, 200 KB.
+/// Lines in the queue at most; 200 KB at the usual 200 bytes per line.
 const QUEUE_MAX_LINES: usize = 1_000;
-/// Lines of one kind a second; more are counted and left out. It is four times what a node writes
-/// of its busiest kind on the heaviest day measured.
+/// Lines of one event per second at most; further ones are suppressed and counted. It is four times
+/// the rate of the busiest event on the heaviest measured day.
 const KIND_MAX_LINES_PER_S: u32 = 100;
-/// What a pipe takes whole (`PIPE_BUF` of Linux).
+/// Bytes that a pipe takes in one atomic write (`PIPE_BUF` of Linux).
 const WRITE_MAX_BYTES: usize = 4_096;
-/// The writer waits this long for more lines, so that it wakes up a few times a second at most.
+/// The writer waits this long for more lines, so that it wakes up at most four times a second.
 const WRITE_EVERY: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
@@ -43,7 +43,7 @@
     written: u32,
 }
 
-/// Writes the audit trail.
+/// The audit trail of a process.
 #[derive(Debug)]
 pub(crate) struct Trail {
     kinds: RefCell<Vec<Kind>>,
@@ -51,7 +51,7 @@
 }
 
 impl Trail {
-    /// Starts the writer and returns the trail.
+    /// Starts the writer thread and returns the trail.
     pub(crate) fn open(node: &str) -> Self {
         let shared = Arc::new(Shared::default());
         let sink = Arc::clone(&shared);
@@ -60,7 +60,7 @@
             .level(log::LevelFilter::Warn)
             .level_for(module_path!(), log::LevelFilter::Info)
             .chain(output);
-        // A second start in one process keeps the first writer; both write the same lines.
+        // If the process opens a second trail, the first writer serves both.
         if dispatch.apply().is_ok() {
             std::thread::spawn(move || shared.write_all());
         }
@@ -84,7 +84,8 @@
         log::info!("{}", Value::Object(line));
     }
 
-    /// Counts a line of a kind against its rate; returns how many were left out before it.
+    /// Counts a line against the rate of its event. Returns the number of lines suppressed before
+    /// it, or none if this line is suppressed too.
     fn admit(&self, now: UnixMs, name: &'static str) -> Option<u32> {
         let mut kinds = self.kinds.borrow_mut();
         let second = now.0 / 1_000;
@@ -138,7 +139,7 @@
     }
 }
 
-/// Writes lines to standard output; returns false when nobody can read them any more.
+/// Writes lines to standard output. Returns false if a write fails, since the reader is gone.
 fn write_lines(lines: &VecDeque<String>, dropped: u64) -> bool {
     let mut output = std::io::stdout().lock();
     let note =
@@ -148,11 +149,11 @@
         && output.flush().is_ok()
 }
 
-/// Joins lines into texts that are written at once each.
+/// Joins lines into texts, each of which a pipe takes in one atomic write.
 ///
-/// A reader takes what is in a pipe as it comes. Where a quarter of a second's lines went out as one
-/// write, lines were cut in the middle and joined to what followed (22 of 2,915 on a busy day): what a
-/// pipe takes whole is at most 4,096 bytes.
+/// A pipe splits writes of more than 4,096 bytes. When the lines of a quarter of a second went out
+/// in one write, readers got lines that were cut in the middle and joined to later ones (22 of
+/// 2,915 on a busy day). A longer line is a text of its own.
 pub fn atomic_writes<'a>(lines: impl Iterator<Item = &'a str>) -> Vec<String> {
     let mut texts: Vec<String> = Vec::new();
     for line in lines {
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -1,7 +1,7 @@
-//! Counts the requests of workspaces, and tells what was counted to the nodes that may report it.
+//! Counts the requests of workspaces, and shares the counts with the nodes that may report them.
 //!
-//! A node that dies takes with it only what it has not told yet, so counts are told as they change, and
-//! to several nodes: the holder of the duty and those that would follow it.
+//! If a node dies, the counts that it has not shared yet are lost. So counts are shared as they
+//! change, with several nodes: the holder of the duty and its possible successors.
 
 use crate::clock;
 use crate::duties::DUTY;
@@ -22,43 +22,44 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How often a node looks whether there is something to tell.
+/// Interval at which a node shares new counts, in a small fleet.
 const SHARE_INTERVAL: Duration = Duration::from_millis(250);
-/// Nodes from which each further one lengthens that pause, so that those that are told hear some 250
-/// calls a second in a fleet of any size.
+/// Fleet size per multiple of [`SHARE_INTERVAL`], so that each receiver gets at most some 250 calls
+/// a second in a fleet of any size.
 const SHARE_NODES_PER_INTERVAL: usize = 64;
-/// How long a node that is told may take to answer.
+/// How long a receiver may take to answer.
 const SHARE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The nodes that are told beside the holder: the first in rank, one of which follows it.
+/// Receivers beside the holder: the first nodes in rank, one of which succeeds it.
 const CANDIDATES: usize = 3;
 
-/// What this node knows of the use of workspaces.
+/// The usage of workspaces, as far as this node knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
     counts: RefCell<Option<UsageCounts>>,
-    /// What nodes have told this one, itself among them.
+    /// The counts that nodes have shared with this one, its own included.
     pub ledger: RefCell<Ledger>,
     time: RefCell<FleetClock>,
 }
 
 impl Usage {
-    /// Takes it that a node's clock shows this time of day.
+    /// Records that the wall clock of a node shows `wall` now.
     pub(crate) fn record_clock(&self, node: SocketAddr, wall: UnixMs) {
         self.time.borrow_mut().record_reading(node, wall, clock::now());
     }
 
-    /// Returns the time of day as most clocks have it.
+    /// Returns the wall-clock time on which most nodes agree.
     pub(crate) fn now(&self) -> UnixMs {
         self.time.borrow().at(clock::now()).unwrap_or_else(UnixMs::from_wall_clock)
     }
 
-    /// Returns how many clocks that rests on.
+    /// Returns the number of clocks behind [`Usage::now`].
     pub(crate) fn witnesses(&self) -> usize {
         self.time.borrow().clock_count()
     }
 }
 
-/// A request of a workspace at a target. Dropped, it counts as begun: nobody can tell otherwise.
+/// A request of a workspace that was sent to a target. When dropped without an outcome, it counts
+/// as begun, since it may have run.
 #[derive(Debug)]
 pub(crate) struct CountedRequest<P: Platform> {
     node: Rc<Node<P>>,
@@ -66,7 +67,7 @@
 }
 
 impl<P: Platform> CountedRequest<P> {
-    /// Takes it that a request is handed to a target; none where its use is not reported.
+    /// Counts a request that is sent to a target; none if its usage is not reported.
     pub(crate) fn sent(node: &Rc<Node<P>>, workspace: Option<&str>) -> Option<Self> {
         let windows = windows(node)?;
         let at = node.usage.now();
@@ -76,13 +77,13 @@
         Some(Self { node: Rc::clone(node), ticket })
     }
 
-    /// Takes it that its target began it now, and not when it was sent.
+    /// Records that the target began the request now, not when it was sent.
     pub(crate) fn began_now(mut self) {
         let at = Some(self.node.usage.now());
         self.settle(|counts, ticket| counts.request_started(ticket, at));
     }
 
-    /// Takes it that no target began it.
+    /// Records that no target began the request.
     pub(crate) fn not_run(mut self) {
         self.settle(UsageCounts::request_not_run);
     }
@@ -101,13 +102,13 @@
     }
 }
 
-/// Returns the windows of usage; none where none is reported.
+/// Returns the windows of usage; none if usage is not reported.
 pub(crate) fn windows<P: Platform>(node: &Node<P>) -> Option<Windows> {
     let duties = node.settings().duties?;
     duties.reports_usage.then(|| Windows::of_ms(duties.window_ms))
 }
 
-/// Takes what another node has counted.
+/// Records counts that a node has shared, another or this one.
 pub(crate) fn record_counts<P: Platform>(
     node: &Node<P>,
     source: &UsageSource,
@@ -119,12 +120,12 @@
     }
 }
 
-/// What a node has confirmed that it was told.
+/// The counts that a receiver has confirmed.
 #[derive(Debug, Default)]
 struct Confirmed(BTreeMap<Window, WindowCounts>);
 
 impl Confirmed {
-    /// Returns what it was not told yet.
+    /// Returns the counts that the receiver has not confirmed yet.
     fn updates(&self, window_counts: &[WindowCounts]) -> Vec<WindowCounts> {
         let updates = window_counts.iter().filter_map(|table| {
             let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
@@ -143,7 +144,7 @@
     }
 }
 
-/// Tells what this node counts until the process ends.
+/// Shares this node's counts with the candidates for the duty, until the process ends.
 pub(crate) async fn share_counts<P: Platform>(node: Rc<Node<P>>) {
     let Some(me) = peers::me(&node) else { return };
     let source = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
@@ -179,7 +180,7 @@
     }
 }
 
-/// Tells one node; returns it if it has confirmed that.
+/// Sends counts to one node. Returns the node if it has confirmed them.
 async fn share_with<P: Platform>(
     node: &Node<P>,
     to: Owner,
