--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -346,24 +346,24 @@
 /// Reports the store instances to be drained as drained at once: nothing durable is kept on them.
 fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let asked = node.draining.borrow().clone();
-    for (machine, revision) in asked {
-        let reported = holder.drained.borrow_mut().insert(machine.clone(), revision);
+    for (instance, revision) in asked {
+        let reported = holder.drained.borrow_mut().insert(instance.clone(), revision);
         if reported == Some(revision) {
             continue;
         }
         let (node, holder) = (Rc::clone(node), Rc::clone(holder));
         tokio::task::spawn_local(async move {
-            let (key, value) = P::drained(&machine);
+            let (key, value) = P::drained(&instance);
             let puts = vec![Put { key, lease: None, value }];
             let call = StoreCall::Transaction { deletes: Vec::new(), expected: Vec::new(), puts };
             match node.store(&call).await {
                 Ok(_) => {
-                    node.note("vacate_done", json!({ "machine": machine, "revision": revision }));
+                    node.note("vacate_done", json!({ "machine": instance, "revision": revision }));
                 }
                 Err(refusal) => {
-                    let why = json!({ "machine": machine, "why": refusal.message });
+                    let why = json!({ "machine": instance, "why": refusal.message });
                     node.note("vacate_unreported", why);
-                    holder.drained.borrow_mut().swap_remove(&machine);
+                    holder.drained.borrow_mut().swap_remove(&instance);
                 }
             }
         });
