--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,23 +1,23 @@
-//! What makes two requests the same one.
+//! Identification of requests by their content.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a fingerprint: two requests of a fleet's life do not meet by chance, nor can a caller make
-/// one that meets another's.
+/// Length of a fingerprint: long enough that no two requests collide by chance, and that no caller can
+/// construct a request which collides with another's.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// The digest of what a request asks of a target, whatever its id, its deadline and the node that it
-/// came to.
+/// A digest of a request's content. It does not depend on the request's id, its deadline or the node
+/// that received it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// Takes the digest of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(method: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
-            // With its length before it, no part can end in what another begins with.
+            // The length prefix keeps bytes from shifting between adjacent parts unnoticed.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/quarantine/src/incarnation.rs
+++ b/crates/quarantine/src/incarnation.rs
@@ -1,14 +1,14 @@
-//! One life of a target.
+//! Identification of one run of a target's process.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One life of a target: a restart under the same id is another one.
+/// One run of a target's process; a restart under the same id is another incarnation.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TargetIncarnation {
     /// The target's id.
     pub id: String,
-    /// When it began, by the target's clock; none where targets do not tell.
+    /// Start time by the target's clock, or `None` if the target does not report it.
     pub started_at_unix_ms: Option<u64>,
 }
 
--- a/crates/quarantine/src/interrupted.rs
+++ b/crates/quarantine/src/interrupted.rs
@@ -1,35 +1,35 @@
-//! Requests whose connection broke, while it is not known yet whether their target ended.
+//! Requests whose connection broke, until it is known whether their target ended.
 
 use crate::{Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
 
-/// How long the fate of a target is waited for: the registry drops a dead target's entry after three
-/// heartbeats, about four seconds.
-const FATE_MAX_MS: u64 = 6_000;
-/// Requests that wait for news of their targets: all that a small node has in flight at once. More are
-/// not taken up; a request that ends targets breaks off again.
+/// How long a request waits for its target's outcome: the registry drops a dead target's entry after
+/// three missed heartbeats, about four seconds.
+const OUTCOME_WAIT_MS: u64 = 6_000;
+/// Limit on waiting requests: all that a small node has in flight at once. Requests beyond it are
+/// ignored, since a request that crashes targets is interrupted again.
 const WAITING_MAX: usize = 512;
 
 #[derive(Clone, Debug)]
-struct Broken {
+struct Interrupted {
     fingerprint: Fingerprint,
-    life: TargetIncarnation,
+    incarnation: TargetIncarnation,
     until: UnixMs,
 }
 
-/// What became of a target, as far as a news tells.
+/// What an update says about incarnations of a target that have ended.
 #[derive(Clone, Copy, Debug)]
 pub enum TargetOutcome<'a> {
-    /// This life of it is over.
+    /// This incarnation has ended.
     Ended(&'a TargetIncarnation),
-    /// All its lives but the one that began then are over.
+    /// All its incarnations except the current one have ended.
     Restarted {
         /// The target's id.
         id: &'a str,
-        /// When the life began that goes on.
+        /// Start time of the current incarnation.
         started_at_unix_ms: Option<u64>,
     },
-    /// It is gone: all its lives are over.
+    /// The target has been removed: all its incarnations have ended.
     Gone {
         /// The target's id.
         id: &'a str,
@@ -37,58 +37,61 @@
 }
 
 impl TargetOutcome<'_> {
-    fn is_end_of(self, life: &TargetIncarnation) -> bool {
+    fn ends(self, incarnation: &TargetIncarnation) -> bool {
         match self {
-            Self::Ended(ended) => ended == life,
+            Self::Ended(ended) => ended == incarnation,
             Self::Restarted { id, started_at_unix_ms } => {
-                life.id == id && life.started_at_unix_ms != started_at_unix_ms
+                incarnation.id == id && incarnation.started_at_unix_ms != started_at_unix_ms
             }
-            Self::Gone { id } => life.id == id,
+            Self::Gone { id } => incarnation.id == id,
         }
     }
 }
 
-/// Requests that broke off at targets of which nothing was heard since.
+/// Requests that were interrupted at targets whose outcome is not known yet.
 #[derive(Clone, Debug, Default)]
-pub struct InterruptedRequests(Vec<Broken>);
+pub struct InterruptedRequests(Vec<Interrupted>);
 
 impl InterruptedRequests {
-    /// Takes a request whose connection broke; returns whether it is the first one at this life of
-    /// its target, so that somebody should ask whether the target lives.
+    /// Records a request whose connection broke. Returns whether it is the first one at this incarnation
+    /// of its target, in which case the caller should check whether the target is still up.
     pub fn record(
         &mut self,
         now: UnixMs,
         fingerprint: Fingerprint,
-        life: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
     ) -> bool {
-        self.0.retain(|broken| broken.until > now);
-        let is_first = self.0.iter().all(|broken| broken.life != *life);
+        self.0.retain(|request| request.until > now);
+        let is_first = self.0.iter().all(|request| request.incarnation != *incarnation);
         if self.0.len() < WAITING_MAX {
-            let until = now.plus(FATE_MAX_MS);
-            self.0.push(Broken { fingerprint, life: life.clone(), until });
+            let until = now.plus(OUTCOME_WAIT_MS);
+            self.0.push(Interrupted { fingerprint, incarnation: incarnation.clone(), until });
         }
         is_first
     }
 
-    /// Takes news of a target; returns the requests that were under way at lives that are over, and
-    /// those lives.
+    /// Applies an update about a target. Removes the requests that were in flight at incarnations which
+    /// have ended, and returns them with those incarnations. Requests that have waited too long are
+    /// not returned: their connection broke for another reason.
     pub fn resolve(
         &mut self,
         now: UnixMs,
-        fate: TargetOutcome<'_>,
+        outcome: TargetOutcome<'_>,
     ) -> Vec<(Fingerprint, TargetIncarnation)> {
-        let is_over = |broken: &Broken| broken.until > now && fate.is_end_of(&broken.life);
-        let ended: Vec<Broken> = self.0.iter().filter(|broken| is_over(broken)).cloned().collect();
-        self.0.retain(|broken| !fate.is_end_of(&broken.life));
-        ended.into_iter().map(|broken| (broken.fingerprint, broken.life)).collect()
+        let has_ended =
+            |request: &Interrupted| request.until > now && outcome.ends(&request.incarnation);
+        let ended: Vec<Interrupted> =
+            self.0.iter().filter(|request| has_ended(request)).cloned().collect();
+        self.0.retain(|request| !outcome.ends(&request.incarnation));
+        ended.into_iter().map(|request| (request.fingerprint, request.incarnation)).collect()
     }
 
-    /// Forgets a request that a target has survived meanwhile.
+    /// Forgets a request that a target has answered meanwhile.
     pub fn forget(&mut self, fingerprint: Fingerprint) {
-        self.0.retain(|broken| broken.fingerprint != fingerprint);
+        self.0.retain(|request| request.fingerprint != fingerprint);
     }
 
-    /// Tells whether no request waits for news of its target.
+    /// Returns whether no request waits for its target's outcome.
     pub const fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,13 +1,15 @@
-//! Requests that end the targets that run them.
+//! Quarantine of requests that crash the targets which run them.
 //!
-//! - [`Fingerprint`]: what a request asks, known again under another id and at another node.
-//! - [`TargetIncarnation`]: one start of a target, so that its end counts once.
-//! - [`InterruptedRequests`]: requests whose connection broke, until it is known whether their target ended.
-//! - [`Evidence`]: the targets that ended under a request, joined from what all nodes saw.
-//! - [`Quarantine`]: which requests are sent to no more targets.
+//! - [`Fingerprint`]: a digest of a request's content, the same under any request id and at any node.
+//! - [`TargetIncarnation`]: one run of a target's process, so that each crash counts once.
+//! - [`InterruptedRequests`]: requests whose connection broke, until it is known whether the target
+//!   ended.
+//! - [`Evidence`]: the target incarnations that ended while a request was in flight, merged from the
+//!   observations of all nodes.
+//! - [`Quarantine`]: decides which requests may be sent to a target.
 //!
-//! Nothing here owns a socket, a clock or a thread. Times are of wall clocks, because evidence is shared
-//! between nodes; they count in minutes, so that clocks which differ by seconds do no harm.
+//! This crate does no I/O and reads no clock. Times are wall-clock times because nodes share the
+//! evidence; all intervals are minutes, so clock differences of seconds do no harm.
 
 mod evidence;
 mod fingerprint;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,188 +1,203 @@
-//! Which requests are sent to no more targets.
+//! The decision which requests are blocked because they crash targets.
 //!
-//! *A request ends one target after the other.* It crashes what begins to run it; it is tried elsewhere,
-//! and its caller comes again. It would be noticed as all targets of a service down at once, again as
-//! soon as they are back. So a request under which [`BLOCK_THRESHOLD`] targets have ended is barred.
+//! Three failures are guarded against:
 //!
-//! *A sound request is barred with it.* Whatever else is under way at a target ends with it, is tried
-//! elsewhere at the same moment, and meets the same request there: of eleven requests that one end broke
-//! off, four had been broken off by the one before. So an end counts against a request only where no
-//! other one explains it better: one that was under way there too, and under which more targets have
-//! ended. Where two have the same record, one of each is tried, by one node of the fleet; the next end
-//! tells them apart. An answer of any target clears a request: what ended the others was something else.
-//!
-//! *A request stays barred that does no harm any more*, because the targets' software was mended, or
-//! because it never did any. So it is tried again after [`BARRED_MS`], once for the whole fleet, and
-//! after twice that time whenever the trial ends a target.
+//! - *One request crashes target after target.* It crashes each target that starts to run it, is
+//!   retried at another, and its caller sends it again. All targets of a service go down at once, and
+//!   again as soon as they are back. So a request is blocked once [`BLOCK_THRESHOLD`] target
+//!   incarnations have ended while it was in flight.
+//! - *A harmless request is blocked with it.* Every other request in flight at a target is interrupted
+//!   too, is retried elsewhere at the same moment, and meets the crashing request there again: of
+//!   eleven requests that one crash interrupted, four had been interrupted by the crash before. So an
+//!   end does not count against a request if it is better explained by another one that was in flight
+//!   at the same incarnation and under which more incarnations have ended. If two requests have equal
+//!   evidence, a single node tries each of them once, and the next end tells them apart. An answer from
+//!   any target clears a request: the earlier ends had another cause.
+//! - *A request stays blocked although it no longer does harm*, because the targets' software was fixed
+//!   or the request never was the cause. So it is tried again after [`TRIAL_DELAY_MS`], by one node for
+//!   the whole fleet, and the delay doubles each time a trial ends a target.
 
 use crate::{Evidence, Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use std::cmp::Ordering;
 
-/// Targets that must have ended under a request before it is barred. Two may end by chance while it is
-/// repeated; a request that ends each target that runs it reaches the third within a second.
+/// How many target incarnations must have ended under a request before it is blocked. Two may end by
+/// chance while the request is retried; a request that crashes every target reaches three within a
+/// second.
 pub const BLOCK_THRESHOLD: usize = 3;
-/// With so many, a request is barred although others explain some of the ends: two trials tell two
-/// requests apart unless they meet at the same targets each time.
-const CERTAIN_LIVES: usize = 5;
-/// How long a barred request waits for a trial: longer than a target takes to be back and to serve,
-/// shorter than the mend of its software.
-const BARRED_MS: u64 = 600_000;
-/// How long evidence that bars nothing is kept after the latest end. Callers come again within minutes.
-const KEPT_MS: u64 = 600_000;
-/// How long evidence is kept that bars its request; after a day without an end nobody sends it.
-const KEPT_BARRED_MS: u64 = 86_400_000;
-/// How long after this node asked for a trial it asks again, should nothing have come of it.
-const ASK_AGAIN_MS: u64 = 60_000;
-/// Requests of which evidence is kept: at 100 bytes each, 100 KB of a small node's memory.
-const KNOWN_MAX: usize = 1_000;
+/// With this many ends a request is blocked even if other requests explain some of them: two trials
+/// suffice to tell two requests apart, unless both meet at the same targets each time.
+const CERTAIN_THRESHOLD: usize = 5;
+/// How long a blocked request waits for its first trial: longer than a target takes to restart and
+/// serve, shorter than a fix of its software takes.
+const TRIAL_DELAY_MS: u64 = 600_000;
+/// How long evidence that does not block its request is kept after the latest end. Callers retry within
+/// minutes.
+const RETENTION_MS: u64 = 600_000;
+/// How long evidence that blocks its request is kept after the latest end. After a day without an end
+/// the request is no longer being sent.
+const BLOCKED_RETENTION_MS: u64 = 86_400_000;
+/// How long this node waits for the result of a trial it requested before it requests it again.
+const TRIAL_RETRY_MS: u64 = 60_000;
+/// Limit on requests with evidence: at 100 bytes each, 100 KB of a small node's memory.
+const REQUESTS_MAX: usize = 1_000;
 
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestStatus {
-    /// It may not, until a trial is due.
+    /// It may not be sent until a trial is due.
     Blocked {
-        /// When that is.
+        /// When the trial is due.
         until: UnixMs,
     },
-    /// It may.
+    /// It may be sent.
     Allowed,
-    /// One node may send it once.
+    /// One node of the fleet may send it once.
     Trial {
-        /// The trial's number, the same at every node: there is one of each.
+        /// Number of the trial, the same at every node; each number is used for one trial only.
         number: usize,
     },
 }
 
-/// What is known of requests that were under way as targets ended.
+/// Evidence against all requests that were in flight when targets ended.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    /// The trials that this node asked for, and when.
-    asked: IndexMap<Fingerprint, (usize, UnixMs)>,
-    known: IndexMap<Fingerprint, Evidence>,
+    /// The last trial of each request that this node asked for: its number, and when.
+    requested_trials: IndexMap<Fingerprint, (usize, UnixMs)>,
+    evidence: IndexMap<Fingerprint, Evidence>,
 }
 
 impl Quarantine {
-    /// Tells whether there is no evidence at all, so that no request need be looked up.
+    /// Returns whether there is no evidence at all, so that no request needs to be looked up.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.evidence.is_empty()
     }
 
     /// Returns the evidence against a request.
     pub fn evidence(&self, fingerprint: Fingerprint) -> Option<&Evidence> {
-        self.known.get(&fingerprint)
+        self.evidence.get(&fingerprint)
     }
 
-    /// Takes the end of a target under a request; returns whether it is news.
+    /// Records that a target incarnation ended while a request was in flight. Returns whether this was
+    /// unknown before.
     pub fn record_end(
         &mut self,
         at: UnixMs,
         fingerprint: Fingerprint,
-        life: TargetIncarnation,
+        incarnation: TargetIncarnation,
     ) -> bool {
-        self.known.entry(fingerprint).or_default().record_end(at, life)
+        self.evidence.entry(fingerprint).or_default().record_end(at, incarnation)
     }
 
-    /// Takes it that a target has survived a request; returns whether that changes anything.
+    /// Records that a target has answered a request. Returns whether this changed its evidence.
     pub fn record_answer(&mut self, fingerprint: Fingerprint) -> bool {
-        self.known.get_mut(&fingerprint).is_some_and(Evidence::refute)
+        self.evidence.get_mut(&fingerprint).is_some_and(Evidence::refute)
     }
 
-    /// Takes what another node knows, or the store; returns whether any of it is news.
+    /// Merges evidence from another node or from the store. Returns whether this changed anything.
     pub fn merge(&mut self, fingerprint: Fingerprint, evidence: &Evidence) -> bool {
-        self.known.entry(fingerprint).or_default().merge(evidence)
+        self.evidence.entry(fingerprint).or_default().merge(evidence)
     }
 
-    /// Tells whether a request may be sent to a target.
+    /// Returns whether a request may be sent to a target at `now`.
     pub fn status(&self, now: UnixMs, fingerprint: Fingerprint) -> RequestStatus {
-        let Some(evidence) = self.known.get(&fingerprint) else { return RequestStatus::Allowed };
-        let lives = evidence.unrefuted_count();
-        if lives < BLOCK_THRESHOLD {
+        let Some(evidence) = self.evidence.get(&fingerprint) else { return RequestStatus::Allowed };
+        let ends = evidence.unrefuted_count();
+        if ends < BLOCK_THRESHOLD {
             return RequestStatus::Allowed;
         }
-        let Blame { alone, explained } = self.blame(fingerprint, evidence);
-        let is_certain = alone >= BLOCK_THRESHOLD || lives >= CERTAIN_LIVES;
-        if !is_certain && lives - explained < BLOCK_THRESHOLD {
+        let Attribution { alone, explained } = self.attribute(fingerprint, evidence);
+        let is_certain = alone >= BLOCK_THRESHOLD || ends >= CERTAIN_THRESHOLD;
+        if !is_certain && ends - explained < BLOCK_THRESHOLD {
             return RequestStatus::Allowed;
         }
-        let doublings = lives.saturating_sub(BLOCK_THRESHOLD).min(7);
-        let trial_at = evidence.latest_at().plus(BARRED_MS << doublings);
+        let doublings = ends.saturating_sub(BLOCK_THRESHOLD).min(7);
+        let trial_at = evidence.latest_at().plus(TRIAL_DELAY_MS << doublings);
         if is_certain && now < trial_at {
             return RequestStatus::Blocked { until: trial_at };
         }
-        match self.asked.get(&fingerprint) {
-            Some((number, at)) if *number == lives && now < at.plus(ASK_AGAIN_MS) => {
-                RequestStatus::Blocked { until: at.plus(ASK_AGAIN_MS) }
+        match self.requested_trials.get(&fingerprint) {
+            Some((number, at)) if *number == ends && now < at.plus(TRIAL_RETRY_MS) => {
+                RequestStatus::Blocked { until: at.plus(TRIAL_RETRY_MS) }
             }
-            _ => RequestStatus::Trial { number: lives },
+            _ => RequestStatus::Trial { number: ends },
         }
     }
 
-    /// Notes that this node asks for a trial; it is asked for once.
+    /// Records that this node has asked for a trial, so that it does not ask for the same one again
+    /// within [`TRIAL_RETRY_MS`].
     pub fn record_trial_request(&mut self, now: UnixMs, fingerprint: Fingerprint, number: usize) {
-        self.asked.insert(fingerprint, (number, now));
+        self.requested_trials.insert(fingerprint, (number, now));
     }
 
-    /// Counts the requests that are sent to no target now.
+    /// Counts the requests that may not be sent freely at `now`: blocked ones and those due for a trial.
     pub fn count_blocked(&self, now: UnixMs) -> usize {
-        let is_clear = |of: &Fingerprint| self.status(now, *of) == RequestStatus::Allowed;
-        self.known.keys().filter(|fingerprint| !is_clear(fingerprint)).count()
+        let is_allowed = |of: &Fingerprint| self.status(now, *of) == RequestStatus::Allowed;
+        self.evidence.keys().filter(|fingerprint| !is_allowed(fingerprint)).count()
     }
 
-    /// Forgets what is too old to matter, and the oldest of what is too much; returns what it forgot.
+    /// Removes evidence past its retention time, and above [`REQUESTS_MAX`] the oldest evidence, that of
+    /// blocked requests last. Returns the requests whose evidence was removed.
     pub fn expire(&mut self, now: UnixMs) -> Vec<Fingerprint> {
-        let is_old = |evidence: &Evidence| {
-            let kept_ms =
-                if evidence.unrefuted_count() < BLOCK_THRESHOLD { KEPT_MS } else { KEPT_BARRED_MS };
-            evidence.latest_at().plus(kept_ms) <= now
+        let is_expired = |evidence: &Evidence| {
+            let retention_ms = if evidence.unrefuted_count() < BLOCK_THRESHOLD {
+                RETENTION_MS
+            } else {
+                BLOCKED_RETENTION_MS
+            };
+            evidence.latest_at().plus(retention_ms) <= now
         };
-        let mut over: Vec<Fingerprint> =
-            self.known.iter().filter(|(_, evidence)| is_old(evidence)).map(|(of, _)| *of).collect();
-        let left = self.known.len() - over.len();
-        if left > KNOWN_MAX {
-            let mut by_worth: Vec<(bool, UnixMs, Fingerprint)> = self
-                .known
+        let mut removed: Vec<Fingerprint> = self
+            .evidence
+            .iter()
+            .filter(|(_, evidence)| is_expired(evidence))
+            .map(|(of, _)| *of)
+            .collect();
+        let left = self.evidence.len() - removed.len();
+        if left > REQUESTS_MAX {
+            let mut by_priority: Vec<(bool, UnixMs, Fingerprint)> = self
+                .evidence
                 .iter()
-                .filter(|(_, evidence)| !is_old(evidence))
+                .filter(|(_, evidence)| !is_expired(evidence))
                 .map(|(of, held)| {
                     (held.unrefuted_count() >= BLOCK_THRESHOLD, held.latest_at(), *of)
                 })
                 .collect();
-            by_worth.sort_unstable();
-            over.extend(by_worth.iter().take(left - KNOWN_MAX).map(|(_, _, of)| *of));
+            by_priority.sort_unstable();
+            removed.extend(by_priority.iter().take(left - REQUESTS_MAX).map(|(_, _, of)| *of));
         }
-        for fingerprint in &over {
-            self.known.swap_remove(fingerprint);
-            self.asked.swap_remove(fingerprint);
+        for fingerprint in &removed {
+            self.evidence.swap_remove(fingerprint);
+            self.requested_trials.swap_remove(fingerprint);
         }
-        over
+        removed
     }
 
-    /// Sets the ends of a request's targets against those of the others that were under way there.
-    fn blame(&self, fingerprint: Fingerprint, evidence: &Evidence) -> Blame {
+    /// Compares a request with the others that were in flight at each incarnation that ended under it.
+    fn attribute(&self, fingerprint: Fingerprint, evidence: &Evidence) -> Attribution {
         let own = evidence.unrefuted_count();
-        let mut blame = Blame::default();
-        for life in evidence.unrefuted() {
-            let others = self.known.iter().filter(|(other, _)| **other != fingerprint);
+        let mut attribution = Attribution::default();
+        for incarnation in evidence.unrefuted() {
+            let others = self.evidence.iter().filter(|(other, _)| **other != fingerprint);
             let most = others
-                .filter(|(_, held)| held.is_unrefuted(life))
+                .filter(|(_, held)| held.is_unrefuted(incarnation))
                 .map(|(_, held)| held.unrefuted_count());
             match most.max().unwrap_or(0).cmp(&own) {
-                Ordering::Less => blame.alone += 1,
+                Ordering::Less => attribution.alone += 1,
                 Ordering::Equal => {}
-                Ordering::Greater => blame.explained += 1,
+                Ordering::Greater => attribution.explained += 1,
             }
         }
-        blame
+        attribution
     }
 }
 
-/// How many of the ends under a request others could have caused.
+/// How many of the ends under a request it explains best itself, and how many another one does.
 #[derive(Clone, Copy, Debug, Default)]
-struct Blame {
-    /// No other one that was under way there has as many ends.
+struct Attribution {
+    /// No other request in flight at the incarnation has as many ends.
     alone: usize,
-    /// Another one has more.
+    /// Another request in flight at the incarnation has more ends.
     explained: usize,
 }
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are sent to no more targets, without a network.
+//! Tests of the quarantine of crashing requests, without a network.
 
 use catkinmast_member::{CrashFact, Fact, FactTable, MergeOutcome};
 use catkinmast_model::UnixMs;
@@ -20,27 +20,27 @@
     Fingerprint::of("POST", "site.example", "/lookup/a", name.as_bytes())
 }
 
-fn life(number: u32) -> TargetIncarnation {
+fn incarnation(number: u32) -> TargetIncarnation {
     TargetIncarnation { started_at_unix_ms: None, id: format!("target-{number:03}") }
 }
 
-/// Opens a quarantine in which each of the requests was under way at each of its targets' ends.
+/// Returns a quarantine in which each request was in flight when each of its incarnations ended.
 fn quarantine(ends: &[(&str, &[u32])]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for (name, lives) in ends {
-        for number in *lives {
-            quarantine.record_end(NOW, request(name), life(*number));
+    for (name, incarnations) in ends {
+        for number in *incarnations {
+            quarantine.record_end(NOW, request(name), incarnation(*number));
         }
     }
     quarantine
 }
 
-fn is_barred(quarantine: &Quarantine, now: UnixMs, name: &str) -> bool {
+fn is_blocked(quarantine: &Quarantine, now: UnixMs, name: &str) -> bool {
     matches!(quarantine.status(now, request(name)), RequestStatus::Blocked { .. })
 }
 
 #[test]
-fn a_request_is_the_same_under_any_id_and_another_with_any_other_part() {
+fn a_fingerprint_depends_on_every_part_of_a_request() {
     let asked = Fingerprint::of("POST", "a.example", "/p", b"body");
 
     assert_eq!(asked, Fingerprint::of("POST", "a.example", "/p", b"body"));
@@ -61,68 +61,68 @@
     three = { &[1, 2, 3], true },
     one_of_them_twice = { &[1, 2, 2], false },
 )]
-fn a_request_is_barred_once_three_targets_have_ended_under_it(lives: &[u32], barred: bool) {
-    let quarantine = quarantine(&[("p", lives)]);
+fn a_request_is_blocked_once_three_targets_have_ended_under_it(
+    incarnations: &[u32],
+    blocked: bool,
+) {
+    let quarantine = quarantine(&[("p", incarnations)]);
 
-    assert_eq!(is_barred(&quarantine, NOW, "p"), barred);
+    assert_eq!(is_blocked(&quarantine, NOW, "p"), blocked);
 }
 
 #[test]
-fn a_life_of_a_target_counts_once_and_its_next_life_again() {
+fn each_incarnation_of_a_target_counts_once() {
     let mut quarantine = quarantine(&[("p", &[1, 2])]);
-    let again = TargetIncarnation { started_at_unix_ms: Some(7), ..life(1) };
+    let again = TargetIncarnation { started_at_unix_ms: Some(7), ..incarnation(1) };
 
     assert!(quarantine.record_end(NOW, request("p"), again));
 
-    assert!(is_barred(&quarantine, NOW, "p"));
+    assert!(is_blocked(&quarantine, NOW, "p"));
 }
 
-// Symptom: a sound request is turned away.
-// Sequence: targets end three times by chance while it is repeated; one answers it in between.
-// Cause: ends are counted although a target has survived the request.
+// Guards against blocking a harmless request: targets end three times by chance while it is retried, and
+// the ends count although a target has answered it in between.
 #[test]
 fn an_answer_clears_a_request() {
     let mut quarantine = quarantine(&[("s", &[1, 2])]);
 
     assert!(quarantine.record_answer(request("s")));
-    quarantine.record_end(NOW, request("s"), life(3));
-    quarantine.record_end(NOW, request("s"), life(4));
+    quarantine.record_end(NOW, request("s"), incarnation(3));
+    quarantine.record_end(NOW, request("s"), incarnation(4));
 
     assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
     assert!(!quarantine.record_answer(request("never under way")), "nothing changes");
 }
 
-// Symptom: sound requests are turned away with the one that ends the targets.
-// Sequence: they are under way at the same targets, and tried elsewhere at the same moment as it is.
-// Cause: an end counts against all that it broke off.
+// Guards against blocking harmless requests together with the crashing one: they are in flight at the
+// same targets and retried elsewhere at the same moment, and an end counts against all of them.
 #[test]
 fn a_request_is_not_blamed_for_ends_that_another_one_explains() {
     let quarantine = quarantine(&[("p", &[1, 2, 3, 4]), ("s", &[1, 2, 3])]);
 
-    assert!(is_barred(&quarantine, NOW, "p"));
+    assert!(is_blocked(&quarantine, NOW, "p"));
     assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
-// Symptom: of two requests with the same record the sound one is turned away, or neither is barred.
-// Sequence: both were under way at three targets that ended.
-// Cause: nothing tells them apart but one more run of each.
+// Guards against blocking the harmless one of two requests, or neither of them, when both were in flight
+// at the same three targets that ended: only another run of each can tell them apart.
 #[test]
-fn two_requests_with_the_same_record_are_told_apart_by_a_trial() {
+fn two_requests_with_equal_evidence_are_told_apart_by_trials() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
     for name in ["p", "s"] {
         assert_eq!(quarantine.status(NOW, request(name)), RequestStatus::Trial { number: 3 });
         quarantine.record_trial_request(NOW, request(name), 3);
-        assert!(is_barred(&quarantine, NOW, name), "this node has asked for its trial");
+        assert!(is_blocked(&quarantine, NOW, name), "this node has requested its trial");
     }
 
-    quarantine.record_end(NOW, request("p"), life(4));
+    quarantine.record_end(NOW, request("p"), incarnation(4));
 
-    assert!(is_barred(&quarantine, NOW, "p"));
+    assert!(is_blocked(&quarantine, NOW, "p"));
     assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
 #[test]
-fn two_trials_at_most_before_a_request_is_barred_whatever_others_explain() {
+fn a_request_is_blocked_after_at_most_two_trials() {
     let mut numbers = BTreeSet::new();
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
 
@@ -132,25 +132,24 @@
             _ => break,
         };
         for name in ["p", "s"] {
-            quarantine.record_end(NOW, request(name), life(number));
+            quarantine.record_end(NOW, request(name), incarnation(number));
         }
     }
 
     assert_eq!(numbers, BTreeSet::from([3, 4]));
-    assert!(is_barred(&quarantine, NOW, "p"));
+    assert!(is_blocked(&quarantine, NOW, "p"));
 }
 
-// Symptom: a request stays barred after its targets' software was mended.
-// Sequence: it is barred, the software is replaced, its caller comes again for days.
-// Cause: what is barred is never tried again, so nothing can clear it.
+// Guards against a request that stays blocked after the targets' software was fixed: without a trial
+// nothing can clear it, however often its caller retries.
 #[test]
-fn a_barred_request_is_tried_again_after_ever_longer_times() {
+fn a_blocked_request_is_tried_again_after_growing_delays() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
     let first = NOW.plus(10 * MINUTE_MS);
     assert_eq!(quarantine.status(NOW, request("p")), RequestStatus::Blocked { until: first });
     assert_eq!(quarantine.status(first, request("p")), RequestStatus::Trial { number: 3 });
 
-    quarantine.record_end(first, request("p"), life(4));
+    quarantine.record_end(first, request("p"), incarnation(4));
 
     let second = first.plus(20 * MINUTE_MS);
     assert_eq!(quarantine.status(first, request("p")), RequestStatus::Blocked { until: second });
@@ -160,7 +159,7 @@
 }
 
 #[test]
-fn evidence_that_bars_nothing_is_forgotten_in_minutes_and_the_rest_in_a_day() {
+fn evidence_expires_after_minutes_or_after_a_day_if_it_blocks() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2])]);
 
     assert_eq!(quarantine.expire(NOW.plus(9 * MINUTE_MS)), []);
@@ -171,48 +170,48 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_and_barred_requests_go_last() {
+fn evidence_is_bounded_and_blocked_requests_are_removed_last() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
     for number in 0..3_000 {
         let at = NOW.plus(1 + u64::from(number));
-        quarantine.record_end(at, request(&format!("s{number}")), life(number));
+        quarantine.record_end(at, request(&format!("s{number}")), incarnation(number));
     }
 
     let forgotten = quarantine.expire(NOW.plus(MINUTE_MS));
 
     assert_eq!(forgotten.len(), 2_001);
-    assert!(is_barred(&quarantine, NOW, "p"));
+    assert!(is_blocked(&quarantine, NOW, "p"));
     assert!(quarantine.evidence(request("s2999")).is_some(), "the oldest go first");
 }
 
 #[test]
 fn a_broken_connection_counts_only_if_its_target_is_found_to_have_ended() {
     let mut broken = InterruptedRequests::default();
-    assert!(broken.record(NOW, request("p"), &life(1)), "the first at this target");
-    assert!(!broken.record(NOW, request("s"), &life(1)));
-    assert!(broken.record(NOW, request("t"), &life(2)));
+    assert!(broken.record(NOW, request("p"), &incarnation(1)), "the first at this target");
+    assert!(!broken.record(NOW, request("s"), &incarnation(1)));
+    assert!(broken.record(NOW, request("t"), &incarnation(2)));
 
     broken.forget(request("s"));
-    let ended = broken.resolve(NOW.plus(10), TargetOutcome::Ended(&life(1)));
+    let ended = broken.resolve(NOW.plus(10), TargetOutcome::Ended(&incarnation(1)));
 
-    assert_eq!(ended, [(request("p"), life(1))]);
+    assert_eq!(ended, [(request("p"), incarnation(1))]);
     assert_eq!(
-        broken.resolve(NOW.plus(20), TargetOutcome::Ended(&life(1))),
+        broken.resolve(NOW.plus(20), TargetOutcome::Ended(&incarnation(1))),
         [],
         "each end counts once"
     );
     let late = NOW.plus(MINUTE_MS);
     assert_eq!(
-        broken.resolve(late, TargetOutcome::Gone { id: &life(2).id }),
+        broken.resolve(late, TargetOutcome::Gone { id: &incarnation(2).id }),
         [],
-        "that has other causes"
+        "the connection broke for another reason"
     );
 }
 
 #[test]
-fn a_target_that_started_again_has_ended_in_its_former_life_only() {
-    let former = TargetIncarnation { started_at_unix_ms: Some(1), ..life(1) };
-    let present = TargetIncarnation { started_at_unix_ms: Some(2), ..life(1) };
+fn a_restart_ends_only_the_earlier_incarnation() {
+    let former = TargetIncarnation { started_at_unix_ms: Some(1), ..incarnation(1) };
+    let present = TargetIncarnation { started_at_unix_ms: Some(2), ..incarnation(1) };
     let mut broken = InterruptedRequests::default();
     broken.record(NOW, request("p"), &former);
     broken.record(NOW, request("s"), &present);
@@ -223,15 +222,14 @@
     assert_eq!(ended, [(request("p"), former)]);
 }
 
-// Symptom: two nodes bar a request at different times, or one forgets what the other has seen.
-// Sequence: each sees other ends of the same request, and tells the other late and twice.
-// Cause: the later word replaces the earlier one.
+// Guards against lost evidence: two nodes observe different ends under the same request and exchange
+// them late and twice, and the later update replaces the earlier one instead of being merged with it.
 #[test]
-fn boards_join_what_two_nodes_have_seen_of_a_request() {
+fn fact_tables_merge_the_evidence_of_two_nodes() {
     let fact = |numbers: &[u32]| {
         let mut evidence = Evidence::default();
         for number in numbers {
-            evidence.record_end(NOW, life(*number));
+            evidence.record_end(NOW, incarnation(*number));
         }
         Fact::Crash(CrashFact { evidence, fingerprint: request("p") })
     };
@@ -247,7 +245,7 @@
     assert_eq!(
         here.merge(fact(&[2, 3]), 1),
         MergeOutcome::Unchanged,
-        "nothing new is not passed on"
+        "known evidence is not forwarded"
     );
 }
 
@@ -256,7 +254,7 @@
         |ends| {
             let mut evidence = Evidence::default();
             for (number, at_ms, refuted) in ends {
-                evidence.record_end(NOW.plus(at_ms), life(number));
+                evidence.record_end(NOW.plus(at_ms), incarnation(number));
                 if refuted {
                     evidence.refute();
                 }
@@ -266,7 +264,7 @@
     )
 }
 
-fn joined(parts: &[&Evidence]) -> Evidence {
+fn merged(parts: &[&Evidence]) -> Evidence {
     let mut all = Evidence::default();
     for part in parts {
         all.merge(part);
@@ -276,30 +274,30 @@
 
 proptest! {
     #[test]
-    fn evidence_is_the_same_in_whatever_order_it_is_told(
+    fn evidence_does_not_depend_on_the_order_of_merges(
         a in evidence(), b in evidence(), c in evidence(),
     ) {
-        let told = joined(&[&a, &b, &c]);
+        let all = merged(&[&a, &b, &c]);
 
-        prop_assert_eq!(&told, &joined(&[&c, &a, &b]));
-        prop_assert_eq!(&told, &joined(&[&a, &joined(&[&b, &c])]));
-        prop_assert_eq!(&told, &joined(&[&a, &b, &c, &a, &b]));
+        prop_assert_eq!(&all, &merged(&[&c, &a, &b]));
+        prop_assert_eq!(&all, &merged(&[&a, &merged(&[&b, &c])]));
+        prop_assert_eq!(&all, &merged(&[&a, &b, &c, &a, &b]));
     }
 }
 
-/// A day of a service of few targets: one request ends each target that runs it, again and again, while
-/// sound ones that wait for the targets to be back are sent with it.
-struct Day {
+/// A simulated service of a few targets: one request crashes each target that runs it, again and again,
+/// while harmless requests that wait for the targets to restart are sent together with it.
+struct Simulation {
     ends: Vec<UnixMs>,
     nodes: Vec<Quarantine>,
-    next_life: u32,
+    next_incarnation: u32,
     now: UnixMs,
     rng: StdRng,
     runs: BTreeMap<String, Vec<UnixMs>>,
     trials: BTreeSet<(String, usize)>,
 }
 
-/// A call that is under way, at the node that took it.
+/// A call in flight, and the node that accepted it.
 struct Call {
     attempts_left: u32,
     name: String,
@@ -310,18 +308,18 @@
 const TARGETS: u32 = 3;
 const ATTEMPTS: u32 = 3;
 const ROUNDS: usize = 12;
-const ENDS_TARGETS: &str = "p";
-/// What is sent within this time of the third end was on its way before anyone could know.
-const SETTLED_MS: u64 = 3_000;
-/// Times that users let a request be sent after that.
+const CRASHING_REQUEST: &str = "p";
+/// Requests sent within this time after the third end were on their way before a node could know of it.
+const SETTLE_MS: u64 = 3_000;
+/// How many more times the crashing request may be sent after that.
 const REPEATS_MAX: usize = 3;
 
-impl Day {
+impl Simulation {
     fn open(seed: u64) -> Self {
         Self {
             ends: Vec::new(),
             nodes: vec![Quarantine::default(); NODES],
-            next_life: 0,
+            next_incarnation: 0,
             now: NOW,
             rng: StdRng::seed_from_u64(seed),
             runs: BTreeMap::new(),
@@ -329,21 +327,21 @@
         }
     }
 
-    /// Plays one return of the targets: all that waits is sent at once, and what breaks off is sent to
-    /// the targets that are left.
-    fn play_round(&mut self, mut calls: Vec<Call>) {
-        let first = self.next_life;
-        self.next_life += TARGETS;
+    /// Simulates one restart of all targets: all waiting calls are sent at once, and interrupted ones are
+    /// retried at the targets that are left.
+    fn run_round(&mut self, mut calls: Vec<Call>) {
+        let first = self.next_incarnation;
+        self.next_incarnation += TARGETS;
         let mut up: Vec<u32> = (first..first + TARGETS).collect();
         while !calls.is_empty() && !up.is_empty() {
-            calls = self.play_step(calls, &mut up);
+            calls = self.run_step(calls, &mut up);
             self.now = self.now.plus(50);
-            self.tell_all();
+            self.share_evidence();
         }
         self.now = self.now.plus(3_300);
     }
 
-    fn play_step(&mut self, calls: Vec<Call>, up: &mut Vec<u32>) -> Vec<Call> {
+    fn run_step(&mut self, calls: Vec<Call>, up: &mut Vec<u32>) -> Vec<Call> {
         let mut at: BTreeMap<u32, Vec<Call>> = BTreeMap::new();
         for call in calls {
             if self.admits(call.node, &call.name) {
@@ -353,15 +351,15 @@
         }
         let mut left = Vec::new();
         for (target, calls) in at {
-            let ends = calls.iter().any(|call| call.name == ENDS_TARGETS);
+            let ends = calls.iter().any(|call| call.name == CRASHING_REQUEST);
             for call in calls {
                 let node = &mut self.nodes[call.node];
-                // A sound request is done before its target ends as often as not.
-                if !ends || (call.name != ENDS_TARGETS && self.rng.random()) {
+                // A harmless request completes before its target ends in half of the cases.
+                if !ends || (call.name != CRASHING_REQUEST && self.rng.random()) {
                     node.record_answer(request(&call.name));
                     continue;
                 }
-                node.record_end(self.now, request(&call.name), life(target));
+                node.record_end(self.now, request(&call.name), incarnation(target));
                 if call.attempts_left > 1 {
                     left.push(Call { attempts_left: call.attempts_left - 1, ..call });
                 }
@@ -385,8 +383,8 @@
         }
     }
 
-    /// Every node tells every other one what it knows.
-    fn tell_all(&mut self) {
+    /// Shares every node's evidence with all other nodes.
+    fn share_evidence(&mut self) {
         let names: Vec<String> = self.runs.keys().cloned().collect();
         for name in names {
             let of = request(&name);
@@ -405,35 +403,38 @@
     }
 }
 
-// Symptom: sound requests are turned away, or the request that ends the targets is sent on.
-// Sequence: up to four calls of it and twelve sound ones wait for three targets to be back, are sent at
-// once and break off together, over and over, as in the evidence at the head of the site's tests.
-// Cause: which of them ended a target cannot be seen from one end.
+// Guards against blocking harmless requests, and against sending the crashing one on. Up to four calls of
+// the crashing request and twelve harmless ones wait for three targets to restart, are sent at once and
+// are interrupted together, over and over; a single end does not show which of them caused it.
 //
-// Counted by ends alone, 4 of the 200 days turn a sound request away for good; with requests of the same
-// record let through instead of tried one at a time, one day sends the other one four times more.
+// If ends alone counted, 4 of the 200 simulations would block a harmless request for good. If requests
+// with equal evidence were allowed instead of tried one at a time, one simulation would send the crashing
+// request four times more.
 #[test]
-fn a_day_of_ends_bars_the_request_that_causes_them_and_no_other() {
-    let mut turned_away = Vec::new();
+fn repeated_crashes_block_only_the_request_that_causes_them() {
+    let mut wrongly_blocked = Vec::new();
     for seed in 0..200 {
-        let mut day = Day::open(seed);
-        let mut sound = Vec::new();
+        let mut simulation = Simulation::open(seed);
+        let mut harmless = Vec::new();
         for round in 0..ROUNDS {
-            let copies = day.rng.random_range(1..=4);
+            let copies = simulation.rng.random_range(1..=4);
             let mut calls: Vec<Call> =
-                (0..copies).map(|_| day.call(ENDS_TARGETS.to_owned())).collect();
-            for number in 0..day.rng.random_range(0..=12) {
+                (0..copies).map(|_| simulation.call(CRASHING_REQUEST.to_owned())).collect();
+            for number in 0..simulation.rng.random_range(0..=12) {
                 let name = format!("s{round}-{number}");
-                sound.push(name.clone());
-                calls.push(day.call(name));
+                harmless.push(name.clone());
+                calls.push(simulation.call(name));
             }
-            day.play_round(calls);
+            simulation.run_round(calls);
         }
-        let third = day.ends[BLOCK_THRESHOLD - 1].plus(SETTLED_MS);
-        let repeats = day.runs[ENDS_TARGETS].iter().filter(|at| **at > third).count();
-        assert!(repeats <= REPEATS_MAX, "seed {seed}: it was sent {repeats} times more");
-        let refused = sound.into_iter().filter(|name| !day.admits(0, name));
-        turned_away.extend(refused.map(|name| (seed, name)));
+        let third = simulation.ends[BLOCK_THRESHOLD - 1].plus(SETTLE_MS);
+        let repeats = simulation.runs[CRASHING_REQUEST].iter().filter(|at| **at > third).count();
+        assert!(
+            repeats <= REPEATS_MAX,
+            "seed {seed}: the crashing request was sent {repeats} times more"
+        );
+        let refused = harmless.into_iter().filter(|name| !simulation.admits(0, name));
+        wrongly_blocked.extend(refused.map(|name| (seed, name)));
     }
-    assert_eq!(turned_away, [], "sound requests that come again");
+    assert_eq!(wrongly_blocked, [], "harmless requests that are blocked");
 }
