--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,53 +1,54 @@
-//! Leases on exclusive work, with fencing numbers.
+//! Leases with fencing numbers, for work that only one node may do at a time.
 //!
-//! [`LeaseClaim`] is one node's claim on one duty, e.g. the steps of a trainer. It decides when to
-//! ask for the lease, when to renew it and when to stop acting on it; the edge carries out the
-//! calls on the key-value service and reports what came back.
+//! A *duty* is a job that one node does for all nodes under a lease, e.g. the steps of a trainer.
+//! [`LeaseClaim`] is the state machine of one node's claim on one duty. It decides when to request the
+//! lease, when to renew it and when to stop acting on it. The caller performs the calls to the
+//! key-value service and reports their results.
 //!
-//! Three things go wrong with leases, and each has its guard here:
+//! Three failures are guarded against:
 //!
-//! - *The holder is paused past its lease.* It would go on acting beside the new holder. So the
-//!   holder counts the time by its own clock from **before** the renewal was sent, stops
-//!   [`MARGIN_MS`] before the service would let the lease lapse, and [`LeaseClaim::fence`] is asked
-//!   right before each act, not once at the start.
-//! - *A reply is lost.* The holder cannot know whether it holds the lease. After a lost reply it
-//!   reads the key and looks for its own life in it.
-//! - *A new holder starts while an order of the old one is on its way* to a target that does not
-//!   check fencing numbers. The new holder's orders wait [`ORDER_FLIGHT_MS`].
+//! - *The holder is paused beyond its lease* and would go on acting beside the new holder. So the
+//!   holder measures the lease by its own clock from **before** the renewal was sent and stops
+//!   [`MARGIN_MS`] before the service would expire it. Callers check [`LeaseClaim::fence`] right before
+//!   each action, not once at the start.
+//! - *A reply is lost*, and the holder cannot know whether it holds the lease. If the reply to a request
+//!   for the lease is lost, it reads the key and looks for its own incarnation in it.
+//! - *A new holder starts while an order of the old one is in transit* to a target that does not check
+//!   fencing numbers. So the new holder's orders wait for [`ORDER_FLIGHT_MS`].
 //!
-//! The fencing number is the key-value service's version of the key, which only grows.
+//! The fencing number is the key's version in the key-value service, which only grows.
 
 use catkinmast_model::{Fence, Incarnation, Name, UnixMs};
 use serde::{Deserialize, Serialize};
 
 /// Time to live of a lease in the key-value service.
 pub const TTL_MS: u64 = 6_000;
-/// How long before the lapse the holder stops acting.
+/// How long before the lease expires the holder stops acting.
 pub const MARGIN_MS: u64 = 1_000;
-/// Time between two renewals.
+/// Interval between renewals.
 pub const RENEW_EVERY_MS: u64 = 2_000;
-/// Time between two tries to take a lease that seems free.
+/// Interval between attempts to take a lease.
 pub const RETRY_EVERY_MS: u64 = 1_000;
-/// The longest that an order can be on its way to a target.
+/// The longest time an order can be in transit to a target.
 pub const ORDER_FLIGHT_MS: u64 = 2_000;
 
-/// The times of a lease.
+/// The timing of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// How long before the lapse the holder stops acting. Default: [`MARGIN_MS`].
+    /// How long before the lease expires the holder stops acting. Default: [`MARGIN_MS`].
     pub margin_ms: u64,
-    /// How long a new holder's orders wait. Default: [`ORDER_FLIGHT_MS`].
+    /// How long the orders of a new holder are held back. Default: [`ORDER_FLIGHT_MS`].
     pub order_flight_ms: u64,
-    /// Time between two renewals. Default: [`RENEW_EVERY_MS`].
+    /// Interval between renewals. Default: [`RENEW_EVERY_MS`].
     pub renew_every_ms: u64,
-    /// Time between two tries to take a lease that seems free. Default: [`RETRY_EVERY_MS`].
+    /// Interval between attempts to take a lease. Default: [`RETRY_EVERY_MS`].
     pub retry_every_ms: u64,
     /// Time to live of the lease in the key-value service. Default: [`TTL_MS`].
     pub ttl_ms: u64,
 }
 
 impl LeaseSettings {
-    /// The defaults, as a constant.
+    /// The default settings, usable in constant contexts.
     pub const DEFAULT: Self = Self {
         margin_ms: MARGIN_MS,
         order_flight_ms: ORDER_FLIGHT_MS,
@@ -63,20 +64,20 @@
     }
 }
 
-/// What the key of a lease holds.
+/// The value stored under the key of a lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HolderRecord {
-    /// The holder's life.
+    /// The incarnation of the holding node.
     pub incarnation: Incarnation,
-    /// The holder.
+    /// The name of the holding node.
     pub node: Name,
 }
 
-/// What the edge should do.
+/// A call to the key-value service that the caller should make.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Open a lease of the service and create the key on it; report [`Report::Taken`],
-    /// [`Report::Refused`] or [`Report::Unknown`].
+    /// Open a lease and create the key under it; report [`Report::Taken`], [`Report::Refused`] or
+    /// [`Report::Unknown`].
     Take,
     /// Read the key and report [`Report::Read`].
     Read,
@@ -86,30 +87,30 @@
     Release,
 }
 
-/// What came back from the service.
+/// The result of an [`Action`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Report {
-    /// The key's holder and fencing number, none when the key is absent.
+    /// The key's holder and fencing number, or `None` if the key does not exist.
     Read(Option<(HolderRecord, Fence)>),
-    /// Another holds the lease, or it has lapsed.
+    /// Another node holds the lease, or it has expired.
     Refused,
     /// The lease was renewed.
     Renewed,
-    /// The key was created under this fencing number.
+    /// The key was created, with this fencing number.
     Taken(Fence),
-    /// The key was taken over from an earlier life on the same machine: no order of another holder
-    /// can be on its way, so orders need not wait.
+    /// The key was taken over from an earlier incarnation of this node: no order of another holder can
+    /// be in transit, so orders need not wait.
     TakenFromSelf(Fence),
-    /// The reply was lost, or the service does not answer.
+    /// The reply was lost, or the service does not respond.
     Unknown,
 }
 
-/// A change that the duty must know.
+/// A change of the claim that the code which performs the duty must react to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// The lease is held under this number.
+    /// The lease is held, with this fencing number.
     Gained(Fence),
-    /// The lease is no longer held for certain: writes and orders must stop.
+    /// The lease is no longer certain to be held: writes and orders must stop.
     Lapsed,
 }
 
@@ -120,28 +121,29 @@
     Held { fence: Fence, safe_until: UnixMs, since: UnixMs },
 }
 
-/// One node's claim on one duty.
+/// One node's claim on the lease of one duty.
 #[derive(Clone, Debug)]
 pub struct LeaseClaim {
+    /// The action that awaits its report, and when it was sent.
     in_flight: Option<(Action, UnixMs)>,
-    me: HolderRecord,
+    own_record: HolderRecord,
     next_at: UnixMs,
     phase: Phase,
     settings: LeaseSettings,
 }
 
 impl LeaseClaim {
-    /// Opens a claim that holds nothing, with the default times.
-    pub const fn open(me: HolderRecord) -> Self {
-        Self::open_with(me, LeaseSettings::DEFAULT)
+    /// Creates a claim that does not hold the lease, with the default settings.
+    pub const fn open(own_record: HolderRecord) -> Self {
+        Self::open_with(own_record, LeaseSettings::DEFAULT)
     }
 
-    /// Opens a claim that holds nothing.
-    pub const fn open_with(me: HolderRecord, settings: LeaseSettings) -> Self {
-        Self { in_flight: None, me, next_at: UnixMs(0), phase: Phase::Free, settings }
+    /// Creates a claim that does not hold the lease.
+    pub const fn open_with(own_record: HolderRecord, settings: LeaseSettings) -> Self {
+        Self { in_flight: None, own_record, next_at: UnixMs(0), phase: Phase::Free, settings }
     }
 
-    /// Returns the fencing number if the duty may be acted on at `now`.
+    /// Returns the fencing number if this node may perform the duty at `now`.
     pub fn fence(&self, now: UnixMs) -> Option<Fence> {
         match self.phase {
             Phase::Held { fence, safe_until, .. } if now < safe_until => Some(fence),
@@ -151,7 +153,7 @@
 
     /// Returns the fencing number if orders to targets may be sent at `now`.
     ///
-    /// A new holder waits until no order of the old one can still be on its way.
+    /// A new holder waits until no order of the previous one can still be in transit.
     pub fn order_fence(&self, now: UnixMs) -> Option<Fence> {
         match self.phase {
             Phase::Held { since, .. } if now.since_ms(since) >= self.settings.order_flight_ms => {
@@ -161,14 +163,15 @@
         }
     }
 
-    /// Does what has become due. `wanted` tells whether this node should hold the duty.
+    /// Advances the claim to `now`, and returns the action to perform and the change of state, if any.
+    /// `wanted` tells whether this node should hold the lease.
     pub fn tick(&mut self, now: UnixMs, wanted: bool) -> (Option<Action>, Option<Change>) {
         let lapsed = self.check_lapse(now);
         if lapsed.is_some() || self.in_flight.is_some() {
             return (None, lapsed);
         }
         if matches!(self.phase, Phase::Held { .. }) && !wanted {
-            // At once, not with the next renewal: until then nobody else can go on.
+            // Release at once, not at the next renewal: no other node can take over before.
             self.phase = Phase::Free;
             self.next_at = now.plus(self.settings.retry_every_ms);
             return (Some(Action::Release), Some(Change::Lapsed));
@@ -196,7 +199,7 @@
         (Some(action), None)
     }
 
-    /// Takes what came back from the service.
+    /// Applies the result of the last action, and returns the change of state, if any.
     pub fn report(&mut self, now: UnixMs, report: &Report) -> Option<Change> {
         let sent = self.in_flight.take();
         match report {
@@ -210,8 +213,8 @@
             }
             Report::Renewed => self.renewed(sent),
             Report::Refused => self.lose(),
-            // A renewal whose reply is lost may still have worked; the next one tells. A lost
-            // reply to the taking is settled by reading the key.
+            // A renewal whose reply was lost may have succeeded; the next one shows it. If the reply
+            // to `Take` was lost, the next tick reads the key.
             Report::Unknown => None,
             Report::Read(found) => self.read(now, found.as_ref()),
         }
@@ -240,19 +243,19 @@
     }
 
     fn lose(&mut self) -> Option<Change> {
-        let held = matches!(self.phase, Phase::Held { .. });
+        let was_held = matches!(self.phase, Phase::Held { .. });
         self.phase = Phase::Free;
-        held.then_some(Change::Lapsed)
+        was_held.then_some(Change::Lapsed)
     }
 
     fn read(&mut self, now: UnixMs, found: Option<&(HolderRecord, Fence)>) -> Option<Change> {
         match found {
-            Some((holder, fence)) if *holder == self.me => self.gain(now, *fence),
+            Some((holder, fence)) if *holder == self.own_record => self.gain(now, *fence),
             _ => self.lose(),
         }
     }
 
-    /// The lease is given up by our own clock, whether or not the service could be asked.
+    /// Gives the lease up when it expires by this node's own clock, even if the service is unreachable.
     fn check_lapse(&mut self, now: UnixMs) -> Option<Change> {
         match self.phase {
             Phase::Held { safe_until, .. } if now >= safe_until => self.lose(),
--- a/tests/all/lease_retake.rs
+++ b/tests/all/lease_retake.rs
@@ -1,9 +1,9 @@
-//! A lease that an earlier life on the same machine held.
+//! Tests of a lease that is taken over, from another node or from an earlier incarnation of this one.
 
 use catkinmast_lease::{Action, Change, HolderRecord, LeaseClaim, LeaseSettings, Report};
 use catkinmast_model::{Fence, Incarnation, UnixMs};
 
-fn tenure() -> LeaseClaim {
+fn claim() -> LeaseClaim {
     let node = "n1".parse().expect("a name");
     let settings = LeaseSettings {
         margin_ms: 1_200,
@@ -15,38 +15,38 @@
     LeaseClaim::open_with(HolderRecord { incarnation: Incarnation(2), node }, settings)
 }
 
-// Symptom: no engine gets new weights for six seconds after all nodes restarted.
-// Sequence: the holder of the orders is killed and starts again; its lease has not lapsed yet.
-// Cause: it waits for the lapse, and then for orders of another holder that never was.
+// Guards against a pause of weight orders after a restart of all nodes: no engine got new weights for six
+// seconds, because the restarted holder waited for its own old lease to expire, and then for orders of
+// another holder that did not exist.
 #[test]
-fn orders_go_on_at_once_under_a_lease_taken_from_oneself() {
-    let mut tenure = tenure();
-    let (action, _) = tenure.tick(UnixMs(10_000), true);
+fn orders_continue_at_once_after_a_takeover_from_an_earlier_incarnation() {
+    let mut claim = claim();
+    let (action, _) = claim.tick(UnixMs(10_000), true);
 
-    let change = tenure.report(UnixMs(10_010), &Report::TakenFromSelf(Fence(9)));
+    let change = claim.report(UnixMs(10_010), &Report::TakenFromSelf(Fence(9)));
 
     assert_eq!(action, Some(Action::Take));
     assert_eq!(change, Some(Change::Gained(Fence(9))));
-    assert_eq!(tenure.order_fence(UnixMs(10_010)), Some(Fence(9)));
+    assert_eq!(claim.order_fence(UnixMs(10_010)), Some(Fence(9)));
 }
 
 #[test]
-fn orders_wait_under_a_lease_taken_from_another() {
-    let mut tenure = tenure();
-    tenure.tick(UnixMs(10_000), true);
+fn orders_wait_after_a_takeover_from_another_node() {
+    let mut claim = claim();
+    claim.tick(UnixMs(10_000), true);
 
-    tenure.report(UnixMs(10_010), &Report::Taken(Fence(9)));
+    claim.report(UnixMs(10_010), &Report::Taken(Fence(9)));
 
-    assert_eq!(tenure.fence(UnixMs(10_010)), Some(Fence(9)));
-    assert_eq!(tenure.order_fence(UnixMs(11_200)), None);
+    assert_eq!(claim.fence(UnixMs(10_010)), Some(Fence(9)));
+    assert_eq!(claim.order_fence(UnixMs(11_200)), None);
 }
 
 #[test]
-fn the_holder_stops_a_margin_before_the_lapse_by_its_own_clock() {
-    let mut tenure = tenure();
-    tenure.tick(UnixMs(10_000), true);
-    tenure.report(UnixMs(10_010), &Report::TakenFromSelf(Fence(9)));
+fn the_holder_stops_before_its_lease_expires_by_its_own_clock() {
+    let mut claim = claim();
+    claim.tick(UnixMs(10_000), true);
+    claim.report(UnixMs(10_010), &Report::TakenFromSelf(Fence(9)));
 
-    assert_eq!(tenure.fence(UnixMs(11_299)), Some(Fence(9)));
-    assert_eq!(tenure.fence(UnixMs(11_300)), None);
+    assert_eq!(claim.fence(UnixMs(11_299)), Some(Fence(9)));
+    assert_eq!(claim.fence(UnixMs(11_300)), None);
 }
