--- a/crates/trail/src/logs.rs
+++ b/crates/trail/src/logs.rs
@@ -1,15 +1,15 @@
-//! Reading log files, and what of them cannot be read.
+//! Reading of log files, and counting of lines that cannot be parsed.
 
-use crate::object;
+use crate::parse_object;
 use displaydoc::Display;
 use std::io::Read;
 
 /// {source_name} cannot be read: {problem}
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub struct LogError {
-    /// What went wrong.
+    /// The I/O error.
     pub problem: String,
-    /// The file, or standard input.
+    /// The name of the file, or "standard input".
     pub source_name: String,
 }
 
@@ -19,10 +19,10 @@
     move |error| LogError { problem: error.to_string(), source_name: source_name.to_owned() }
 }
 
-/// Reads log files one after the other, or standard input where none is named.
+/// Reads log files one after the other, or standard input if `files` is empty.
 ///
 /// # Errors
-/// Names the file that cannot be read.
+/// Returns the first file that cannot be read.
 pub fn read_logs(files: &[String]) -> Result<String, LogError> {
     let mut text = String::new();
     if files.is_empty() {
@@ -36,8 +36,8 @@
     Ok(text)
 }
 
-/// Counts the lines that begin an object and are none: cut, or joined to another. What is told of a
-/// request without them may lack a step.
+/// Counts the lines that start a JSON object but cannot be parsed, because they were truncated or joined
+/// with another line. A history without them may be incomplete.
 pub fn count_unreadable<'a>(lines: impl Iterator<Item = &'a str>) -> usize {
-    lines.filter(|line| line.contains('{') && object(line).is_none()).count()
+    lines.filter(|line| line.contains('{') && parse_object(line).is_none()).count()
 }
--- a/crates/trail/src/steps.rs
+++ b/crates/trail/src/steps.rs
@@ -1,72 +1,71 @@
-//! Where the time of each training step went, from the audit trails of all processes.
+//! The critical path of each training step, from the audit trails of all processes.
 //!
-//! A step ends with one item: the one whose last run came to its end last. Its story is the step's
-//! critical path: how long it waited for a target, how long its runs lasted, how long it stood still
-//! between them, how long its score and the listing took, and how long the trainer took to read it
-//! and to end the step. Trails leave out lines that are too many in a second; an item that is known
-//! by a part of its runs only is told with a longer wait.
+//! The last item to complete ends a step, so the step's critical path is that item's history: how long it
+//! waited for a target, ran, was idle between runs, was scored and listed, and how long the trainer took
+//! to read it and end the step. Trails drop lines above a rate limit; if some of the item's runs are
+//! missing for that reason, its wait appears longer than it was.
 
-use crate::object;
+use crate::parse_object;
 use indexmap::IndexMap;
 use serde_json::Value;
 
-/// The account of one step that its trainer has ended. All times are in milliseconds.
+/// The breakdown of one step that its trainer has ended. All times are in milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StepBreakdown {
     /// Id of the batch.
     pub batch: String,
-    /// Events of the item that ended it.
+    /// Number of events of the item that ended the step.
     pub events: u64,
-    /// Id of the item that ended it.
+    /// Id of the item that ended the step.
     pub item: String,
-    /// From its last run's end until its result was durable.
+    /// From the end of the item's last run until its result was listed, i.e. durable.
     pub listed_ms: u64,
     /// The model.
     pub model: String,
-    /// Owners that the batch has had.
+    /// Number of owners that the batch has had.
     pub owners: usize,
-    /// From then until the trainer ended the step.
+    /// From the listing until the trainer ended the step.
     pub read_ms: u64,
-    /// While runs of it lasted.
+    /// Total duration of the item's runs.
     pub running_ms: u64,
-    /// Runs of it.
+    /// Number of the item's runs.
     pub runs: usize,
-    /// Between runs of it.
+    /// Between the item's runs; printed as `standing`.
     pub between_runs_ms: u64,
-    /// The trainer's step.
+    /// The trainer's number of the step.
     pub step: Option<u64>,
-    /// From the opening to the end.
+    /// From the opening of the batch to its end.
     pub took_ms: u64,
-    /// From the opening until its first run.
+    /// From the opening of the batch until the item's first run.
     pub waited_ms: u64,
 }
 
 /// The means over the steps of one model, in milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StepMeans {
-    /// Listing.
+    /// From the end of the last run until the listing.
     pub listed_ms: u64,
-    /// Reading.
+    /// From the listing to the end of the step.
     pub read_ms: u64,
-    /// Running.
+    /// Duration of runs.
     pub running_ms: u64,
-    /// Standing still between runs.
+    /// Between runs; printed as `standing`.
     pub between_runs_ms: u64,
-    /// Steps that were ended.
+    /// Number of steps that have ended.
     pub steps: usize,
-    /// The whole.
+    /// From the opening to the end of the step.
     pub took_ms: u64,
-    /// Waiting for a target.
+    /// From the opening until the first run.
     pub waited_ms: u64,
 }
 
-/// One run of an item, as its line tells it.
+/// One run of an item, from its trail line.
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    began_ms: u64,
+    started_ms: u64,
     ended_ms: u64,
     events: u64,
-    whole: bool,
+    complete: bool,
 }
 
 #[derive(Debug, Default)]
@@ -80,42 +79,42 @@
     step: Option<u64>,
 }
 
-/// Returns the accounts of all steps that have ended, in the order of their openings.
+/// Returns the breakdowns of all steps that have ended, ordered by the time their batch was opened.
 pub fn step_breakdowns<'a>(lines: impl Iterator<Item = &'a str>) -> Vec<StepBreakdown> {
     let mut batches: IndexMap<String, Batch> = IndexMap::new();
-    for line in lines.filter_map(object) {
-        take(&mut batches, &line);
+    for line in lines.filter_map(parse_object) {
+        apply_line(&mut batches, &line);
     }
     batches.sort_by(|_, a, _, b| a.opened_ms.cmp(&b.opened_ms));
-    batches.iter().filter_map(|(id, batch)| account(id, batch)).collect()
+    batches.iter().filter_map(|(id, batch)| breakdown(id, batch)).collect()
 }
 
-/// Returns the means for each model.
+/// Returns the mean breakdown of each model's steps.
 pub fn means_by_model(steps: &[StepBreakdown]) -> IndexMap<&str, StepMeans> {
     let mut totals: IndexMap<&str, StepMeans> = IndexMap::new();
     for step in steps {
-        let held = totals.entry(&step.model).or_default();
-        held.steps += 1;
-        held.listed_ms += step.listed_ms;
-        held.read_ms += step.read_ms;
-        held.running_ms += step.running_ms;
-        held.between_runs_ms += step.between_runs_ms;
-        held.took_ms += step.took_ms;
-        held.waited_ms += step.waited_ms;
+        let sum = totals.entry(&step.model).or_default();
+        sum.steps += 1;
+        sum.listed_ms += step.listed_ms;
+        sum.read_ms += step.read_ms;
+        sum.running_ms += step.running_ms;
+        sum.between_runs_ms += step.between_runs_ms;
+        sum.took_ms += step.took_ms;
+        sum.waited_ms += step.waited_ms;
     }
-    for held in totals.values_mut() {
-        let steps = held.steps as u64;
-        held.listed_ms /= steps;
-        held.read_ms /= steps;
-        held.running_ms /= steps;
-        held.between_runs_ms /= steps;
-        held.took_ms /= steps;
-        held.waited_ms /= steps;
+    for sum in totals.values_mut() {
+        let steps = sum.steps as u64;
+        sum.listed_ms /= steps;
+        sum.read_ms /= steps;
+        sum.running_ms /= steps;
+        sum.between_runs_ms /= steps;
+        sum.took_ms /= steps;
+        sum.waited_ms /= steps;
     }
     totals
 }
 
-fn take(batches: &mut IndexMap<String, Batch>, line: &Value) {
+fn apply_line(batches: &mut IndexMap<String, Batch>, line: &Value) {
     let (Some(at_ms), Some(event)) = (line["at_unix_ms"].as_u64(), line["event"].as_str()) else {
         return;
     };
@@ -135,10 +134,10 @@
         "item_run" | "item_moved" => {
             let Some(item) = line["request"].as_str() else { return };
             let run = Run {
-                began_ms: at_ms.saturating_sub(line["ms"].as_u64().unwrap_or(0)),
+                started_ms: at_ms.saturating_sub(line["ms"].as_u64().unwrap_or(0)),
                 ended_ms: at_ms,
                 events: line["last_event"].as_u64().unwrap_or(0),
-                whole: line["outcome"] == "whole",
+                complete: line["outcome"] == "whole",
             };
             let batch = batches.entry(id.to_owned()).or_default();
             batch.items.entry(item.to_owned()).or_default().push(run);
@@ -147,38 +146,38 @@
     }
 }
 
-fn account(id: &str, batch: &Batch) -> Option<StepBreakdown> {
+fn breakdown(id: &str, batch: &Batch) -> Option<StepBreakdown> {
     let (opened_ms, ended_ms) = (batch.opened_ms?, batch.ended_ms?);
     let last = |runs: &Vec<Run>| {
         runs.iter()
-            .filter(|run| run.whole && run.ended_ms <= ended_ms)
+            .filter(|run| run.complete && run.ended_ms <= ended_ms)
             .map(|run| run.ended_ms)
             .max()
     };
-    let (item, runs, whole_ms) = batch
+    let (item, runs, complete_ms) = batch
         .items
         .iter()
         .filter_map(|(item, runs)| Some((item, runs, last(runs)?)))
-        .max_by_key(|(_, _, whole_ms)| *whole_ms)?;
+        .max_by_key(|(_, _, complete_ms)| *complete_ms)?;
     let mut runs: Vec<Run> =
-        runs.iter().filter(|run| run.ended_ms <= whole_ms && run.events > 0).copied().collect();
+        runs.iter().filter(|run| run.ended_ms <= complete_ms && run.events > 0).copied().collect();
     runs.sort_by_key(|run| run.ended_ms);
-    let first_ms = runs.first().map_or(whole_ms, |run| run.began_ms).max(opened_ms);
+    let first_ms = runs.first().map_or(complete_ms, |run| run.started_ms).max(opened_ms);
     let running_ms: u64 =
-        runs.iter().map(|run| run.ended_ms.saturating_sub(run.began_ms.max(opened_ms))).sum();
-    let listed = batch.listed_ms.iter().filter(|at| (whole_ms..=ended_ms).contains(at)).max();
-    let listed_ms = listed.copied().unwrap_or(whole_ms);
+        runs.iter().map(|run| run.ended_ms.saturating_sub(run.started_ms.max(opened_ms))).sum();
+    let listed = batch.listed_ms.iter().filter(|at| (complete_ms..=ended_ms).contains(at)).max();
+    let listed_ms = listed.copied().unwrap_or(complete_ms);
     Some(StepBreakdown {
         batch: id.to_owned(),
         events: runs.iter().map(|run| run.events).max().unwrap_or(0),
         item: item.clone(),
-        listed_ms: listed_ms - whole_ms,
+        listed_ms: listed_ms - complete_ms,
         model: batch.model.clone(),
         owners: batch.owners,
         read_ms: ended_ms - listed_ms,
         running_ms,
         runs: runs.len(),
-        between_runs_ms: (whole_ms - first_ms).saturating_sub(running_ms),
+        between_runs_ms: (complete_ms - first_ms).saturating_sub(running_ms),
         step: batch.step,
         took_ms: ended_ms.saturating_sub(opened_ms),
         waited_ms: first_ms - opened_ms,
--- a/src/bin/catkinmast-bench.rs
+++ b/src/bin/catkinmast-bench.rs
@@ -1,10 +1,10 @@
-//! Benchmarks of the decisions: a thin wrapper over `catkinmast_bench`.
+//! Benchmarks of the policies and data structures: a thin wrapper over `catkinmast_bench`.
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
 use std::process::ExitCode;
 
-/// Counts what is allocated, so that state can be measured in bytes.
+/// Counts allocations, so that benchmarks can report the size of state in bytes.
 #[global_allocator]
 static COUNTING: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
--- a/src/bin/catkinmast-front.rs
+++ b/src/bin/catkinmast-front.rs
@@ -1,14 +1,14 @@
-//! `catkinmast-front`: an entry instance's process on the users' platform.
+//! `catkinmast-front`: the process of an entry node on the users' platform.
 
 use argh::FromArgs;
 use catkinmast_adapter::UsersPlatform;
 use std::process::ExitCode;
 
-/// Runs an entry node between callers and targets. Its settings are in the file that the
-/// environment variable of the platform names; every problem in it is reported at start.
+/// Runs an entry node between callers and targets. The platform's environment variable names the
+/// settings file; all problems in that file are reported at start.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// port on this instance's address that serves the metrics; none: they are not served
+    /// port on this instance's address on which to serve metrics; without it they are not served
     #[argh(option)]
     metrics_port: Option<u16>,
 }
--- a/src/bin/catkinmast-local.rs
+++ b/src/bin/catkinmast-local.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: a thin wrapper over `catkinmast_local`.
+//! A complete deployment on the loopback interface: a thin wrapper over `catkinmast_local`.
 
 use std::process::ExitCode;
 
--- a/src/bin/catkinmast-node.rs
+++ b/src/bin/catkinmast-node.rs
@@ -1,14 +1,14 @@
-//! An entry instance's process: a thin wrapper over `catkinmast_node::Node`.
+//! The process of an entry node: a thin wrapper over `catkinmast_node::Node`.
 
 use catkinmast_node::{Arguments, Node, Settings, start_log};
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code for settings that are missing or wrong.
+/// Exit code for missing or invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 /// Exit code for a node that could not start.
 const EXIT_START: u8 = 1;
-/// Exit code for a stop that cut requests.
+/// Exit code for a shutdown that aborted requests.
 const EXIT_CUT: u8 = 3;
 
 fn main() -> ExitCode {
@@ -27,12 +27,12 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("the traffic threads cannot be started: {error}");
+            eprintln!("cannot start the async runtime: {error}");
             return ExitCode::from(EXIT_START);
         }
     };
     let code = runtime.block_on(run(settings));
-    // Tasks that still wait for a peer have nothing to finish.
+    // After the drain only tasks that wait for a peer are left, and nothing depends on them.
     runtime.shutdown_background();
     code
 }
@@ -40,7 +40,7 @@
 async fn run(settings: Settings) -> ExitCode {
     let signals = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
     let (Ok(mut terminate), Ok(mut interrupt)) = signals else {
-        eprintln!("signals cannot be received");
+        eprintln!("cannot install handlers for SIGTERM and SIGINT");
         return ExitCode::from(EXIT_START);
     };
     let node = match Node::spawn(settings).await {
@@ -52,7 +52,7 @@
     };
     println!("{{\"http\":\"{}\",\"control\":\"{}\"}}", node.http_address(), node.control_address());
     log::info!(
-        "node {} serves at {}, peers at {}",
+        "node {} listens for callers on {} and for peers on {}",
         node.name(),
         node.http_address(),
         node.control_address()
@@ -62,17 +62,17 @@
         _ = interrupt.recv() => {}
         () = node.drain_wanted() => {}
     }
-    log::info!("leaving: serving until no caller holds this address any more");
+    log::info!("draining: serving until callers no longer hold this address");
     let report = tokio::select! {
         report = node.drain() => report,
         _ = terminate.recv() => return second_signal(),
         _ = interrupt.recv() => return second_signal(),
     };
-    log::info!("left; {} requests were cut", report.cut);
+    log::info!("drain complete; {} requests were aborted", report.cut);
     if report.cut == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_CUT) }
 }
 
 fn second_signal() -> ExitCode {
-    log::warn!("a second signal: stopped in the middle of the drain");
+    log::warn!("received a second signal; stopping before the drain is complete");
     ExitCode::from(EXIT_CUT)
 }
--- a/src/bin/catkinmast-standby.rs
+++ b/src/bin/catkinmast-standby.rs
@@ -1,15 +1,12 @@
-//! `catkinmast-standby`: the process on a machine that holds nothing for us.
+//! `catkinmast-standby`: the process on a store machine, which keeps no state.
 
 use argh::FromArgs;
 use catkinmast_adapter::UsersPlatform;
 use std::process::ExitCode;
 
-/// Stays up on a store machine and holds nothing: all that lasts is in the platform's store.
+/// Runs on a store machine and keeps no state: all durable state is in the platform's store.
 #[derive(Debug, FromArgs)]
-#[expect(
-    clippy::empty_structs_with_brackets,
-    reason = "the library derives for structs with fields"
-)]
+#[expect(clippy::empty_structs_with_brackets, reason = "argh derives only for structs with braces")]
 struct Arguments {}
 
 fn main() -> ExitCode {
--- a/src/bin/catkinmast-standin.rs
+++ b/src/bin/catkinmast-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as separate processes: a thin wrapper over `catkinmast_standin`.
+//! Stand-ins for external systems, as separate processes: a thin wrapper over `catkinmast_standin`.
 
 use std::process::ExitCode;
 
--- a/src/bin/catkinmast-steps.rs
+++ b/src/bin/catkinmast-steps.rs
@@ -1,16 +1,16 @@
-//! `catkinmast-steps`: where the time of each training step went.
+//! `catkinmast-steps`: prints where the time of each training step went.
 
 use argh::FromArgs;
 use catkinmast_trail::{StepBreakdown, means_by_model, step_breakdowns};
 use std::process::ExitCode;
 
 /// Prints the critical path of each step that its trainer has ended, from the audit trails of all
-/// processes: the time that the item which ended it waited for a target, ran, stood still between
-/// runs, was scored and listed, and was read; and the means for each model. Reads log files, or
-/// standard input where none is named.
+/// processes, and the means of each model. The columns are the times that the step's last item
+/// waited for a target, ran, was idle between runs (standing), was scored and listed, and was read.
+/// Reads the named log files, or standard input if there are none.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// log files, one for each process, or collected
+    /// log files, one for each process or merged
     #[argh(positional)]
     files: Vec<String>,
 }
@@ -44,11 +44,11 @@
     };
     let unreadable = catkinmast_trail::count_unreadable(text.lines());
     if unreadable > 0 {
-        eprintln!("catkinmast-steps: {unreadable} lines are left out, they are cut or joined");
+        eprintln!("catkinmast-steps: skipped {unreadable} lines that are truncated or joined");
     }
     let steps = step_breakdowns(text.lines());
     if steps.is_empty() {
-        eprintln!("catkinmast-steps: no step has ended in these logs");
+        eprintln!("catkinmast-steps: the logs contain no completed step");
         return ExitCode::FAILURE;
     }
     println!(
--- a/src/bin/catkinmast-trail.rs
+++ b/src/bin/catkinmast-trail.rs
@@ -1,16 +1,16 @@
-//! `catkinmast-trail`: what became of a request, from the logs of several processes.
+//! `catkinmast-trail`: prints the history of a request from the logs of several processes.
 
 use argh::FromArgs;
 use std::process::ExitCode;
 
-/// Prints what the audit trails of all processes tell of one request, item, batch or target, in the
-/// order of time. Reads log files, or standard input where none is named.
+/// Prints the audit trail of one request, item, batch or target from the logs of all processes,
+/// ordered by time. Reads the named log files, or standard input if there are none.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// id of a request, an item, a batch submission or a target
+    /// id of a request, an item, a batch submission or a target, or a request's fingerprint
     #[argh(positional)]
     id: String,
-    /// log files, one for each process, or collected
+    /// log files, one for each process or merged
     #[argh(positional)]
     files: Vec<String>,
 }
@@ -26,15 +26,15 @@
     };
     let unreadable = catkinmast_trail::count_unreadable(text.lines());
     if unreadable > 0 {
-        eprintln!("catkinmast-trail: {unreadable} lines are left out, they are cut or joined");
+        eprintln!("catkinmast-trail: skipped {unreadable} lines that are truncated or joined");
     }
-    let steps = catkinmast_trail::history(text.lines(), &arguments.id);
-    let Some(first) = steps.first().map(|step| step.at_unix_ms) else {
-        eprintln!("catkinmast-trail: no line names {}", arguments.id);
+    let entries = catkinmast_trail::history(text.lines(), &arguments.id);
+    let Some(first) = entries.first().map(|entry| entry.at_unix_ms) else {
+        eprintln!("catkinmast-trail: no line mentions {}", arguments.id);
         return ExitCode::FAILURE;
     };
-    for step in &steps {
-        println!("{}", catkinmast_trail::format_entry(step, first));
+    for entry in &entries {
+        println!("{}", catkinmast_trail::format_entry(entry, first));
     }
     ExitCode::SUCCESS
 }
--- a/tests/all/trail.rs
+++ b/tests/all/trail.rs
@@ -1,4 +1,4 @@
-//! The story of a request from several processes' trails.
+//! Tests of queries over the audit trails of several processes.
 
 use catkinmast_serve::whole_writes;
 use catkinmast_trail::{StepBreakdown, format_entry, history, means_by_model, step_breakdowns};
@@ -14,32 +14,32 @@
 "#;
 
 fn events(id: &str) -> Vec<String> {
-    let steps = history(LOGS.lines(), id);
-    steps.iter().map(|step| step.line["event"].as_str().expect("an event").to_owned()).collect()
+    let entries = history(LOGS.lines(), id);
+    entries.iter().map(|entry| entry.line["event"].as_str().expect("an event").to_owned()).collect()
 }
 
 #[test]
-fn an_items_story_is_its_own_lines_and_its_batchs() {
+fn the_history_of_an_item_includes_the_lines_of_its_batch() {
     assert_eq!(events("i1"), ["batch_owned", "item_run", "batch_taken_over", "item_run"]);
 }
 
 #[test]
-fn a_requests_story_holds_nothing_of_others() {
+fn the_history_of_a_request_excludes_other_requests() {
     assert_eq!(events("q9"), ["request_ended"]);
     assert!(events("nobody").is_empty());
 }
 
 #[test]
-fn a_step_is_told_with_its_time_node_event_and_inputs() {
-    let steps = history(LOGS.lines(), "q9");
+fn an_entry_is_formatted_with_its_time_node_event_and_fields() {
+    let entries = history(LOGS.lines(), "q9");
 
     assert_eq!(
-        format_entry(&steps[0], 1_000),
+        format_entry(&entries[0], 1_000),
         "    100 ms  n3  request_ended  request=\"q9\"  status=502"
     );
 }
 
-/// The trail of one step of two items: one is short, the other moves and ends the step.
+/// The trail of one step with two items: the long one moves to another target and ends the step.
 const STEP: &str = r#"
 {"at_unix_ms":1000,"event":"batch_owned","model":"m","request":"b1","step":4}
 {"at_unix_ms":1500,"batch":"b1","event":"item_run","last_event":9,"ms":490,"outcome":"whole","request":"short"}
@@ -52,7 +52,7 @@
 "#;
 
 #[test]
-fn a_steps_time_is_told_by_the_item_that_ended_it() {
+fn the_breakdown_of_a_step_follows_its_last_item() {
     let steps = step_breakdowns(STEP.lines());
 
     let expected = StepBreakdown {
@@ -70,11 +70,11 @@
         took_ms: 6_500,
         waited_ms: 200,
     };
-    assert_eq!(steps, [expected], "a step that has not ended has no account");
+    assert_eq!(steps, [expected], "a step that has not ended has no breakdown");
 }
 
 #[test]
-fn the_parts_of_a_steps_time_add_up() {
+fn the_parts_of_a_breakdown_add_up() {
     let steps = step_breakdowns(STEP.lines());
 
     let mean = &means_by_model(&steps)["m"];
@@ -84,24 +84,23 @@
     assert_eq!((mean.steps, parts), (1, mean.took_ms));
 }
 
-// Symptom: lines of the audit trail of a busy node cannot be read.
-// Sequence: a quarter of a second's lines go out as one large write; the collector reads a part of it
-// and takes other processes' lines before the rest.
-// Cause: a pipe takes only 4,096 bytes at once.
+// Guards against unreadable lines in the audit trail of a busy node: the lines of a quarter of a second
+// went out as one large write, of which a pipe accepts only 4,096 bytes atomically, so that the collector
+// could read other processes' lines in between.
 #[test]
-fn lines_are_written_whole_in_what_a_pipe_takes_at_once() {
+fn no_write_exceeds_what_a_pipe_accepts_at_once() {
     let lines: Vec<String> = (0..200).map(|number| "x".repeat(number * 7 % 700)).collect();
 
     let texts = whole_writes(lines.iter().map(String::as_str));
 
     assert!(texts.iter().all(|text| text.len() <= 4_096 && text.ends_with('\n')));
-    assert!(texts.len() < lines.len() / 4, "few writes: {}", texts.len());
+    assert!(texts.len() < lines.len() / 4, "too many writes: {}", texts.len());
     let joined: String = texts.concat();
     assert_eq!(joined.lines().collect::<Vec<_>>(), lines);
 }
 
 #[test]
-fn lines_that_are_cut_or_joined_are_counted() {
+fn truncated_and_joined_lines_are_counted() {
     let log = "12.0 n {\"event\":\"a\"}\n12.1 n {\"event\":\"b\n{\"event\":\"c\"}{\"event\":\n\nother text";
 
     assert_eq!(catkinmast_trail::count_unreadable(log.lines()), 2);
