--- a/crates/rollout/src/batches.rs
+++ b/crates/rollout/src/batches.rs
@@ -1,20 +1,21 @@
-//! Batches: what is bound, fetched, claimed and voided.
+//! Binding, fetching, claiming and voiding of batches.
 //!
-//! Steps are bound in their order, in whole groups, and only a few batches ahead of the trainer. A
-//! fetch shows what the ledger says; a claim looks at the age of every sample once more.
+//! Samples are bound to batches in the order of steps, in complete groups, and only a few batches ahead
+//! of the trainer. A fetch returns what the ledger records; a claim checks the staleness of every sample
+//! once more.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample};
-use crate::owner::{Rollout, Waiter};
+use crate::owner::{Rollout, WaitingFetch};
 use crate::sample::{Attempt, SampleState};
 use crate::spec::{BatchView, BoundView, Registration, Reply, invalid};
-use crate::writer::{Intent, LEDGER_RETRY_MS, Settled};
+use crate::writer::{Intent, LEDGER_RETRY_MS, SettledSamples};
 use catkinmast_model::{Name, Refusal, SampleId, UnixMs, Version};
 use indexmap::IndexMap;
 
-/// How many bound batches may wait for their claim; one bound too early only grows older.
+/// How many bound batches may wait for their claim; samples of a batch bound too early only become stale.
 const BOUND_AHEAD_MAX: usize = 4;
-/// The longest that a fetch waits for its batch.
+/// The longest time a fetch waits for its batch.
 const FETCH_WAIT_MAX_MS: u64 = 10_000;
 
 impl Rollout {
@@ -25,7 +26,7 @@
         if self.registration() == Some(&registration) {
             return self.reply(reply_to, Reply::Registered(registration));
         }
-        if !self.refuse_unless_held(now, reply_to) {
+        if !self.refuse_without_lease(now, reply_to) {
             self.writer.intents.push(Intent::Register { registration, reply_to });
         }
     }
@@ -35,7 +36,7 @@
             let version = self.ledger.trainer_version;
             return self.reply(reply_to, Reply::Published { version });
         }
-        if !self.refuse_unless_held(now, reply_to) {
+        if !self.refuse_without_lease(now, reply_to) {
             self.writer.intents.push(Intent::Publish { reply_to, version });
         }
     }
@@ -57,13 +58,13 @@
         self.writer.intents.push(Intent::AddStep { digest, group_size, groups, reply_to, step });
     }
 
-    /// Binds the next batch as soon as enough whole groups of the oldest step are safe.
+    /// Binds batches for which enough complete groups of the oldest open step are safe.
     pub(crate) fn bind_ready(&mut self) {
         if self.fence.is_none() {
             return;
         }
         loop {
-            let bound = self.ledger.bound_batches() + self.writer.binds_waiting();
+            let bound = self.ledger.bound_batches() + self.writer.pending_binds();
             if bound >= BOUND_AHEAD_MAX {
                 return;
             }
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Steps are bound in their order; a later one waits until the earlier is bound whole.
+    /// Returns the step and samples of the next batch, if they are ready. Steps are bound in order: a
+    /// later one waits until all samples of the earlier one are bound.
     fn next_batch(&mut self) -> Option<(u64, Vec<BoundSample>)> {
         let batch_samples = self.registration()?.batch_samples;
         let open: Vec<(u64, u32)> =
@@ -100,7 +102,7 @@
         None
     }
 
-    /// Returns the step's groups that are in no batch, and whether all of a group is safe.
+    /// Returns the step's groups that are in no batch, and for each whether all its samples are safe.
     fn unbound_groups(&self, step: u64) -> IndexMap<u32, bool> {
         let mut groups = IndexMap::new();
         for sample in self.samples.values().filter(|sample| sample.id.step == step) {
@@ -131,15 +133,15 @@
         if let Some(reply) = self.batch_reply(batch) {
             return self.reply(reply_to, reply);
         }
-        // The asker's clock may be ahead of ours.
+        // The trainer's clock may be ahead of this node's.
         let until = until.min(now.plus(FETCH_WAIT_MAX_MS));
         if until <= now {
             return self.reply(reply_to, Reply::NotYet { retry_at: now.plus(LEDGER_RETRY_MS) });
         }
-        self.waiting.push(Waiter { batch, reply_to, until });
+        self.waiting.push(WaitingFetch { batch, reply_to, until });
     }
 
-    /// Returns what can be said of a batch, none while its number is not bound.
+    /// Returns the reply to a fetch of a batch, or `None` while its number is not bound.
     fn batch_reply(&self, batch: u64) -> Option<Reply> {
         if batch >= self.ledger.next_batch {
             return None;
@@ -170,7 +172,7 @@
         (*held == attempt).then(|| BoundView { attempt, finished: finished.clone(), id })
     }
 
-    pub(crate) fn answer_waiting(&mut self) {
+    pub(crate) fn answer_waiting_fetches(&mut self) {
         for waiter in std::mem::take(&mut self.waiting) {
             match self.batch_reply(waiter.batch) {
                 Some(reply) => self.reply(waiter.reply_to, reply),
@@ -179,8 +181,8 @@
         }
     }
 
-    /// A claim is the right to use a batch; a batch that aged beyond the bound is refused here,
-    /// at the last moment before its use, whatever was true when it was made.
+    /// Claims a batch, i.e. gives the trainer the right to use it. A batch that has exceeded the staleness
+    /// bound since it was bound is voided here, at the last moment before its use.
     pub(crate) fn claim(&mut self, now: UnixMs, reply_to: u64, batch: u64, at_version: Version) {
         let Some(record) = self.ledger.batches.get(&batch) else {
             let message = format!("{batch} is not bound");
@@ -191,11 +193,11 @@
             BatchState::Void => return self.reply(reply_to, Reply::Void { batch }),
             BatchState::Bound => {}
         }
-        if self.refuse_unless_held(now, reply_to) {
+        if self.refuse_without_lease(now, reply_to) {
             return;
         }
         let current = self.ledger.trainer_version.max(at_version);
-        let intent = if self.is_aged(batch, current) {
+        let intent = if self.is_stale(batch, current) {
             Intent::Void { at_version, batch, reply_to: Some(reply_to) }
         } else {
             Intent::Claim { batch, reply_to }
@@ -203,59 +205,59 @@
         self.writer.intents.push(intent);
     }
 
-    fn bound_ids(&self, batch: u64) -> Settled {
+    fn bound_ids(&self, batch: u64) -> SettledSamples {
         self.ledger.batches.get(&batch).map_or_else(Vec::new, BatchRecord::ids)
     }
 
-    /// Tells whether the batch holds a sample over the trainer's bound, or one that is gone.
-    fn is_aged(&self, batch: u64, current: Version) -> bool {
+    /// Returns whether the batch holds a sample that exceeds the staleness bound or no longer exists.
+    fn is_stale(&self, batch: u64, current: Version) -> bool {
         let bound = self.registration().map_or(0, |r| r.staleness_bound_versions);
         self.bound_ids(batch).iter().any(|(id, _)| {
             self.samples.get(id).is_none_or(|sample| sample.age_versions(current) > bound)
         })
     }
 
-    /// A new version makes some samples too old: those start over before a batch is made of them.
-    pub(crate) fn drop_aged(&mut self) {
+    /// Voids bound batches and restarts samples that exceed the staleness bound after a new version.
+    pub(crate) fn drop_stale(&mut self) {
         let current = self.ledger.trainer_version;
         let Some(bound) = self.registration().map(|r| r.staleness_bound_versions) else { return };
-        let aged_batches: Vec<u64> = self
+        let stale_batches: Vec<u64> = self
             .ledger
             .batches
             .iter()
             .filter(|(_, record)| record.state == BatchState::Bound)
             .map(|(number, _)| *number)
-            .filter(|number| !self.writer.settles(*number) && self.is_aged(*number, current))
+            .filter(|number| !self.writer.is_settling(*number) && self.is_stale(*number, current))
             .collect();
-        for batch in aged_batches {
+        for batch in stale_batches {
             self.void(batch);
         }
         let ids: Vec<SampleId> = self.samples.keys().copied().collect();
         for id in ids {
-            self.drop_if_aged(id, current, bound);
+            self.drop_if_stale(id, current, bound);
         }
     }
 
-    fn drop_if_aged(&mut self, id: SampleId, current: Version, bound: u64) {
+    fn drop_if_stale(&mut self, id: SampleId, current: Version, bound: u64) {
         let Some(sample) = self.samples.get(&id) else { return };
         match sample.state {
             SampleState::Safe if sample.age_versions(current) > bound => self.start_over(id),
             SampleState::Running => {
-                let aged: Vec<Attempt> = sample
+                let stale: Vec<Attempt> = sample
                     .runs
                     .iter()
                     .filter(|(_, run)| !self.fits_bound(id, &run.segments))
                     .map(|(attempt, _)| *attempt)
                     .collect();
-                for attempt in aged {
-                    self.give_up_aged_run(id, attempt);
+                for attempt in stale {
+                    self.cancel_stale_run(id, attempt);
                 }
             }
             _ => {}
         }
     }
 
-    fn give_up_aged_run(&mut self, id: SampleId, attempt: Attempt) {
+    fn cancel_stale_run(&mut self, id: SampleId, attempt: Attempt) {
         let Some(sample) = self.samples.get_mut(&id) else { return };
         let Some(run) = sample.runs.shift_remove(&attempt) else { return };
         if sample.runs.is_empty() {
@@ -264,7 +266,7 @@
         self.give_up_run(id, attempt, &run);
     }
 
-    /// Makes a sample again from nothing.
+    /// Discards a sample's tokens and queues it again.
     pub(crate) fn start_over(&mut self, id: SampleId) {
         self.cancel_runs(id);
         let Some(sample) = self.samples.get_mut(&id) else { return };
@@ -300,7 +302,7 @@
         self.forget_settled();
     }
 
-    /// Drops claimed samples whose batch the ledger no longer lists, and finished steps.
+    /// Drops claimed samples whose batch the ledger no longer lists, and steps that are done.
     fn forget_settled(&mut self) {
         let listed: indexmap::IndexSet<SampleId> = self
             .ledger
@@ -354,7 +356,7 @@
         let numbers: Vec<u64> = bound.map(|(number, _)| *number).collect();
         for batch in numbers {
             let holds = self.bound_ids(batch).iter().any(|(held, _)| *held == id);
-            if holds && !self.writer.settles(batch) {
+            if holds && !self.writer.is_settling(batch) {
                 self.void(batch);
             }
         }
@@ -368,7 +370,7 @@
     pub(crate) fn copied(&mut self, id: SampleId, attempt: Attempt, holder: Option<Name>) {
         self.copying.shift_remove(&id);
         if holder.is_none() {
-            self.recopy.push(id);
+            self.failed_copies.push(id);
         }
         let Some(sample) = self.samples.get_mut(&id) else { return };
         if let (Some((held, finished)), Some(holder)) = (&mut sample.finished, holder)
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the owner of a trainer's steps, and what it wants done.
+//! Input events and output effects of the owner of a trainer's steps.
 
 use crate::ledger::Ledger;
 use crate::sample::{Attempt, Finished};
@@ -11,15 +11,15 @@
 /// A node that can run samples and hold their tokens.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NodeInfo {
-    /// Where it stands.
+    /// Data centre in which the node runs.
     pub data_centre: Name,
-    /// Whether it leaves: it gets no new work, and what it holds is copied elsewhere.
+    /// Whether the node is leaving: it gets no new work, and the samples it holds are copied elsewhere.
     pub leaving: bool,
-    /// Its name.
+    /// Name of the node.
     pub name: Name,
 }
 
-/// What a node holds of a sample, told to a new owner.
+/// A node's report to a new owner about a sample that it holds.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HoldingReport {
     /// The attempt.
@@ -28,28 +28,28 @@
     pub holder: Name,
     /// The sample.
     pub sample: SampleId,
-    /// The score of a whole sample, in thousandths; none while it is partial.
+    /// The score of a complete sample, in thousandths; `None` if the sample is partial.
     pub score_millis: Option<i64>,
-    /// The versions of the tokens held.
+    /// The weight versions of the tokens held.
     pub segments: Segments,
 }
 
-/// One attempt to run.
+/// An order to a node to run one attempt at a sample.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunOrder {
     /// The attempt.
     pub attempt: Attempt,
     /// The engine.
     pub engine: EngineInfo,
-    /// Most tokens.
+    /// Maximum number of tokens.
     pub max_tokens: u32,
-    /// How often the runner tells how far it is, beside each change of version.
+    /// Interval at which the runner reports progress, in addition to each change of version.
     pub progress_every_ms: u64,
     /// The prompt.
     pub prompt: String,
-    /// The attempt whose tokens, held by the runner, are gone on from.
+    /// The attempt to resume from, whose tokens the runner holds.
     pub resume: Option<Attempt>,
-    /// The node that runs it.
+    /// The node that runs the attempt.
     pub runner: Name,
     /// The sample.
     pub sample: SampleId,
@@ -57,118 +57,118 @@
     pub seed: u64,
 }
 
-/// What happens to the aggregate.
+/// An input of the owner's state machine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
     /// A trainer's command.
     Command {
         /// The command.
         command: Command,
-        /// Names the reply's receiver.
+        /// Identifies the receiver of the reply.
         reply_to: u64,
     },
-    /// Nobody holds the tokens of a sample any more, as a reader found.
+    /// A reader found that no node holds the tokens of a sample any more.
     ContentLost {
         /// The attempt.
         attempt: Attempt,
         /// The sample.
         sample: SampleId,
     },
-    /// One more node holds a sample's tokens.
+    /// A copy of a sample's tokens to one more node succeeded or failed.
     Copied {
         /// The attempt.
         attempt: Attempt,
-        /// The new holder; none when the copy failed.
+        /// The new holder; `None` if the copy failed.
         holder: Option<Name>,
         /// The sample.
         sample: SampleId,
     },
     /// The live engines of the trainer's model.
     Engines(Vec<EngineInfo>),
-    /// An engine's lagging report.
+    /// An engine's report of its version, which may be outdated.
     EngineVersion {
         /// The engine.
         engine: Name,
         /// The version it serves.
         version: Version,
     },
-    /// What the nodes hold, in answer to [`Effect::FindHoldings`].
+    /// The samples that nodes hold, in reply to [`Effect::FindHoldings`].
     Holdings(Vec<HoldingReport>),
-    /// The lease's state.
+    /// A change of the lease.
     Lease {
-        /// The fencing number, none while the lease is not held for certain.
+        /// The fencing number; `None` while the lease is not certain to be held.
         fence: Option<Fence>,
     },
-    /// The ledger was changed by someone else.
+    /// A write of the ledger failed because it was not at the expected version.
     LedgerConflict,
-    /// The ledger and its version, none when it does not exist.
+    /// The ledger and the version of its key; `None` if it does not exist.
     LedgerRead(Option<(Box<Ledger>, u64)>),
-    /// The ledger's service does not answer, or a reply was lost.
+    /// The key-value service did not respond to a read or write of the ledger, or the reply was lost.
     LedgerUnknown,
-    /// The ledger was written and is now at this version.
+    /// The ledger was written.
     LedgerWritten {
-        /// The key's version.
+        /// The new version of its key.
         version: u64,
     },
-    /// The nodes that are not gone, this one included.
+    /// The present nodes, including this one and those that are leaving.
     Nodes(Vec<NodeInfo>),
-    /// Orders to engines may be sent under this number.
+    /// The fencing number for orders to engines; `None` while no orders may be sent.
     OrderFence(Option<Fence>),
-    /// A run ended without a whole sample.
+    /// A run ended without a complete sample.
     RunFailed {
         /// The attempt.
         attempt: Attempt,
-        /// Whether the engine broke it.
+        /// Whether the engine caused the failure.
         engine_at_fault: bool,
-        /// Whether the runner keeps the tokens for another attempt.
+        /// Whether the runner keeps the tokens so that another attempt can resume from them.
         partial_kept: bool,
         /// The sample.
         sample: SampleId,
     },
-    /// A run gained tokens.
+    /// A run has generated more tokens.
     RunProgress {
         /// The attempt.
         attempt: Attempt,
         /// The sample.
         sample: SampleId,
-        /// The versions of all its tokens so far.
+        /// The weight versions of all its tokens so far.
         segments: Segments,
     },
-    /// A sample is whole, scored and held.
+    /// A sample is complete, scored and stored on its holders.
     RunSafe {
         /// The attempt.
         attempt: Attempt,
-        /// What is known of it.
+        /// The metadata of the sample.
         finished: Finished,
         /// The sample.
         sample: SampleId,
     },
-    /// All tokens of a run are there; score and copy are under way.
+    /// All tokens of a run have been generated; scoring and copying are in progress.
     RunComplete {
         /// The attempt.
         attempt: Attempt,
         /// The sample.
         sample: SampleId,
     },
-    /// A stored step was read back; none when it cannot be found.
+    /// A stored step was read back, or the read failed.
     StepLoaded {
-        /// The step's content.
+        /// The step's content; `None` if it could not be read.
         spec: Option<StepSpec>,
-        /// Its number.
+        /// The number of the step.
         step: u64,
     },
-    /// A step's content was stored, or not.
+    /// Storing a step's content succeeded or failed.
     StepStored {
         /// The step.
         step: u64,
-        /// Whether it is stored.
+        /// Whether it succeeded.
         stored: bool,
     },
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// What the aggregate wants done.
+/// An action that the owner's state machine requests from its caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
     /// Stop a run.
@@ -178,20 +178,20 @@
         /// The sample.
         sample: SampleId,
     },
-    /// Let a holder copy a sample to one more node; report [`Event::Copied`].
+    /// Have a holder copy a sample to one more node; report [`Event::Copied`].
     CopyAgain {
         /// The attempt.
         attempt: Attempt,
-        /// A node that holds it.
+        /// A node that holds the sample.
         holder: Name,
         /// The sample.
         sample: SampleId,
     },
-    /// Ask all nodes what they hold of this trainer; report [`Event::Holdings`].
+    /// Ask all nodes which samples of this trainer they hold; report [`Event::Holdings`].
     FindHoldings,
-    /// Let holders drop what is no longer needed.
+    /// Have holders drop samples that are no longer needed.
     Forget {
-        /// Samples and attempts.
+        /// The samples, each with the attempt to drop.
         samples: Vec<(SampleId, Attempt)>,
     },
     /// Read a stored step; report [`Event::StepLoaded`].
@@ -201,9 +201,9 @@
         /// The step.
         step: u64,
     },
-    /// Order an engine to load a version.
+    /// Order an engine to load a weight version.
     Order {
-        /// Where it listens.
+        /// Address on which the engine listens.
         address: SocketAddr,
         /// The engine.
         engine: Name,
@@ -214,11 +214,11 @@
     },
     /// Read the ledger; report [`Event::LedgerRead`] or [`Event::LedgerUnknown`].
     ReadLedger,
-    /// Answer a command.
+    /// Reply to a command.
     Reply {
-        /// The answer.
+        /// The reply.
         reply: Reply,
-        /// The receiver.
+        /// Identifies the receiver, as given with the command.
         reply_to: u64,
     },
     /// Start a run.
@@ -232,9 +232,10 @@
         /// The step.
         step: u64,
     },
-    /// Write the ledger if it is at `expect`; report what came back.
+    /// Write the ledger if its key is at version `expect`; report [`Event::LedgerWritten`],
+    /// [`Event::LedgerConflict`] or [`Event::LedgerUnknown`].
     WriteLedger {
-        /// The key's version, none when it must not exist.
+        /// The expected version of the key; `None` if the key must not exist.
         expect: Option<u64>,
         /// The new ledger.
         ledger: Box<Ledger>,
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger: what must survive the owner of a trainer's steps.
+//! The ledger: the state of a trainer's steps that must survive their owner.
 //!
-//! One value of the key-value service per trainer. It is small because it holds no tokens: a
-//! sample in a bound batch takes a few numbers, and a claimed one takes a bit.
+//! It is one value in the key-value service per trainer. It is small because it holds no tokens: a
+//! sample in a bound batch takes a few numbers, and a claimed one takes one bit.
 
 use crate::sample::Attempt;
 use crate::spec::Registration;
@@ -9,9 +9,9 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// How many finished steps the ledger remembers, so that a repeated submission is known.
+/// How many finished steps the ledger keeps, so that a repeated submission is recognized.
 const DONE_STEPS_KEPT: usize = 16;
-/// How many settled batches the ledger remembers, so that a repeated claim is known.
+/// How many settled batches the ledger keeps, so that a repeated claim is recognized.
 const SETTLED_BATCHES_KEPT: usize = 256;
 
 /// A set of sample indices in a step, one bit each.
@@ -20,7 +20,7 @@
 pub struct ClaimedSet(Vec<u64>);
 
 impl ClaimedSet {
-    /// Adds an index and tells whether it was new.
+    /// Adds an index. Returns whether it was new.
     pub fn insert(&mut self, index: u32) -> bool {
         let (word, bit) = (index as usize / 64, index % 64);
         if self.0.len() <= word {
@@ -31,42 +31,42 @@
         was_new
     }
 
-    /// Tells whether an index is in the set.
+    /// Returns whether an index is in the set.
     pub fn contains(&self, index: u32) -> bool {
         self.0.get(index as usize / 64).is_some_and(|word| word & (1 << (index % 64)) != 0)
     }
 
-    /// Returns how many indices are in the set.
+    /// Returns the number of indices in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// Tells whether the set is empty.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A step, as the ledger knows it.
+/// The ledger's record of a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StepRecord {
-    /// Which samples were claimed, by `group * group_size + index`.
+    /// The claimed samples, by `group * group_size + index`.
     pub claimed: ClaimedSet,
     /// Digest of the stored step; a repeated submission must have the same.
     pub digest: String,
     /// Samples in a group, as registered when the step was submitted.
     pub group_size: u32,
-    /// How many groups it has.
+    /// Number of groups in the step.
     pub groups: u32,
 }
 
 impl StepRecord {
-    /// Returns how many samples the step has.
+    /// Returns the number of samples in the step.
     pub const fn samples(&self) -> u32 {
         self.groups * self.group_size
     }
 
-    /// Tells whether every sample was claimed.
+    /// Returns whether every sample has been claimed.
     pub fn is_done(&self) -> bool {
         self.claimed.len() == self.samples()
     }
@@ -77,7 +77,7 @@
     }
 }
 
-/// Where a batch stands.
+/// The state of a batch.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BatchState {
@@ -89,32 +89,32 @@
     Void,
 }
 
-/// A sample in a batch: its group, its index and the attempt that made it.
+/// A sample in a batch: its group, its index and the attempt that produced it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoundSample(pub u32, pub u32, pub Attempt);
 
-/// A batch, as the ledger knows it.
+/// The ledger's record of a batch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BatchRecord {
-    /// The samples; emptied some time after the batch is settled.
+    /// The samples; cleared some time after the batch is settled.
     pub samples: Vec<BoundSample>,
-    /// Where it stands.
+    /// The state.
     pub state: BatchState,
     /// The step.
     pub step: u64,
 }
 
 impl BatchRecord {
-    /// Returns its samples and the attempts that made them.
+    /// Returns the batch's samples and the attempts that produced them.
     pub fn ids(&self) -> Vec<(SampleId, Attempt)> {
-        let place = |BoundSample(group, index, attempt): &BoundSample| {
+        let to_id = |BoundSample(group, index, attempt): &BoundSample| {
             (SampleId { step: self.step, group: *group, index: *index }, *attempt)
         };
-        self.samples.iter().map(place).collect()
+        self.samples.iter().map(to_id).collect()
     }
 }
 
-/// What must survive the owner.
+/// The state of a trainer's steps that must survive their owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ledger {
     /// Batches by number.
@@ -123,13 +123,13 @@
     pub fence: Fence,
     /// Number of the next batch.
     pub next_batch: u64,
-    /// What the trainer set.
+    /// What the trainer set when it registered.
     pub registration: Option<Registration>,
     /// Steps by number, oldest first.
     pub steps: IndexMap<u64, StepRecord>,
-    /// The last version published.
+    /// The last published weight version.
     pub trainer_version: Version,
-    /// The writer's own number of its last write, by which a lost reply is settled.
+    /// Unique id of the last write, by which a writer that lost the reply recognizes its own write.
     pub write_id: String,
 }
 
@@ -148,7 +148,7 @@
 }
 
 impl Ledger {
-    /// Walks through the steps that are not claimed whole, oldest first.
+    /// Iterates over the steps with unclaimed samples, oldest first.
     pub fn open_steps(&self) -> impl Iterator<Item = (u64, &StepRecord)> {
         self.steps.iter().filter(|(_, step)| !step.is_done()).map(|(number, step)| (*number, step))
     }
@@ -158,7 +158,7 @@
         self.batches.values().filter(|batch| batch.state == BatchState::Bound).count()
     }
 
-    /// Binds the next batch number to these samples, and returns it.
+    /// Binds the next batch number to these samples and returns the number.
     pub(crate) fn bind(&mut self, step: u64, samples: Vec<BoundSample>) -> u64 {
         let number = self.next_batch;
         self.next_batch += 1;
@@ -167,7 +167,7 @@
         number
     }
 
-    /// Settles a bound batch as claimed; tells whether it was bound until now.
+    /// Settles a bound batch as claimed. Returns whether it was bound until now.
     pub(crate) fn claim(&mut self, number: u64) -> bool {
         let Some(batch) = self.batches.get_mut(&number) else { return false };
         if batch.state != BatchState::Bound {
@@ -183,7 +183,7 @@
         true
     }
 
-    /// Settles a bound batch as void; tells whether it was bound until now.
+    /// Settles a bound batch as void. Returns whether it was bound until now.
     pub(crate) fn void(&mut self, number: u64) -> bool {
         match self.batches.get_mut(&number) {
             Some(batch) if batch.state == BatchState::Bound => {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Forgets what no lost reply can ask about any more.
+    /// Removes the oldest settled records, which no retry after a lost reply can refer to any more.
     fn trim(&mut self) {
         let done: Vec<u64> =
             self.steps.iter().filter(|(_, s)| s.is_done()).map(|(number, _)| *number).collect();
@@ -211,7 +211,7 @@
         for number in settled.iter().take(settled.len().saturating_sub(SETTLED_BATCHES_KEPT)) {
             self.batches.shift_remove(number);
         }
-        // The lists of settled batches are needed only while their content is still held.
+        // Sample lists of settled batches are needed only while their content may be fetched again.
         for number in settled.iter().rev().skip(2) {
             if let Some(batch) = self.batches.get_mut(number) {
                 batch.samples = Vec::new();
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,16 +1,16 @@
-//! Steps, groups, samples and batches: what a trainer asks for and receives.
+//! Scheduling and delivery of a trainer's steps, groups, samples and batches.
 //!
-//! One node at a time owns a trainer's steps. [`Rollout`] is the owner's aggregate: commands and
-//! reports come in with `now`, effects come out, and it owns no socket, clock or thread. It keeps
-//! what a sample *is* (state, segments, score, who holds the tokens) and never the tokens
-//! themselves: at the users' size a step's tokens are hundreds of megabytes, so they stay with
-//! the node that ran the sample and with one copy elsewhere (see `docs/CAPACITY.md`).
+//! One node at a time owns a trainer's steps. [`Rollout`] is the owner's state machine: it takes
+//! commands and reports together with the current time and returns effects, and does no I/O itself. It
+//! keeps each sample's metadata (state, segments, score, holders of its tokens) but never the tokens: a
+//! step's tokens can be hundreds of megabytes, so they stay on the node that ran the sample and on one
+//! other node that has a copy (see `docs/CAPACITY.md`).
 //!
-//! What must survive the owner is in the [`Ledger`], one value of the platform's key-value service
-//! that is changed by compare-and-swap only. A new owner's first act is to write its own fencing
-//! number into it, after which every write of the old owner fails, however long it was paused.
-//! A batch number is bound to a fixed list of samples in the ledger before anyone sees it, and a
-//! claim is a write of the ledger as well; that makes delivery exactly-once.
+//! State that must survive the owner is in the [`Ledger`], one value in the platform's key-value
+//! service that is changed by compare-and-swap only. A new owner first writes its own fencing number
+//! into the ledger; from then on every write of the old owner fails, however long it was paused. A
+//! batch number is bound to a fixed list of samples in the ledger before the batch is visible to
+//! anyone, and a claim is also a write of the ledger. This makes delivery exactly-once.
 
 mod batches;
 mod event;
--- a/crates/rollout/src/orders.rs
+++ b/crates/rollout/src/orders.rs
@@ -1,27 +1,27 @@
-//! Weight orders: bringing a model's engines to the trainer's version.
+//! Weight orders: instruct a model's engines to load the trainer's weight version.
 //!
-//! Orders are level-triggered: an engine is told the wanted version again and again until its
-//! report shows it, so a lost order, a failed swap and an engine that came back with old weights
-//! are one case. At most a share of the engines swaps at once, so the model is never out as a
-//! whole and the weight store is not asked by all at the same moment.
+//! Orders are level-triggered: an order is repeated until the engine reports the wanted version, so a
+//! lost order, a failed swap and an engine that restarted with old weights are handled alike. Only a
+//! share of the engines swaps at the same time, so that the model stays available and the weight store
+//! is not loaded by all engines at once.
 //!
-//! For engines that ignore fencing numbers, an order never names a version older than the engine
-//! reports, unless an operator rolls back: a late order of a paused former holder can then not
-//! take an engine back for longer than the next order.
+//! Because some engines ignore fencing numbers, an order never names a version older than the engine
+//! reports, unless an operator rolls back. So a late order from a paused previous holder can set an
+//! engine back only until the next order.
 
 use catkinmast_model::{Name, UnixMs, Version};
 use indexmap::IndexMap;
 
-/// How orders are paced.
+/// Timing and concurrency of weight orders.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderSettings {
-    /// Time between two orders to the same engine.
+    /// Interval at which an order to the same engine is repeated.
     pub repeat_every_ms: u64,
-    /// After this an order counts as failed, and its place goes to another engine.
+    /// Time after which an order counts as failed and another engine may swap instead.
     pub give_up_after_ms: u64,
-    /// How long a failed engine waits for its next order.
+    /// How long an engine gets no order after one has failed.
     pub backoff_ms: u64,
-    /// The largest share of the engines that swaps at once, in percent.
+    /// Maximum percentage of the engines that swap at the same time.
     pub at_once_percent: u32,
 }
 
@@ -37,40 +37,40 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenOrder {
     give_up_at: UnixMs,
     repeat_at: UnixMs,
     version: Version,
 }
 
-/// The orders under way for one model.
+/// The open orders of one model.
 #[derive(Clone, Debug)]
 pub struct OrderBook {
-    open: IndexMap<Name, Open>,
-    resting: IndexMap<Name, UnixMs>,
+    open: IndexMap<Name, OpenOrder>,
+    backoffs: IndexMap<Name, UnixMs>,
     settings: OrderSettings,
 }
 
 impl OrderBook {
-    /// Opens an empty book.
+    /// Creates a book without orders.
     pub fn open(settings: OrderSettings) -> Self {
-        Self { open: IndexMap::new(), resting: IndexMap::new(), settings }
+        Self { open: IndexMap::new(), backoffs: IndexMap::new(), settings }
     }
 
-    /// Changes the largest share of the engines that swaps at once, in percent.
+    /// Sets the maximum percentage of the engines that swap at the same time.
     pub const fn set_at_once_percent(&mut self, percent: u32) {
         self.settings.at_once_percent = percent;
     }
 
-    /// Tells whether the engine is in the middle of a swap.
+    /// Returns whether an order to the engine is open.
     pub fn is_open(&self, engine: &Name) -> bool {
         self.open.contains_key(engine)
     }
 
-    /// Returns the orders to send now.
+    /// Returns the engines to which an order should be sent now.
     ///
-    /// `engines` are the live engines with the versions they report; `may_go_back` is set while
-    /// an operator rolls back.
+    /// `engines` are the live engines with the versions they report. `may_go_back` allows orders for an
+    /// older version than reported, while an operator rolls back.
     pub fn due(
         &mut self,
         now: UnixMs,
@@ -80,18 +80,18 @@
     ) -> Vec<Name> {
         self.settle(now, wanted, engines);
         let mut due = self.repeat(now);
-        let most = (engines.len() * self.settings.at_once_percent as usize / 100).max(1);
-        // Engines that never reported hold nothing worth keeping, so they go first.
-        let mut behind: Vec<&(Name, Option<Version>)> = engines
+        let max_open = (engines.len() * self.settings.at_once_percent as usize / 100).max(1);
+        // Engines that have not reported a version sort first: they hold no weights worth keeping.
+        let mut outdated: Vec<&(Name, Option<Version>)> = engines
             .iter()
-            .filter(|(name, version)| self.needs(now, name, *version, wanted, may_go_back))
+            .filter(|(name, version)| self.needs_order(now, name, *version, wanted, may_go_back))
             .collect();
-        behind.sort_by_key(|(_, version)| *version);
-        for (name, _) in behind {
-            if self.open.len() >= most {
+        outdated.sort_by_key(|(_, version)| *version);
+        for (name, _) in outdated {
+            if self.open.len() >= max_open {
                 break;
             }
-            let open = Open {
+            let open = OpenOrder {
                 give_up_at: now.plus(self.settings.give_up_after_ms),
                 repeat_at: now.plus(self.settings.repeat_every_ms),
                 version: wanted,
@@ -102,7 +102,7 @@
         due
     }
 
-    fn needs(
+    fn needs_order(
         &self,
         now: UnixMs,
         name: &Name,
@@ -110,19 +110,19 @@
         wanted: Version,
         may_go_back: bool,
     ) -> bool {
-        let rests = self.resting.get(name).is_some_and(|until| *until > now);
-        let other = match version {
+        let backs_off = self.backoffs.get(name).is_some_and(|until| *until > now);
+        let is_other = match version {
             Some(version) if may_go_back => version != wanted,
             Some(version) => version < wanted,
             None => true,
         };
-        other && !rests && !self.open.contains_key(name)
+        is_other && !backs_off && !self.open.contains_key(name)
     }
 
-    /// Closes orders that are done, overtaken by a newer version, or hopeless for now.
+    /// Closes orders that are done, superseded by another version, or timed out.
     fn settle(&mut self, now: UnixMs, wanted: Version, engines: &[(Name, Option<Version>)]) {
-        let rest_until = now.plus(self.settings.backoff_ms);
-        let resting = &mut self.resting;
+        let backoff_until = now.plus(self.settings.backoff_ms);
+        let backoffs = &mut self.backoffs;
         self.open.retain(|name, open| {
             let Some((_, version)) = engines.iter().find(|(engine, _)| engine == name) else {
                 return false;
@@ -130,13 +130,13 @@
             if *version == Some(wanted) || open.version != wanted {
                 return false;
             }
-            let hopeless = open.give_up_at <= now;
-            if hopeless {
-                resting.insert(name.clone(), rest_until);
+            let expired = open.give_up_at <= now;
+            if expired {
+                backoffs.insert(name.clone(), backoff_until);
             }
-            !hopeless
+            !expired
         });
-        self.resting.retain(|_, until| *until > now);
+        self.backoffs.retain(|_, until| *until > now);
     }
 
     fn repeat(&mut self, now: UnixMs) -> Vec<Name> {
--- a/crates/rollout/src/owner.rs
+++ b/crates/rollout/src/owner.rs
@@ -1,9 +1,9 @@
-//! The owner of a trainer's steps.
+//! The state machine that owns a trainer's steps.
 //!
-//! [`Rollout::handle`] takes one event and returns effects. The aggregate is cut by what it
-//! decides: this file holds the state and takes commands; `runs` starts samples and follows them;
-//! `batches` binds, claims and voids; `writer` changes the ledger; `recovery` takes the ledger over
-//! and rebuilds the samples after the owner was lost.
+//! [`Rollout::handle`] takes one event and returns effects. Its code is split by task: this module
+//! holds the state and handles commands; `runs` starts samples and tracks them; `batches` binds, claims
+//! and voids batches; `writer` changes the ledger; `recovery` takes the ledger over and rebuilds the
+//! samples after the previous owner was lost.
 
 use crate::event::{Effect, Event, NodeInfo};
 use crate::ledger::Ledger;
@@ -15,32 +15,32 @@
 use catkinmast_model::{Fence, Name, Refusal, SampleId, UnixMs, Version};
 use indexmap::{IndexMap, IndexSet};
 
-/// When a trainer whose command cannot be taken now should come back.
+/// After what time a trainer should retry a command that cannot be accepted now.
 const RETRY_MS: u64 = 500;
 
-/// How far the takeover of the ledger is.
+/// Progress of the takeover of the ledger.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// Commands are served.
+    /// The takeover is complete; commands are served.
     Active,
-    /// Steps and holdings are being read back.
+    /// Stored steps and the samples that nodes hold are being read back.
     Loading,
-    /// The ledger is being read, or our number is being written into it.
+    /// The ledger is being read, or this owner's fencing number is being written into it.
     TakingOver,
 }
 
-/// What an event may set going.
+/// The work that may become possible through an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Stirs {
-    /// A waiting sample may find an engine.
-    Engines,
-    /// Nothing.
-    Nothing,
-    /// A batch may be whole, or a sample may start.
-    Samples,
+enum FollowUp {
+    /// A queued sample may start on an engine.
+    Dispatch,
+    /// None.
+    None,
+    /// A batch may be ready to bind, or a queued sample may start.
+    BindAndDispatch,
 }
 
-/// The aggregate of one trainer's steps.
+/// The state machine of one trainer's steps. It does no I/O and reads no clock.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     pub(crate) copying: IndexSet<SampleId>,
@@ -56,38 +56,38 @@
     pub(crate) order_fence: Option<Fence>,
     pub(crate) orders: OrderBook,
     pub(crate) phase: Phase,
-    pub(crate) recopy: Vec<SampleId>,
+    pub(crate) failed_copies: Vec<SampleId>,
     pub(crate) roll_back_to: Option<Version>,
     pub(crate) runner_loads: IndexMap<Name, u32>,
     pub(crate) samples: IndexMap<SampleId, Sample>,
     pub(crate) schedule: ScheduleSettings,
     pub(crate) specs: IndexMap<u64, StepSpec>,
-    pub(crate) submitted: IndexMap<u64, Submission>,
+    pub(crate) submitted: IndexMap<u64, PendingSubmission>,
     pub(crate) tokens_wasted: u64,
-    pub(crate) waiting: Vec<Waiter>,
+    pub(crate) waiting: Vec<WaitingFetch>,
     pub(crate) writer: Writer,
 }
 
 /// A step whose content is being stored.
 #[derive(Clone, Debug)]
-pub(crate) struct Submission {
+pub(crate) struct PendingSubmission {
     pub digest: String,
     pub reply_to: Vec<u64>,
     pub spec: StepSpec,
 }
 
-/// A fetch that waits for its batch.
+/// A fetch that waits until its batch is bound.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct WaitingFetch {
     pub batch: u64,
     pub reply_to: u64,
     pub until: UnixMs,
 }
 
 impl Rollout {
-    /// Opens the aggregate of a node that has just gained the lease under `fence`.
+    /// Creates the owner on a node that has just gained the lease with the fencing number `fence`.
     ///
-    /// `writer` names this node's life; it must differ between any two lives.
+    /// `writer` identifies this node's incarnation and must differ between any two incarnations.
     pub fn open(
         writer: impl Into<String>,
         fence: Fence,
@@ -108,7 +108,7 @@
             order_fence: None,
             orders: OrderBook::open(orders),
             phase: Phase::TakingOver,
-            recopy: Vec::new(),
+            failed_copies: Vec::new(),
             roll_back_to: None,
             runner_loads: IndexMap::new(),
             samples: IndexMap::new(),
@@ -125,40 +125,40 @@
         (rollout, effects)
     }
 
-    /// Sets what the operators' configuration says of the model: the version to roll back to, and
-    /// the largest share of its engines that swaps at once, in percent.
+    /// Sets the model's values from the operators' configuration: the version to roll back to, and the
+    /// maximum percentage of its engines that swap weights at the same time.
     pub const fn set_model(&mut self, roll_back_to: Option<Version>, swap_at_once_percent: u32) {
         self.roll_back_to = roll_back_to;
         self.orders.set_at_once_percent(swap_at_once_percent);
     }
 
-    /// Returns how far the takeover of the ledger is.
+    /// Returns the progress of the takeover of the ledger.
     pub const fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Borrows the ledger as last confirmed.
+    /// Returns the last confirmed ledger.
     pub const fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Walks through the samples that are not yet claimed and forgotten.
+    /// Iterates over all samples that have not been forgotten after their claim.
     pub fn samples(&self) -> impl Iterator<Item = &Sample> {
         self.samples.values()
     }
 
-    /// Returns the engines that are in the middle of an order; their reports are worth asking for.
+    /// Returns the engines with an open weight order, whose reports the caller should request.
     pub fn engines_in_swap(&self) -> impl Iterator<Item = &EngineInfo> {
         let open = self.engines.values().filter(|engine| self.orders.is_open(&engine.info.name));
         open.map(|engine| &engine.info)
     }
 
-    /// Handles one event.
+    /// Applies one event and returns the effects to carry out.
     pub fn handle(&mut self, now: UnixMs, event: Event) -> Vec<Effect> {
-        let stirs = self.stirs(&event);
+        let follow_up = self.follow_up(&event);
         self.apply(now, event);
-        if self.phase == Phase::Active && stirs != Stirs::Nothing {
-            if stirs == Stirs::Samples {
+        if self.phase == Phase::Active && follow_up != FollowUp::None {
+            if follow_up == FollowUp::BindAndDispatch {
                 self.bind_ready();
             }
             self.dispatch(now);
@@ -167,25 +167,25 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Tells what an event may set going, so that the many that change little cost little.
-    fn stirs(&self, event: &Event) -> Stirs {
+    /// Returns the work that an event may make possible, so that frequent minor events stay cheap.
+    fn follow_up(&self, event: &Event) -> FollowUp {
         match event {
             Event::RunProgress { .. } | Event::OrderFence(_) | Event::Copied { .. } => {
-                Stirs::Nothing
+                FollowUp::None
             }
             Event::EngineVersion { engine, version } => {
                 let known = self.engines.get(engine).and_then(|view| view.version);
-                if known == Some(*version) { Stirs::Nothing } else { Stirs::Engines }
+                if known == Some(*version) { FollowUp::None } else { FollowUp::Dispatch }
             }
-            Event::Tick => Stirs::Engines,
-            _ => Stirs::Samples,
+            Event::Tick => FollowUp::Dispatch,
+            _ => FollowUp::BindAndDispatch,
         }
     }
 
-    /// Gives everything up because another node owns the trainer now.
+    /// Cancels all runs and refuses all pending commands, because another node owns the trainer now.
     pub fn abandon(&mut self) -> Vec<Effect> {
         self.cancel_all_runs();
-        self.refuse_everything("the trainer's steps have moved to another node");
+        self.refuse_pending("the trainer's steps have moved to another node");
         std::mem::take(&mut self.effects)
     }
 
@@ -202,7 +202,7 @@
             }
             Event::Holdings(found) => self.holdings_found(found),
             Event::Lease { fence } => self.lease_changed(fence),
-            Event::LedgerConflict | Event::LedgerUnknown => self.ledger_unsettled(now),
+            Event::LedgerConflict | Event::LedgerUnknown => self.ledger_outcome_unknown(now),
             Event::LedgerRead(read) => self.ledger_read(read),
             Event::LedgerWritten { version } => self.ledger_written(version),
             Event::Nodes(nodes) => self.set_nodes(nodes),
@@ -216,7 +216,7 @@
             Event::RunSafe { attempt, finished, sample } => {
                 self.run_safe(sample, attempt, finished);
             }
-            Event::RunComplete { attempt, sample } => self.run_whole(now, sample, attempt),
+            Event::RunComplete { attempt, sample } => self.run_complete(now, sample, attempt),
             Event::StepLoaded { spec, step } => self.step_loaded(step, spec),
             Event::StepStored { step, stored } => self.step_stored(now, step, stored),
             Event::Tick => self.tick(now),
@@ -249,8 +249,9 @@
         }
     }
 
-    /// Refuses a command that needs the ledger while the lease is not held for certain.
-    pub(crate) fn refuse_unless_held(&mut self, now: UnixMs, reply_to: u64) -> bool {
+    /// Refuses a command that writes the ledger while the lease is not certain to be held. Returns
+    /// whether it was refused.
+    pub(crate) fn refuse_without_lease(&mut self, now: UnixMs, reply_to: u64) -> bool {
         if self.fence.is_some() {
             return false;
         }
@@ -276,14 +277,14 @@
             let message = format!("{step} is older than step {newest}, which is known");
             return self.reply(reply_to, invalid("step", message));
         }
-        if self.refuse_unless_held(now, reply_to) {
+        if self.refuse_without_lease(now, reply_to) {
             return;
         }
         match self.submitted.get_mut(&step) {
             Some(submission) if submission.digest == digest => submission.reply_to.push(reply_to),
             Some(_) => self.reply(reply_to, other_content(step)),
             None => {
-                let submission = Submission {
+                let submission = PendingSubmission {
                     digest: digest.clone(),
                     reply_to: vec![reply_to],
                     spec: spec.clone(),
@@ -314,7 +315,7 @@
                     in_flight: 0,
                     info: info.clone(),
                     recent_groups: Vec::new(),
-                    resting_until: UnixMs(0),
+                    backoff_until: UnixMs(0),
                     version: None,
                 };
                 self.engines.insert(info.name, view);
@@ -324,14 +325,14 @@
 
     fn tick(&mut self, now: UnixMs) {
         let late = self.waiting.extract_if(.., |waiter| waiter.until <= now);
-        let late: Vec<Waiter> = late.collect();
+        let late: Vec<WaitingFetch> = late.collect();
         for waiter in late {
             self.reply(waiter.reply_to, Reply::NotYet { retry_at: now });
         }
         self.retry_ledger(now);
         self.order_weights(now);
-        for id in std::mem::take(&mut self.recopy) {
-            self.keep_copied(id);
+        for id in std::mem::take(&mut self.failed_copies) {
+            self.ensure_copies(id);
         }
     }
 
@@ -342,7 +343,7 @@
         }
         let wanted = self.roll_back_to.unwrap_or(self.ledger.trainer_version);
         if wanted == Version::default() {
-            // Nothing was published yet: engines keep the weights they began with.
+            // Nothing has been published yet: engines keep their initial weights.
             return;
         }
         let engines: Vec<(Name, Option<Version>)> = self
--- a/crates/rollout/src/recovery.rs
+++ b/crates/rollout/src/recovery.rs
@@ -1,10 +1,10 @@
-//! Taking over: from the ledger and from what the nodes hold, back to a running state.
+//! Takeover by a new owner: rebuilds the state from the ledger and from the samples that nodes hold.
 //!
-//! The new owner reads the ledger, writes its own fencing number into it (from then on no write
-//! of a former owner succeeds), reads the open steps back, and asks every node what it holds.
-//! A whole sample with a surviving holder is kept; a partial one is gone on from; the rest is made
-//! again. A bound batch stays bound only if exactly the attempts that it names survive: "fetch
-//! again" must give the same samples, not similar ones.
+//! The new owner reads the ledger, writes its own fencing number into it (from then on no write of a
+//! previous owner succeeds), loads the open steps, and asks every node which samples it holds. A
+//! complete sample with a surviving holder is kept, a partial one is resumed, and all others are run
+//! again. A bound batch stays bound only if exactly the attempts that it names survive, because a
+//! repeated fetch must return the same samples.
 
 use crate::event::{Effect, HoldingReport, NodeInfo};
 use crate::ledger::{BatchState, BoundSample, Ledger};
@@ -14,18 +14,19 @@
 use crate::writer::Intent;
 use catkinmast_model::{Fence, Name, Refusal, SampleId};
 
-/// How many nodes should hold a whole sample.
+/// How many nodes should hold a complete sample.
 const HOLDERS_WANTED: usize = 2;
 
 impl Rollout {
-    /// A lapsed lease stops writes and orders; samples go on, since nobody else can deliver them
-    /// without the ledger, and the ledger tells when the lease is back whether anybody did.
+    /// Handles a change of the lease. Without the lease, writes and orders stop. Runs continue: nobody
+    /// else can deliver their samples without the ledger, and once the lease is regained the ledger shows
+    /// whether another owner has written.
     pub(crate) fn lease_changed(&mut self, fence: Option<Fence>) {
         let Some(fence) = fence else {
             self.fence = None;
             return;
         };
-        // Each gain of the lease has a higher number, so an equal one brings no news.
+        // Each time the lease is gained its number is higher, so an equal number is a repeated event.
         if fence > self.last_fence {
             self.fence = Some(fence);
             self.last_fence = fence;
@@ -48,8 +49,8 @@
             return self.ledger_written(version);
         }
         if ledger.fence > self.last_fence {
-            // A later owner stands in the ledger: ours must not be written over it, even if our
-            // own lease has not been found lapsed yet.
+            // A later owner has written the ledger. It must not be overwritten, even if this node has
+            // not noticed the loss of its lease yet.
             self.fence = None;
         }
         if version == self.writer.version && self.phase != Phase::TakingOver {
@@ -58,7 +59,7 @@
         self.take_over(ledger, version);
     }
 
-    /// Nobody else has written: what was being written may be sent again.
+    /// Repeats the pending write, since nobody else has written the ledger.
     fn resume_writes(&mut self) {
         let Some(fence) = self.fence else { return };
         match &mut self.writer.pending {
@@ -70,10 +71,10 @@
         }
     }
 
-    /// The ledger is not the one we knew: everything is built again from it.
+    /// Starts to rebuild all state from a ledger that another owner may have written.
     fn take_over(&mut self, ledger: Ledger, version: Option<u64>) {
         self.cancel_all_runs();
-        self.refuse_everything("the trainer's steps were taken over in the middle of this");
+        self.refuse_pending("the trainer's steps were taken over in the middle of this");
         self.samples.clear();
         self.specs.clear();
         self.copying.clear();
@@ -83,8 +84,8 @@
         self.writer.intents.push(Intent::TakeOver);
     }
 
-    /// Answers all that waits. A change that was being written may have taken effect.
-    pub(crate) fn refuse_everything(&mut self, message: &str) {
+    /// Refuses all pending commands. A change in the pending write may have taken effect.
+    pub(crate) fn refuse_pending(&mut self, message: &str) {
         let unsettled = self.writer.pending.take().map_or_else(Vec::new, |p| p.intents);
         let unsent = std::mem::take(&mut self.writer.intents);
         for receiver in unsettled.iter().flat_map(|(intent, _)| receivers(intent)) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Our fencing number stands in the ledger.
+    /// Continues the takeover once this owner's fencing number is in the ledger.
     pub(crate) fn taken_over(&mut self) {
         if self.phase != Phase::TakingOver {
             return;
@@ -121,12 +122,12 @@
             self.add_samples(step, groups, group_size);
             self.effects.push(Effect::LoadStep { digest, step });
         }
-        self.mark_settled_samples();
+        self.drop_claimed_samples();
         self.finish_loading();
     }
 
-    /// Claimed samples of open steps are not made again.
-    fn mark_settled_samples(&mut self) {
+    /// Removes the claimed samples of open steps, so that they are not run again.
+    fn drop_claimed_samples(&mut self) {
         let ledger = &self.ledger;
         self.samples.retain(|id, _| {
             let step = ledger.steps.get(&id.step);
@@ -145,7 +146,7 @@
                 self.finish_loading();
             }
             None => {
-                // The service does not answer; the step is there, since the ledger names it.
+                // The step exists, since the ledger names it, but the service did not respond: retry.
                 if let Some(record) = self.ledger.steps.get(&step) {
                     let digest = record.digest.clone();
                     self.effects.push(Effect::LoadStep { digest, step });
@@ -159,12 +160,12 @@
             return;
         }
         for report in found {
-            self.take_holding(report);
+            self.apply_holding(report);
         }
         self.finish_loading();
     }
 
-    fn take_holding(&mut self, report: HoldingReport) {
+    fn apply_holding(&mut self, report: HoldingReport) {
         let bound = self.bound_attempt(report.sample);
         let fits = self.fits_bound(report.sample, &report.segments);
         let Some(sample) = self.samples.get_mut(&report.sample) else { return };
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Returns the attempt that a bound batch names for a sample.
+    /// Returns the attempt at a sample that a bound batch names.
     fn bound_attempt(&self, id: SampleId) -> Option<crate::sample::Attempt> {
         let bound = self
             .ledger
@@ -220,25 +221,25 @@
         }
         let ids: Vec<SampleId> = self.samples.keys().copied().collect();
         for id in ids {
-            self.keep_copied(id);
+            self.ensure_copies(id);
         }
     }
 
     fn restore_batch(&mut self, batch: u64, step: u64, samples: &[BoundSample]) {
-        let mut whole = true;
+        let mut complete = true;
         for BoundSample(group, index, attempt) in samples {
             let id = SampleId { step, group: *group, index: *index };
             if let Some(sample) = self.samples.get_mut(&id) {
                 sample.state = SampleState::Bound;
-                whole &= sample.finished.as_ref().is_some_and(|(held, _)| held == attempt);
+                complete &= sample.finished.as_ref().is_some_and(|(held, _)| held == attempt);
             }
         }
-        if !whole {
+        if !complete {
             self.void(batch);
         }
     }
 
-    /// Takes the new list of nodes: runs and tokens of those that are gone are lost.
+    /// Applies a new list of nodes. Runs on nodes that are gone and tokens held only there are lost.
     pub(crate) fn set_nodes(&mut self, nodes: Vec<NodeInfo>) {
         let gone = |name: &Name| !nodes.iter().any(|node| node.name == *name);
         let mut lost = Vec::new();
@@ -265,7 +266,7 @@
         }
         let ids: Vec<SampleId> = self.samples.keys().copied().collect();
         for id in ids {
-            self.keep_copied(id);
+            self.ensure_copies(id);
         }
     }
 
@@ -278,18 +279,18 @@
         self.give_up_run(id, attempt, &run);
     }
 
-    /// Asks for one more copy while fewer than two lasting nodes hold a sample.
-    pub(crate) fn keep_copied(&mut self, id: SampleId) {
+    /// Requests one more copy if fewer than [`HOLDERS_WANTED`] nodes that are not leaving hold a sample.
+    pub(crate) fn ensure_copies(&mut self, id: SampleId) {
         let Some(sample) = self.samples.get(&id) else { return };
         if !matches!(sample.state, SampleState::Safe | SampleState::Bound) {
             return;
         }
         let Some((attempt, finished)) = &sample.finished else { return };
-        let lasting = |name: &Name| self.nodes.iter().any(|n| n.name == *name && !n.leaving);
-        let lasting_holders = finished.holders.iter().filter(|holder| lasting(holder)).count();
-        let takers = self.nodes.iter().filter(|node| !node.leaving).count();
-        let wanted = HOLDERS_WANTED.min(takers);
-        if lasting_holders >= wanted || self.copying.contains(&id) {
+        let staying = |name: &Name| self.nodes.iter().any(|n| n.name == *name && !n.leaving);
+        let staying_holders = finished.holders.iter().filter(|holder| staying(holder)).count();
+        let staying_nodes = self.nodes.iter().filter(|node| !node.leaving).count();
+        let wanted = HOLDERS_WANTED.min(staying_nodes);
+        if staying_holders >= wanted || self.copying.contains(&id) {
             return;
         }
         if let Some(holder) = finished.holders.first() {
--- a/crates/rollout/src/runs.rs
+++ b/crates/rollout/src/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: starting samples on engines, and what becomes of them.
+//! Starting samples on engines, and handling the outcomes of their runs.
 
 use crate::event::{Effect, NodeInfo, RunOrder};
 use crate::owner::Rollout;
@@ -6,19 +6,19 @@
 use crate::schedule::{EngineInfo, EngineView, RunAhead, choose_engine, start_order, straggler};
 use catkinmast_model::{Name, SampleId, Segments, UnixMs, Version};
 
-/// How long a sample waits after a failed run.
+/// How long a sample waits after a failed run before it is started again.
 const RUN_BACKOFF_MS: u64 = 200;
-/// How long an engine that broke a stream gets no new sample.
-const ENGINE_REST_MS: u64 = 1_000;
-/// How many groups an engine's prompt cache is taken to hold.
+/// How long an engine gets no new sample after it failed a run.
+const ENGINE_BACKOFF_MS: u64 = 1_000;
+/// How many groups' prompts an engine's prefix cache is assumed to hold.
 const RECENT_GROUPS: usize = 16;
-/// How much rarer each run's progress becomes for each other run.
+/// Added to the interval between a run's progress reports for each run in flight.
 const PROGRESS_MS_PER_RUN: u64 = 15;
-/// The shortest and the longest time between two reports of a run's progress.
+/// The shortest and the longest interval between a run's progress reports.
 const PROGRESS_MS: (u64, u64) = (1_000, 15_000);
 
 impl Rollout {
-    /// Starts what can be started, then looks after the tail.
+    /// Starts queued samples on free engines; if none is queued, duplicates stragglers.
     pub(crate) fn dispatch(&mut self, now: UnixMs) {
         let Some(run_ahead) = self.run_ahead() else { return };
         let can_run = self.nodes.iter().any(|node| !node.leaving);
@@ -26,20 +26,21 @@
         if !can_run || !slot_free {
             return;
         }
-        let mut nothing_waits = true;
+        let mut queue_is_empty = true;
         for id in start_order(&self.samples, &self.lengths, self.schedule, now) {
             let Some(ahead) = self.steps_ahead(id.step) else { continue };
             if ahead > run_ahead.steps() {
                 break;
             }
-            nothing_waits = false;
+            queue_is_empty = false;
             let trainer = self.ledger.trainer_version;
-            let fits = |engine: &EngineView| run_ahead.allows(ahead, behind(engine, trainer));
+            let fits =
+                |engine: &EngineView| run_ahead.allows(ahead, versions_behind(engine, trainer));
             let engine = choose_engine(&self.engines, id, now, self.schedule, fits);
             let Some(engine) = engine else { break };
             self.start(now, id, &engine, None);
         }
-        if nothing_waits {
+        if queue_is_empty {
             self.duplicate_stragglers(now, run_ahead);
         }
     }
@@ -51,16 +52,16 @@
         })
     }
 
-    /// Returns how many open steps are before this one.
+    /// Returns how many open steps precede this one, or `None` if it is not open.
     pub(crate) fn steps_ahead(&self, step: u64) -> Option<u64> {
-        self.ledger.open_steps().position(|(open, _)| open == step).map(|place| place as u64)
+        self.ledger.open_steps().position(|(open, _)| open == step).map(|index| index as u64)
     }
 
     fn duplicate_stragglers(&mut self, now: UnixMs, run_ahead: RunAhead) {
         let duplicates = self.samples.values().filter(|sample| sample.runs.len() > 1).count();
         let percent = self.schedule.duplicates_max_percent as usize;
-        let most = (self.samples.len() * percent).div_ceil(100);
-        for _ in duplicates..most {
+        let duplicates_max = (self.samples.len() * percent).div_ceil(100);
+        for _ in duplicates..duplicates_max {
             let Some(id) = straggler(&self.samples, &self.lengths, now) else { return };
             let Some((attempt, on)) = self.samples.get(&id).and_then(|sample| {
                 sample.runs.first().map(|(attempt, run)| (*attempt, run.engine.clone()))
@@ -69,11 +70,11 @@
             };
             let trainer = self.ledger.trainer_version;
             let busy = self.engines.get(&on).map_or(0, |engine| engine.in_flight);
-            // Worth it only on an engine that is much emptier, hence faster for each sample.
+            // Only an engine with much less load, hence faster for each sample, makes it worthwhile.
             let fits = |engine: &EngineView| {
                 engine.info.name != on
                     && engine.in_flight * 2 < busy
-                    && run_ahead.allows(0, behind(engine, trainer))
+                    && run_ahead.allows(0, versions_behind(engine, trainer))
             };
             let engine = choose_engine(&self.engines, id, now, self.schedule, fits);
             let Some(engine) = engine else { return };
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Starts an attempt; `continues` is a running attempt whose tokens it goes on from.
+    /// Starts an attempt on an engine. `continues` is a running attempt from whose tokens it resumes.
     fn start(&mut self, now: UnixMs, id: SampleId, engine: &Name, continues: Option<Attempt>) {
         let Some(spec) = self.specs.get(&id.step) else { return };
         let Some(group) = spec.groups.get(id.group as usize) else { return };
@@ -89,7 +90,9 @@
             (group.prompt.clone(), spec.sample_seed(id.group, id.index), spec.max_tokens);
         let Some(view) = self.engines.get(engine) else { return };
         let info = view.info.clone();
-        let Some((resume, segments, runner)) = self.place(id, &info, continues) else { return };
+        let Some((resume, segments, runner)) = self.choose_start(id, &info, continues) else {
+            return;
+        };
         let Some(sample) = self.samples.get_mut(&id) else { return };
         sample.attempts += 1;
         sample.partial = None;
@@ -101,7 +104,7 @@
             runner: runner.clone(),
             segments,
             started_at: now,
-            whole: false,
+            complete: false,
         };
         sample.runs.insert(attempt, run);
         *self.runner_loads.entry(runner.clone()).or_default() += 1;
@@ -128,18 +131,19 @@
         self.effects.push(Effect::Run(order));
     }
 
-    /// Keeps what all runs report together at some 70 messages a second, however many there are.
+    /// Returns the interval between a run's progress reports. It grows with the number of runs, which
+    /// keeps all runs together at about 70 reports per second until it reaches its maximum.
     ///
-    /// The owner needs the versions of a run for the staleness bound, and those are told at once;
-    /// the number of tokens only shows slow engines, for which seconds are soon enough.
+    /// The owner needs the versions of a run for the staleness bound, and changes of version are reported
+    /// at once. The token count only reveals slow engines, for which a delay of seconds is acceptable.
     fn progress_every_ms(&self) -> u64 {
         let runs = self.runner_loads.values().map(|load| u64::from(*load)).sum::<u64>();
         (runs * PROGRESS_MS_PER_RUN).clamp(PROGRESS_MS.0, PROGRESS_MS.1)
     }
 
-    /// Finds the runner, and the tokens to go on from: those of a running attempt, or those that
-    /// a failed one left, if they are still young enough and their runner lives.
-    fn place(
+    /// Chooses the runner and the tokens to resume from: those of a running attempt, or those that a
+    /// failed attempt left, if they fit the staleness bound and their runner is available.
+    fn choose_start(
         &self,
         id: SampleId,
         engine: &EngineInfo,
@@ -162,15 +166,16 @@
         Some((None, Segments::default(), runner))
     }
 
-    /// Chooses the node with the fewest runs, the engine's data centre first.
+    /// Chooses the node with the fewest runs, preferring the engine's data centre.
     fn choose_runner(&self, engine: &EngineInfo) -> Option<Name> {
         let load = |node: &NodeInfo| self.runner_loads.get(&node.name).copied().unwrap_or(0);
-        let taking = self.nodes.iter().filter(|node| !node.leaving);
-        let best = taking.min_by_key(|node| (node.data_centre != engine.data_centre, load(node)));
+        let available = self.nodes.iter().filter(|node| !node.leaving);
+        let best =
+            available.min_by_key(|node| (node.data_centre != engine.data_centre, load(node)));
         best.map(|node| node.name.clone())
     }
 
-    /// Tells whether tokens of these versions can still be young enough when they are claimed.
+    /// Returns whether tokens of these versions can still fit the staleness bound when they are claimed.
     pub(crate) fn fits_bound(&self, id: SampleId, segments: &Segments) -> bool {
         let Some(registration) = self.registration() else { return true };
         let ahead = self.steps_ahead(id.step).unwrap_or(0);
@@ -188,18 +193,19 @@
         }
     }
 
-    pub(crate) fn run_whole(&mut self, now: UnixMs, id: SampleId, attempt: Attempt) {
+    pub(crate) fn run_complete(&mut self, now: UnixMs, id: SampleId, attempt: Attempt) {
         let Some(sample) = self.samples.get_mut(&id) else { return };
         let Some(run) = sample.runs.get_mut(&attempt) else { return };
-        run.whole = true;
+        run.complete = true;
         let tokens = run.segments.token_count();
         let run = run.clone();
         let took_ms = now.since_ms(run.started_at);
-        self.lengths.saw(id, tokens, tokens.saturating_sub(run.resumed_tokens), took_ms);
+        self.lengths.record(id, tokens, tokens.saturating_sub(run.resumed_tokens), took_ms);
         self.release_slot(&run);
     }
 
-    /// Frees the engine's and the runner's place; a whole run has freed them before.
+    /// Frees the run's slots at the engine and the runner. A run whose tokens are complete has already
+    /// freed them.
     fn release_slot(&mut self, run: &Run) {
         if let Some(view) = self.engines.get_mut(&run.engine) {
             view.in_flight = view.in_flight.saturating_sub(1);
@@ -219,7 +225,7 @@
     ) {
         let Some(sample) = self.samples.get_mut(&id) else { return };
         let Some(run) = sample.runs.shift_remove(&attempt) else { return };
-        if !run.whole {
+        if !run.complete {
             self.release_slot(&run);
         }
         let Some(sample) = self.samples.get_mut(&id) else { return };
@@ -235,11 +241,12 @@
             sample.not_before = now.plus(RUN_BACKOFF_MS);
         }
         if engine_at_fault && let Some(view) = self.engines.get_mut(&run.engine) {
-            view.resting_until = now.plus(ENGINE_REST_MS);
+            view.backoff_until = now.plus(ENGINE_BACKOFF_MS);
         }
     }
 
-    /// The first whole attempt wins; a result of an attempt that was given up on is dropped.
+    /// Accepts the first attempt whose result is safe and cancels the others. The result of a cancelled
+    /// attempt is dropped.
     pub(crate) fn run_safe(&mut self, id: SampleId, attempt: Attempt, finished: Finished) {
         let known = self.samples.get_mut(&id).filter(|sample| sample.runs.contains_key(&attempt));
         let Some(sample) = known else {
@@ -250,18 +257,18 @@
         sample.partial = None;
         sample.finished = Some((attempt, finished));
         sample.state = SampleState::Safe;
-        if let Some(run) = won.filter(|run| !run.whole) {
+        if let Some(run) = won.filter(|run| !run.complete) {
             self.release_slot(&run);
         }
         for (other, run) in runs {
             self.give_up_run(id, other, &run);
         }
-        self.keep_copied(id);
+        self.ensure_copies(id);
     }
 
     pub(crate) fn give_up_run(&mut self, id: SampleId, attempt: Attempt, run: &Run) {
         self.tokens_wasted += u64::from(run.segments.token_count());
-        if !run.whole {
+        if !run.complete {
             self.release_slot(run);
         }
         self.effects.push(Effect::Cancel { attempt, sample: id });
@@ -282,7 +289,7 @@
     }
 }
 
-/// How many versions an engine is behind; one that has not reported may serve anything.
-fn behind(engine: &EngineView, trainer: Version) -> u64 {
+/// Returns how many versions an engine is behind; one that has not reported may have any version.
+fn versions_behind(engine: &EngineView, trainer: Version) -> u64 {
     engine.version.map_or(trainer.0, |version| trainer.0.saturating_sub(version.0))
 }
--- a/crates/rollout/src/sample.rs
+++ b/crates/rollout/src/sample.rs
@@ -1,15 +1,15 @@
-//! The life of a sample: queued, running, safe, bound, claimed.
+//! A sample and its states: queued, running, safe, bound, claimed.
 
 use catkinmast_model::{Fence, Name, SampleId, Segments, UnixMs, Version};
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One try at a sample.
+/// Identifies one attempt at a sample: the owner's fencing number, and a count.
 ///
-/// The owner's fencing number is part of it: a new owner that has never heard of the old one's
-/// tries must not give one of its own the same name, or tokens of the one could be delivered as
-/// the other's.
+/// The fencing number keeps attempts of different owners apart: a new owner does not know the attempts
+/// of the old one, and with equal identifiers the tokens of one attempt could be delivered as
+/// another's.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -21,14 +21,14 @@
     }
 }
 
-/// A whole and scored sample.
+/// The metadata of a complete and scored sample.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Finished {
     /// The nodes that hold its tokens.
     pub holders: Vec<Name>,
     /// Its score, in thousandths.
     pub score_millis: i64,
-    /// The versions that made it.
+    /// The weight versions that generated its tokens.
     pub segments: Segments,
 }
 
@@ -38,16 +38,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub engine: Name,
-    /// Tokens that it began with.
+    /// Number of tokens it resumed from.
     pub resumed_tokens: u32,
     pub runner: Name,
     pub segments: Segments,
     pub started_at: UnixMs,
-    /// Whether all tokens are there and only score and copy are missing.
-    pub whole: bool,
+    /// Whether all tokens have been generated and only score and copy are missing.
+    pub complete: bool,
 }
 
-/// Tokens that a failed run left with its runner.
+/// Tokens of a failed run that its runner still holds.
 #[derive(Clone, Debug)]
 pub(crate) struct Partial {
     pub attempt: Attempt,
@@ -55,22 +55,22 @@
     pub segments: Segments,
 }
 
-/// Where a sample stands.
+/// The state of a sample.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SampleState {
-    /// It is in a batch that was claimed; it is kept for a repeated fetch.
+    /// It is in a claimed batch and kept for a repeated fetch.
     Claimed,
-    /// It is in the batch that is being bound or is bound.
+    /// It is in a batch that is bound or being bound.
     Bound,
-    /// It waits for an engine.
+    /// It waits to be started on an engine.
     Queued,
-    /// One or more attempts run.
+    /// One or more attempts are running.
     Running,
-    /// It is whole, scored and held by its holders.
+    /// It is complete, scored and stored on its holders.
     Safe,
 }
 
-/// One sample, as its owner knows it.
+/// The owner's view of one sample.
 #[derive(Clone, Debug)]
 pub struct Sample {
     pub(crate) attempts: u32,
@@ -95,22 +95,22 @@
         }
     }
 
-    /// Returns where the sample stands.
+    /// Returns the state of the sample.
     pub const fn state(&self) -> SampleState {
         self.state
     }
 
-    /// Returns the finished sample and the attempt that made it.
+    /// Returns the finished sample and the attempt that produced it.
     pub const fn finished(&self) -> Option<&(Attempt, Finished)> {
         self.finished.as_ref()
     }
 
-    /// Returns the age in versions against `current`, 0 for a sample without tokens.
+    /// Returns the staleness against `current` in versions, or 0 for a sample that is not finished.
     pub(crate) fn age_versions(&self, current: Version) -> u64 {
         self.finished.as_ref().map_or(0, |(_, finished)| finished.segments.age_versions(current))
     }
 
-    /// Puts the sample back into the queue, without the tokens it had.
+    /// Discards the sample's tokens and queues it again. Returns the number of tokens discarded.
     pub(crate) fn start_over(&mut self) -> u64 {
         let wasted = self.finished.take().map_or(0, |(_, f)| u64::from(f.segments.token_count()));
         let partial = self.partial.take().map_or(0, |p| u64::from(p.segments.token_count()));
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -1,17 +1,18 @@
-//! Which sample runs next, and on which engine.
+//! Scheduling policy: which sample runs next, and on which engine.
 //!
-//! - *Run-ahead.* A sample of a later step is started only if its expected age when it is claimed
-//!   fits the trainer's bound. The operators' weight decides how much of the bound may be spent
-//!   on keeping the trainer busy ([`RunAhead`]).
-//! - *Order.* The longest expected first. A prompt's length is unknown, but its siblings' lengths
-//!   predict it, so one sample of each group goes first as a probe.
-//! - *Engine.* The one with the fewest samples in flight; an engine that already has the group's
-//!   prompt in its cache is preferred while its load is close to that.
-//! - *Tail.* When nothing waits and engines idle, a sample that gains tokens much more slowly than
-//!   others did is continued on an idle engine as well, from the tokens already there; the first
-//!   whole result wins. The duplicates are capped, so that the tail of one step cannot eat the
-//!   next one's time. (Duplicating merely *long* samples was tried: 11.7 % of all tokens wasted
-//!   for steps 0.3 % shorter, since at the end of a step their engines are nearly empty anyway.)
+//! - *Run-ahead.* A sample of a later step is started only if its expected staleness when it is claimed
+//!   fits the trainer's bound. The operators' weight determines how much of the bound may be used to
+//!   keep the trainer busy ([`RunAhead`]).
+//! - *Order.* Samples with the longest expected output start first. The output length is unknown at
+//!   first, but other samples of the same group predict it, so one sample of each group starts first
+//!   as a probe.
+//! - *Engine.* The engine with the fewest samples in flight is chosen. An engine that has the group's
+//!   prompt in its prefix cache is preferred if its load is only slightly higher.
+//! - *Tail.* When no sample is queued and engines are idle, a sample that gains tokens much more slowly
+//!   than others did is duplicated on an idle engine, resuming from the tokens already generated; the
+//!   first complete result wins. The number of duplicates is limited, so that the tail of one step does
+//!   not delay the next. Only slow samples are duplicated: duplicating *long* ones wasted 11.7 % of all
+//!   tokens for steps 0.3 % shorter, since at the end of a step their engines are nearly idle anyway.
 
 use crate::sample::{Sample, SampleState};
 use catkinmast_model::{Name, SampleId, UnixMs, Version};
@@ -20,23 +21,23 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// How many more samples a cached prompt is worth when engines are compared.
+/// How many more samples in flight an engine may have and still be preferred for its cached prompt.
 const AFFINITY_SLACK: u32 = 2;
-/// A run below this share of the usual speed is slow, in percent.
+/// A run below this percentage of the mean speed is slow.
 const SLOW_PERCENT: u64 = 60;
-/// How long a run must have run before its speed says anything.
-const SPEED_NEEDS_MS: u64 = 3_000;
+/// Minimum duration of a run before its speed is meaningful.
+const SPEED_MIN_RUN_MS: u64 = 3_000;
 
 /// An engine that serves the trainer's model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineInfo {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which the engine runs.
     pub data_centre: Name,
-    /// Its name.
+    /// Name of the engine.
     pub name: Name,
-    /// How many samples of this trainer it may run at once.
+    /// Maximum number of this trainer's samples that it runs at once.
     pub slots: u32,
 }
 
@@ -46,46 +47,47 @@
     pub in_flight: u32,
     pub info: EngineInfo,
     pub recent_groups: Vec<(u64, u32)>,
-    pub resting_until: UnixMs,
+    pub backoff_until: UnixMs,
     pub version: Option<Version>,
 }
 
-/// How far ahead of the trainer samples are made.
+/// How far ahead of the trainer samples are generated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RunAhead {
-    /// The trainer's bound, in versions.
+    /// The trainer's staleness bound, in versions.
     pub staleness_bound_versions: u64,
-    /// How much idle time weighs against staleness, 0 to 100.
+    /// Weight of trainer idle time against staleness, 0 to 100.
     pub idle_weight_percent: u32,
 }
 
 impl RunAhead {
-    /// Returns how many steps ahead of the current one may be started.
+    /// Returns how many steps after the current one may be started.
     pub const fn steps(&self) -> u64 {
         self.staleness_bound_versions * self.idle_weight_percent as u64 / 100
     }
 
-    /// Tells whether a sample started now, `steps_ahead` steps early and on an engine `behind`
-    /// versions behind the trainer, is expected to be young enough when it is claimed.
-    pub const fn allows(&self, steps_ahead: u64, behind: u64) -> bool {
-        steps_ahead <= self.steps() && steps_ahead + behind <= self.staleness_bound_versions
+    /// Returns whether a sample is expected to fit the staleness bound when it is claimed, if it starts
+    /// now, `steps_ahead` steps early, on an engine that is `versions_behind` versions behind the trainer.
+    pub const fn allows(&self, steps_ahead: u64, versions_behind: u64) -> bool {
+        steps_ahead <= self.steps()
+            && steps_ahead + versions_behind <= self.staleness_bound_versions
     }
 }
 
-/// Which parts of the policy are in force; a benchmark takes them out one by one.
+/// Which parts of the policy are enabled; a benchmark disables them one by one.
 #[expect(clippy::struct_excessive_bools, reason = "each switches one part of the policy")]
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleSettings {
-    /// Most duplicates of running samples, in percent of a step's samples. Default: 5.
+    /// Maximum number of duplicated samples, in percent of all samples held. Default: 5.
     pub duplicates_max_percent: u32,
-    /// Whether longer samples go first, as their siblings predict. Default: true.
+    /// Whether samples with the longest expected output start first. Default: true.
     pub longest_first: bool,
-    /// Whether a failed run's tokens are gone on from. Default: true.
+    /// Whether a failed run's tokens are resumed from. Default: true.
     pub resume_partials: bool,
-    /// Whether an engine that has the prompt cached is preferred. Default: true.
+    /// Whether an engine with the prompt in its prefix cache is preferred. Default: true.
     pub prefix_affinity: bool,
-    /// Whether engines take turns instead of the emptiest taking the sample; the baseline that
-    /// the benchmark compares with. Default: false.
+    /// Whether engines are chosen round-robin instead of by load; the baseline of the benchmark.
+    /// Default: false.
     pub round_robin: bool,
 }
 
@@ -101,19 +103,20 @@
     }
 }
 
-/// The longest length seen in each group, from which siblings' lengths are predicted.
+/// Statistics of finished runs, which predict the output lengths of other samples of a group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lengths {
     finished: u64,
+    /// The longest output so far, by step and group.
     groups: IndexMap<(u64, u32), u32>,
-    /// Mean speed of finished runs, in tokens for each thousand seconds.
+    /// Moving average of the speed of finished runs, in tokens per 1,000 seconds.
     mean_speed: u64,
     total_tokens: u64,
 }
 
 impl Lengths {
-    /// Counts a finished run: its length, and the speed at which it gained `gained` tokens.
-    pub(crate) fn saw(&mut self, id: SampleId, tokens: u32, gained: u32, took_ms: u64) {
+    /// Records a finished run of `tokens` tokens, of which it generated `gained` in `took_ms`.
+    pub(crate) fn record(&mut self, id: SampleId, tokens: u32, gained: u32, took_ms: u64) {
         if took_ms > 0 {
             let speed = speed(gained, took_ms);
             let first = self.finished == 0;
@@ -129,7 +132,8 @@
         self.groups.retain(|(of, _), _| *of != step);
     }
 
-    /// Returns the expected length; a group without news is tried first, as a probe.
+    /// Returns the expected output length. Index 0 of a group without finished runs is the probe and comes
+    /// first.
     fn expected(&self, id: SampleId) -> u32 {
         match self.groups.get(&(id.step, id.group)) {
             Some(longest) => *longest,
@@ -161,7 +165,7 @@
     order
 }
 
-/// Chooses an engine for a sample, or none when no suitable one has a slot free.
+/// Chooses an engine for a sample; `None` if no suitable engine has a free slot.
 pub(crate) fn choose_engine(
     engines: &IndexMap<Name, EngineView>,
     id: SampleId,
@@ -170,7 +174,7 @@
     fits: impl Fn(&EngineView) -> bool,
 ) -> Option<Name> {
     let free = engines.values().filter(|engine| {
-        engine.in_flight < engine.info.slots && engine.resting_until <= now && fits(engine)
+        engine.in_flight < engine.info.slots && engine.backoff_until <= now && fits(engine)
     });
     let cost = |engine: &EngineView| {
         let cached = engine.recent_groups.contains(&(id.step, id.group));
@@ -179,35 +183,37 @@
     };
     if settings.round_robin {
         let free: Vec<&EngineView> = free.collect();
-        let turn = id.group as usize + id.index as usize;
-        return free.get(turn % free.len().max(1)).map(|engine| engine.info.name.clone());
+        let index = id.group as usize + id.index as usize;
+        return free.get(index % free.len().max(1)).map(|engine| engine.info.name.clone());
     }
     free.min_by_key(|engine| cost(engine)).map(|engine| engine.info.name.clone())
 }
 
-/// Tokens for each thousand seconds.
+/// Returns the speed in tokens per 1,000 seconds.
 const fn speed(tokens: u32, took_ms: u64) -> u64 {
     tokens as u64 * 1_000_000 / if took_ms == 0 { 1 } else { took_ms }
 }
 
-/// Chooses the running sample that most deserves to be continued on an idle engine as well.
+/// Chooses the slow sample that should be duplicated on an idle engine: of the earliest step, the one that
+/// has run longest.
 ///
-/// A long sample on a good engine is not helped by another one: at the end of a step its engine
-/// is nearly empty already. Only a sample that gains tokens much more slowly than others did is,
-/// because its engine is slow or full. One that is whole and only waits for its score is not.
+/// Another engine does not help a long sample on a fast engine, which is nearly idle at the end of a
+/// step. It helps a sample that gains tokens much more slowly than others did, because its engine is slow
+/// or full. It does not help a sample whose tokens are complete and which only waits for its score.
 pub(crate) fn straggler(
     samples: &IndexMap<SampleId, Sample>,
     lengths: &Lengths,
     now: UnixMs,
 ) -> Option<SampleId> {
     let alone = samples.values().filter_map(|sample| match sample.runs.values().next() {
-        Some(run) if sample.runs.len() == 1 && !run.whole => Some((sample, run)),
+        Some(run) if sample.runs.len() == 1 && !run.complete => Some((sample, run)),
         _ => None,
     });
     let slow = alone.filter(|(_, run)| {
         let took_ms = now.since_ms(run.started_at);
         let gained = run.segments.token_count().saturating_sub(run.resumed_tokens);
-        took_ms > SPEED_NEEDS_MS && speed(gained, took_ms) * 100 < lengths.mean_speed * SLOW_PERCENT
+        took_ms > SPEED_MIN_RUN_MS
+            && speed(gained, took_ms) * 100 < lengths.mean_speed * SLOW_PERCENT
     });
     slow.min_by_key(|(sample, run)| (sample.id.step, run.started_at)).map(|(s, _)| s.id)
 }
--- a/crates/rollout/src/spec.rs
+++ b/crates/rollout/src/spec.rs
@@ -1,32 +1,32 @@
-//! What trainers send and receive.
+//! Commands from trainers and the replies to them.
 
 use crate::sample::{Attempt, Finished};
 use catkinmast_model::{Refusal, SampleId, UnixMs, Version};
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// Most samples in a step.
+/// Maximum number of samples in a step.
 const STEP_SAMPLES_MAX: u64 = 65_536;
-/// The longest prompt, in bytes.
+/// Maximum length of a prompt, in bytes.
 const PROMPT_MAX_BYTES: usize = 64 * 1024;
-/// The most tokens of a sample.
+/// Maximum number of tokens in a sample.
 const SAMPLE_TOKENS_MAX: u32 = 1 << 20;
 
-/// What a trainer sets when it registers.
+/// The values that a trainer sets when it registers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Registration {
-    /// Samples in a batch; a multiple of `group_size`.
+    /// Number of samples in a batch; a multiple of `group_size`.
     pub batch_samples: u32,
-    /// Samples in a group.
+    /// Number of samples in a group.
     pub group_size: u32,
-    /// How much idle time weighs against staleness, 0 to 100.
+    /// Weight of trainer idle time against staleness, 0 to 100.
     pub idle_weight_percent: u32,
-    /// The oldest sample that the trainer may use, in versions.
+    /// The staleness bound: the maximum age of a sample that the trainer may use, in versions.
     pub staleness_bound_versions: u64,
 }
 
-/// One group: samples of the same prompt.
+/// A group of samples of the same prompt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupSpec {
@@ -38,22 +38,22 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepSpec {
-    /// When the trainer wants the whole step.
+    /// When the trainer wants the step to be complete.
     pub deadline_unix_ms: UnixMs,
     /// The groups.
     pub groups: Vec<GroupSpec>,
-    /// Most tokens of a sample.
+    /// Maximum number of tokens in a sample.
     pub max_tokens: u32,
-    /// Seed from which the samples' seeds follow.
+    /// Seed from which the samples' seeds are derived.
     pub seed: u64,
 }
 
 /// A step or registration is refused: {field}: {message}
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub struct SpecError {
-    /// The field.
+    /// The name of the invalid field.
     pub field: String,
-    /// What is wrong, with the value.
+    /// What is wrong with it, including the value.
     pub message: String,
 }
 
@@ -64,10 +64,10 @@
 }
 
 impl Registration {
-    /// Checks the numbers against each other.
+    /// Checks the values and that they are consistent.
     ///
     /// # Errors
-    /// Names the first field that is wrong.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), SpecError> {
         let (batch, group) = (self.batch_samples, self.group_size);
         if group == 0 {
@@ -86,10 +86,10 @@
 }
 
 impl StepSpec {
-    /// Checks the step's sizes.
+    /// Checks the step's sizes against their limits.
     ///
     /// # Errors
-    /// Names the first field that is wrong.
+    /// Returns the first invalid field.
     pub fn check(&self, group_size: u32) -> Result<(), SpecError> {
         if self.groups.is_empty() {
             return Err(spec_error("groups", "is empty"));
@@ -120,44 +120,44 @@
 /// A trainer's command to the owner of its steps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Command {
-    /// Takes the right to use a batch.
+    /// Claims the right to use a batch.
     Claim {
-        /// The version that the trainer trains on.
+        /// The trainer's current weight version.
         at_version: Version,
         /// The batch.
         batch: u64,
     },
-    /// Reads a batch, waiting for it if need be.
+    /// Reads a batch, waiting until it is bound.
     Fetch {
         /// The batch.
         batch: u64,
-        /// Until when to wait.
+        /// The latest time to wait until.
         until: UnixMs,
     },
-    /// Reads how far the steps are.
+    /// Reads the progress of the steps.
     Progress,
-    /// Announces a version that stands in the weight store.
+    /// Announces a weight version that is available in the weight store.
     Publish {
         /// The version.
         version: Version,
     },
-    /// Sets the trainer's bound and sizes.
+    /// Sets the trainer's staleness bound and sizes.
     Register(Registration),
     /// Adds a step.
     Submit {
         /// The trainer's number of the step.
         step: u64,
-        /// The step.
+        /// The content of the step.
         spec: StepSpec,
     },
 }
 
-/// A sample of a bound batch, and who holds its tokens.
+/// A sample of a bound batch, and the nodes that hold its tokens.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoundView {
-    /// The attempt that made it.
+    /// The attempt that produced it.
     pub attempt: Attempt,
-    /// What is known of it.
+    /// The metadata of the sample.
     pub finished: Finished,
     /// The sample.
     pub id: SampleId,
@@ -166,71 +166,71 @@
 /// A bound batch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BatchView {
-    /// Its number.
+    /// The number of the batch.
     pub batch: u64,
-    /// Its samples.
+    /// The samples of the batch.
     pub samples: Vec<BoundView>,
-    /// The step that they belong to.
+    /// The step that the samples belong to.
     pub step: u64,
 }
 
-/// How far a trainer's steps are.
+/// The progress of a trainer's steps.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Progress {
-    /// Bound batches that are not claimed yet.
+    /// Number of bound batches that are not claimed yet.
     pub batches_bound: u64,
-    /// Claimed batches.
+    /// Number of settled batches, i.e. claimed or void.
     pub batches_claimed: u64,
-    /// Samples that run.
+    /// Number of running samples.
     pub samples_running: u64,
-    /// Samples that wait for an engine.
+    /// Number of samples that wait for an engine.
     pub samples_queued: u64,
-    /// Samples that are whole and held.
+    /// Number of samples that are complete, scored and not yet bound.
     pub samples_safe: u64,
-    /// Steps past their deadline.
+    /// Number of open steps past their deadline.
     pub steps_late: u64,
-    /// Steps that are not yet claimed whole.
+    /// Number of steps with unclaimed samples.
     pub steps_open: u64,
-    /// Tokens of runs that were given up on.
+    /// Number of tokens of cancelled and failed runs that were discarded.
     pub tokens_wasted: u64,
-    /// The last version published.
+    /// The last published weight version.
     pub trainer_version: Version,
 }
 
-/// The owner's answer.
+/// The owner's reply to a command.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reply {
-    /// The step is stored; it is new or was known.
+    /// The step is stored, now or by an earlier submission.
     Accepted {
         /// The step.
         step: u64,
     },
     /// The batch.
     Batch(BatchView),
-    /// The batch is the trainer's to use.
+    /// The trainer has the right to use the batch.
     Claimed {
         /// The batch.
         batch: u64,
     },
-    /// The command is wrong in itself.
+    /// The command is invalid.
     Invalid(SpecError),
     /// The batch is not bound yet.
     NotYet {
-        /// When to ask again.
+        /// When to fetch again.
         retry_at: UnixMs,
     },
-    /// How far the steps are.
+    /// The progress of the steps.
     Progress(Progress),
-    /// The version is noted.
+    /// The version has been recorded.
     Published {
-        /// The version.
+        /// The latest published version.
         version: Version,
     },
-    /// Given up on.
+    /// The command is refused.
     Refused(Refusal),
     /// The registration in force.
     Registered(Registration),
-    /// The batch will never be used; its samples come again in another.
+    /// The batch will never be usable; its samples are delivered in another one.
     Void {
         /// The batch.
         batch: u64,
--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -1,12 +1,12 @@
-//! The one writer of the ledger.
+//! The single writer of the ledger.
 //!
-//! A change waits as an [`Intent`] until a write of the ledger that contains it is confirmed;
-//! only then is it answered. One write is in flight at a time, and what arrives meanwhile goes
-//! with the next one, so the rate of writes does not grow with the rate of commands.
+//! A change waits as an [`Intent`] until a ledger write that contains it is confirmed, and only then is
+//! its command answered. One write is in flight at a time; changes that arrive meanwhile are batched
+//! into the next one, so the rate of writes does not grow with the rate of commands.
 //!
-//! When a reply is lost, the ledger is read: our own `write_id` in it means that the write took
-//! effect; the version we expected means that it did not and may be sent again; anything else
-//! means that another owner has written, and this one is no longer the owner.
+//! If the reply to a write is lost, the ledger is read. This writer's own `write_id` in it means that the
+//! write took effect; the expected version means that it did not and can be repeated; anything else
+//! means that another owner has written and this node no longer owns the steps.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample, ClaimedSet, Ledger, StepRecord};
@@ -15,10 +15,11 @@
 use crate::spec::{Registration, Reply};
 use catkinmast_model::{SampleId, UnixMs, Version};
 
-/// Time between two tries to settle a write of the ledger.
+/// Delay before the ledger is read after a write whose outcome is unknown, and before a trainer should
+/// retry a command that could not be completed.
 pub(crate) const LEDGER_RETRY_MS: u64 = 500;
 
-/// A change of the ledger that waits for its write.
+/// A change of the ledger that is not confirmed yet.
 #[derive(Clone, Debug)]
 pub(crate) enum Intent {
     AddStep { digest: String, group_size: u32, groups: u32, reply_to: Vec<u64>, step: u64 },
@@ -30,28 +31,28 @@
     Void { at_version: Version, batch: u64, reply_to: Option<u64> },
 }
 
-/// A write of the ledger that is not confirmed yet.
+/// A ledger write that is not confirmed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
-    /// Each change with the samples of the batch that it settles.
-    pub intents: Vec<(Intent, Settled)>,
+    /// The changes in the write, each with the samples of the batch that it settles.
+    pub intents: Vec<(Intent, SettledSamples)>,
     pub ledger: Ledger,
 }
 
-/// The samples of a batch that a change settles; the ledger itself soon forgets them.
-pub(crate) type Settled = Vec<(SampleId, Attempt)>;
+/// The samples of a batch that a change settles, kept here because the ledger soon removes them.
+pub(crate) type SettledSamples = Vec<(SampleId, Attempt)>;
 
-/// The one writer of the ledger.
+/// The state of the ledger's single writer.
 #[derive(Clone, Debug)]
 pub(crate) struct Writer {
-    /// Whether a call of the key-value service is under way.
+    /// Whether a call to the key-value service is in flight.
     pub busy: bool,
     pub intents: Vec<Intent>,
     pub name: String,
     pub pending: Option<Pending>,
     pub retry_at: Option<UnixMs>,
     pub sequence: u64,
-    /// The ledger's version as last confirmed.
+    /// The last confirmed version of the ledger's key.
     pub version: Option<u64>,
 }
 
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Tells whether a batch is already about to be settled.
-    pub(crate) fn settles(&self, batch: u64) -> bool {
+    /// Returns whether a pending change already claims or voids a batch.
+    pub(crate) fn is_settling(&self, batch: u64) -> bool {
         self.waiting().any(|intent| {
             matches!(intent, Intent::Claim { batch: b, .. } | Intent::Void { batch: b, .. } if *b == batch)
         })
     }
 
-    pub(crate) fn binds_waiting(&self) -> usize {
+    pub(crate) fn pending_binds(&self) -> usize {
         self.waiting().filter(|intent| matches!(intent, Intent::Bind { .. })).count()
     }
 
@@ -86,7 +87,7 @@
 }
 
 impl Rollout {
-    /// Writes the waiting changes, if no write is in flight and the lease is held.
+    /// Writes all waiting changes if no write is in flight and the lease is held.
     pub(crate) fn flush(&mut self) {
         let Some(fence) = self.fence else { return };
         let idle = !self.writer.busy && self.writer.pending.is_none();
@@ -122,13 +123,13 @@
         if let Some(pending) = self.writer.pending.take() {
             self.ledger = pending.ledger;
             for (intent, settled) in pending.intents {
-                self.committed(intent, &settled);
+                self.on_committed(intent, &settled);
             }
         }
     }
 
-    /// A lost reply or a conflict: what happened is read from the ledger itself.
-    pub(crate) fn ledger_unsettled(&mut self, now: UnixMs) {
+    /// Handles a lost reply or a conflict: schedules a read of the ledger, which shows what happened.
+    pub(crate) fn ledger_outcome_unknown(&mut self, now: UnixMs) {
         self.writer.busy = false;
         self.writer.retry_at = Some(now.plus(LEDGER_RETRY_MS));
     }
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Answers what a confirmed change was asked for by.
-    fn committed(&mut self, intent: Intent, settled: &[(SampleId, Attempt)]) {
+    /// Applies a confirmed change to the samples and answers the command that requested it.
+    fn on_committed(&mut self, intent: Intent, settled: &[(SampleId, Attempt)]) {
         match intent {
             Intent::AddStep { group_size, groups, reply_to, step, .. } => {
                 self.add_samples(step, groups, group_size);
@@ -151,13 +152,13 @@
                     self.reply(receiver, Reply::Accepted { step });
                 }
             }
-            Intent::Bind { .. } => self.answer_waiting(),
+            Intent::Bind { .. } => self.answer_waiting_fetches(),
             Intent::Claim { batch, reply_to } => {
                 self.batch_settled(batch, Some(reply_to), settled);
             }
             Intent::Publish { reply_to, version } => {
                 self.reply(reply_to, Reply::Published { version });
-                self.drop_aged();
+                self.drop_stale();
             }
             Intent::Register { registration, reply_to } => {
                 self.reply(reply_to, Reply::Registered(registration));
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Acts on what the ledger says of a batch now, which need not be what was asked for: a claim
-    /// and a void of the same batch can meet in one write, and the first of them counts.
+    /// Acts on a batch's state in the ledger, which may differ from the requested one: a claim and a void
+    /// of the same batch can be part of one write, and then the first of them takes effect.
     fn batch_settled(
         &mut self,
         batch: u64,
@@ -188,7 +189,7 @@
         if let Some(receiver) = reply_to {
             self.reply(receiver, reply);
         }
-        self.answer_waiting();
+        self.answer_waiting_fetches();
     }
 }
 
@@ -217,19 +218,20 @@
         }
         Intent::TakeOver => {}
         Intent::Void { at_version, batch, .. } => {
-            // A trainer that claims at a version has published it, even if we never heard so.
+            // A trainer that claims at a version has published it, even if this owner did not receive
+            // the command.
             ledger.trainer_version = ledger.trainer_version.max(*at_version);
             ledger.void(*batch);
         }
     }
 }
 
-/// Returns the samples of the batch that a change settles, none if it was settled before.
+/// Returns the samples of the batch that a change settles, or none if the batch is already settled.
 ///
-/// A trainer's claim can meet a void of the same batch that is on its way. When the second of
-/// them came to be applied, the samples were already bound to another batch; to free them again
-/// would bind, and deliver, them twice.
-fn settled_by(ledger: &Ledger, intent: &Intent) -> Settled {
+/// A trainer's claim can race with a void of the same batch. By the time the second of the two changes
+/// is applied, the samples may already be bound to another batch; releasing them again would bind and
+/// deliver them twice.
+fn settled_by(ledger: &Ledger, intent: &Intent) -> SettledSamples {
     let (Intent::Claim { batch, .. } | Intent::Void { batch, .. }) = intent else {
         return Vec::new();
     };
