--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::feed;
 use crate::node::Node;
-use crate::peers::{self, Life, Owner, PeerAnswer, PeerCall};
+use crate::peers::{self, Owner, OwnerStatus, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::StoredItem;
 use catkinmast_dispatch::ItemResult;
@@ -50,7 +50,7 @@
             }
         }
         let left_ms = until.since_ms(clock::now());
-        // Over or not, the page is looked at once more.
+        // Ended or not, the page is looked at once more.
         drop(timeout(Duration::from_millis(left_ms), changed).await);
     }
 }
@@ -162,7 +162,7 @@
     if peers::me(node).as_ref() == Some(owner) {
         return None;
     }
-    if peers::life_of(node, owner) == Life::Over {
+    if peers::owner_status(node, owner) == OwnerStatus::Ended {
         return None;
     }
     match node.ask_peer(owner.address, call, max).await {
@@ -172,7 +172,7 @@
             node.note(
                 "owner_unreachable",
                 json!({ "owner": owner.node, "why": error.message,
-                        "reached": !peers::never_reached(&error) }),
+                        "reached": !peers::cannot_have_run(&error) }),
             );
             None
         }
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -6,6 +6,7 @@
 //! whoever holds the duty sends exactly that.
 
 use crate::clock;
+use crate::duty_lease::DutyLease;
 use crate::metrics::count;
 use crate::node::Node;
 use crate::peers;
@@ -14,7 +15,6 @@
 use crate::scaling;
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall, StoredItem};
-use crate::tenancy::Tenancy;
 use crate::usage;
 use catkinmast_model::{Fence, UnixMs};
 use catkinmast_usage::{UsageSource, Window, Windows};
@@ -44,9 +44,9 @@
 /// not told all of a window. The rest is for a slow store, a slow platform and a successor.
 const WAIT_PERCENT: u64 = 45;
 /// How long the platform may take to answer.
-const CALL_MAX: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long the platform does not answer this node before another takes the duty.
-const RESIGN_AFTER_MS: u64 = 2_500;
+const STEP_DOWN_AFTER_MS: u64 = 2_500;
 /// The largest answer of the platform.
 const ANSWER_MAX_BYTES: usize = 1 << 16;
 
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 struct Reporter {
     /// Since when the platform has not answered; none while it does.
-    mute_since: Option<UnixMs>,
+    unanswered_since: Option<UnixMs>,
     /// Reports that the platform has taken.
     sent: BTreeSet<Window>,
     /// Reports that are in the store.
@@ -66,32 +66,32 @@
     if node.settings().duties.is_none() {
         return;
     }
-    let Some(tenancy) = Tenancy::open(&node, DUTY, LEASE_KEY).await else { return };
-    tokio::task::spawn_local(usage::tell(Rc::clone(&node)));
-    tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&tenancy)));
-    tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&tenancy)));
+    let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
+    tokio::task::spawn_local(usage::share_counts(Rc::clone(&node)));
+    tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&lease)));
+    tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&lease)));
     loop {
         sleep(TICK).await;
-        tenancy.tick(&node);
+        lease.tick(&node);
     }
 }
 
-async fn report<P: Platform>(node: Rc<Node<P>>, tenancy: Rc<Tenancy>) {
+async fn report<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
     let mut reporter = Reporter::default();
     loop {
         sleep(TICK).await;
         let Some(windows) = usage::windows(&node) else { continue };
         let Some(duties) = node.settings().duties else { continue };
         let now = node.usage.now();
-        let oldest = windows.at(UnixMs(now.since_ms(UnixMs(duties.usage_late_ms))));
+        let oldest = windows.at(UnixMs(now.since_ms(UnixMs(duties.usage_due_ms))));
         node.usage.ledger.borrow_mut().forget_before(oldest);
         reporter.forget_before(oldest);
-        if tenancy.order_fence(clock::now()).is_none() {
-            reporter.mute_since = None;
+        if lease.order_fence(clock::now()).is_none() {
+            reporter.unanswered_since = None;
             continue;
         }
         for number in oldest.0..windows.at(now).0 {
-            reporter.report(&node, &tenancy, &duties, windows, Window(number)).await;
+            reporter.report(&node, &lease, &duties, windows, Window(number)).await;
         }
     }
 }
@@ -105,28 +105,28 @@
     async fn report<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
-        tenancy: &Tenancy,
+        lease: &DutyLease,
         duties: &DutySettings,
         windows: Windows,
         window: Window,
     ) {
         let over_ms = node.usage.now().since_ms(windows.end(window));
-        let is_due = over_ms <= duties.usage_late_ms;
+        let is_due = over_ms <= duties.usage_due_ms;
         if self.sent.contains(&window) || !is_due || over_ms < CLOSE_AFTER_MS {
             return;
         }
-        let may_wait = over_ms * 100 < duties.usage_late_ms * WAIT_PERCENT;
+        let may_wait = over_ms * 100 < duties.usage_due_ms * WAIT_PERCENT;
         let written = self.written.remove(&window);
         let counts = match written {
             Some(counts) => counts,
-            None => match close(node, tenancy, window, may_wait).await {
+            None => match close(node, lease, window, may_wait).await {
                 Some(counts) => counts,
                 None => return,
             },
         };
         let counts = &*self.written.entry(window).or_insert(counts);
         let call = DutyCall::Usage { counts, window: window.0 };
-        let status = act(node, tenancy, duties, &call).await;
+        let status = send_duty_call(node, lease, duties, &call).await;
         let Some(status) = status else { return };
         let (total, workspaces) = (counts.values().sum::<u64>(), counts.len());
         node.note(
@@ -142,20 +142,25 @@
         if matches!(status, Ok(StatusCode::OK)) {
             self.sent.insert(window);
         }
-        self.heard(node, tenancy, status.is_ok());
+        self.record_answer(node, lease, status.is_ok());
     }
 
     /// Gives the duty up where the platform does not answer this node.
-    fn heard<P: Platform>(&mut self, node: &Rc<Node<P>>, tenancy: &Tenancy, answered: bool) {
+    fn record_answer<P: Platform>(
+        &mut self,
+        node: &Rc<Node<P>>,
+        lease: &DutyLease,
+        answered: bool,
+    ) {
         if answered {
-            self.mute_since = None;
+            self.unanswered_since = None;
             return;
         }
         let now = clock::now();
-        let since = *self.mute_since.get_or_insert(now);
-        if now.since_ms(since) >= RESIGN_AFTER_MS {
-            self.mute_since = None;
-            tenancy.resign(node, "the platform does not answer this node");
+        let since = *self.unanswered_since.get_or_insert(now);
+        if now.since_ms(since) >= STEP_DOWN_AFTER_MS {
+            self.unanswered_since = None;
+            lease.step_down(node, "the platform does not answer this node");
         }
     }
 }
@@ -171,7 +176,7 @@
 /// Closes a window: creates its report in the store, or finds the one that is there.
 async fn close<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &Tenancy,
+    lease: &DutyLease,
     window: Window,
     may_wait: bool,
 ) -> Option<BTreeMap<String, u64>> {
@@ -185,11 +190,11 @@
     if may_wait && !missing.is_empty() {
         return None;
     }
-    let fence = tenancy.order_fence(clock::now())?;
-    let call = creation(tenancy, fence, window, &counts)?;
+    let fence = lease.order_fence(clock::now())?;
+    let call = creation_call(lease, fence, window, &counts)?;
     let (outcome, found) = match node.store(&call).await {
         Ok(StoreAnswer::Committed { .. }) => ("created", Some(counts)),
-        Ok(StoreAnswer::Conflict { items }) => ("found", stored(&items, window)),
+        Ok(StoreAnswer::Conflict { items }) => ("found", stored_report(&items, window)),
         Ok(_) => ("refused", None),
         // It may be done; the next try finds it.
         Err(_) => ("unanswered", None),
@@ -206,8 +211,8 @@
     found
 }
 
-fn creation(
-    tenancy: &Tenancy,
+fn creation_call(
+    lease: &DutyLease,
     fence: Fence,
     window: Window,
     counts: &BTreeMap<String, u64>,
@@ -220,7 +225,7 @@
         deletes: old.map(|number| report_key(Window(number))).collect(),
         expected: vec![
             Expectation { key: key.clone(), revision: 0 },
-            Expectation { key: tenancy.key().to_owned(), revision: fence.0 },
+            Expectation { key: lease.key().to_owned(), revision: fence.0 },
         ],
         puts: vec![Put { key, lease: None, value }],
     })
@@ -231,21 +236,21 @@
 }
 
 /// Reads the report that is in the store already; none where another node holds the duty.
-fn stored(items: &[StoredItem], window: Window) -> Option<BTreeMap<String, u64>> {
+fn stored_report(items: &[StoredItem], window: Window) -> Option<BTreeMap<String, u64>> {
     let key = report_key(window);
     let item = items.iter().find(|item| item.key == key && item.revision > 0)?;
     postcard::from_bytes(&item.value).ok()
 }
 
 /// Makes a call of the duty, if this node holds it; returns what came back.
-pub(crate) async fn act<P: Platform>(
+pub(crate) async fn send_duty_call<P: Platform>(
     node: &Rc<Node<P>>,
-    tenancy: &Tenancy,
+    lease: &DutyLease,
     duties: &DutySettings,
     call: &DutyCall<'_>,
 ) -> Option<Result<StatusCode, CallError>> {
     // Asked right before the call: a pause must not let it out under a lapsed lease.
-    let fence = tenancy.order_fence(clock::now())?;
+    let fence = lease.order_fence(clock::now())?;
     let written = P::duty_request(call, &node.settings().node, fence.0);
     let mut request = Request::post(written.path)
         .header(http::header::HOST, duties.address.to_string())
@@ -260,6 +265,6 @@
         node.pool.release(connection, &head.headers);
         Ok(head.status)
     };
-    let answer = timeout(CALL_MAX, exchange).await;
+    let answer = timeout(CALL_TIMEOUT, exchange).await;
     Some(answer.unwrap_or_else(|_| Err(CallError::may_have_run("no answer in time"))))
 }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -7,6 +7,7 @@
 //! finds that number changed and does nothing.
 
 use crate::clock;
+use crate::duty_lease::DutyLease;
 use crate::forward::ChosenTarget;
 use crate::metrics::count;
 use crate::node::Node;
@@ -14,7 +15,6 @@
 use crate::platform::{EngineReport, OrderCall, Platform};
 use crate::pool::{CallError, read_body};
 use crate::store::{Put, StoreCall};
-use crate::tenancy::Tenancy;
 use bytes::Bytes;
 use catkinmast_dispatch::{
     LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
@@ -36,16 +36,16 @@
 /// How often what is due is done.
 const TICK: Duration = Duration::from_millis(100);
 /// How long an engine may take to answer a report or an order.
-const ENGINE_MAX: Duration = Duration::from_secs(1);
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after an order the first look at the engine's report is worth it, and the next ones.
 /// A load takes nearly a second, and a report is some hundred milliseconds old.
-const FIRST_LOOK: Duration = Duration::from_secs(1);
-const NEXT_LOOK: Duration = Duration::from_millis(300);
+const FIRST_REPORT_DELAY: Duration = Duration::from_secs(1);
+const NEXT_REPORT_DELAY: Duration = Duration::from_millis(300);
 /// How long a target takes no new work after an order: over 15 days of 9 targets, the first run
 /// that one took began 904 ms after it, or later.
 const LOAD_MS: u64 = 900;
 /// Looks at a report before an order counts as lost: an order may be carried out seconds late.
-const LOOKS_MAX: u32 = 20;
+const REPORTS_MAX: u32 = 20;
 /// After an order that got no answer, the report shows within this time whether it was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(400);
 /// The largest report.
@@ -59,16 +59,16 @@
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when it was last told.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
-    tenancy: Rc<Tenancy>,
+    lease: Rc<DutyLease>,
     /// The machines that were reported empty, and the revision that asked for it: one may be asked for
     /// again, and its report is gone by then.
-    vacated: RefCell<IndexMap<String, u64>>,
+    drained: RefCell<IndexMap<String, u64>>,
 }
 
 /// Orders that a target has accepted since it started.
 #[derive(Clone, Copy, Debug)]
 struct Accepted {
-    born_at_unix_ms: Option<u64>,
+    started_at_unix_ms: Option<u64>,
     orders: u64,
 }
 
@@ -77,33 +77,35 @@
     /// counts anew: an order that names the former count is refused for good.
     fn accepted(&self, entry: &TargetEntry) -> Option<u64> {
         let accepted = self.accepted.borrow().get(&entry.id).copied()?;
-        (accepted.born_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
+        (accepted.started_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
     }
 
-    fn note_accepted(&self, target: &str, born_at_unix_ms: Option<u64>, orders: u64) {
-        self.accepted.borrow_mut().insert(target.to_owned(), Accepted { born_at_unix_ms, orders });
+    fn note_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
+        self.accepted
+            .borrow_mut()
+            .insert(target.to_owned(), Accepted { started_at_unix_ms, orders });
     }
 }
 
 /// Takes part in the duty until the process ends.
-pub(crate) async fn give_orders<P: Platform>(node: Rc<Node<P>>) {
-    let Some(tenancy) = Tenancy::open(&node, DUTY, LEASE_KEY).await else { return };
+pub(crate) async fn run_order_duty<P: Platform>(node: Rc<Node<P>>) {
+    let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     let holder = Rc::new(Holder {
         accepted: RefCell::new(IndexMap::new()),
         rollouts: RefCell::new(IndexMap::new()),
         shared: RefCell::new(IndexMap::new()),
-        tenancy,
-        vacated: RefCell::new(IndexMap::new()),
+        lease,
+        drained: RefCell::new(IndexMap::new()),
     });
     loop {
         sleep(TICK).await;
-        holder.tenancy.tick(&node);
+        holder.lease.tick(&node);
         let now = clock::now();
-        if holder.tenancy.order_fence(now).is_some() {
+        if holder.lease.order_fence(now).is_some() {
             plan(&node, &holder);
         }
-        if holder.tenancy.fence(now).is_some() {
-            report_vacated(&node, &holder);
+        if holder.lease.fence(now).is_some() {
+            report_drained(&node, &holder);
         }
     }
 }
@@ -132,7 +134,7 @@
             for (model, version) in node.versions.borrow().iter() {
                 rollout.version_published(model, *version);
             }
-            for (model, at) in node.opened.borrow().iter() {
+            for (model, at) in node.batch_opened_at.borrow().iter() {
                 rollout.batch_opened(*at, model);
             }
             let orders = rollout.plan(now, &targets, &engine.models, &node.demand.borrow());
@@ -176,7 +178,7 @@
 ) -> LoadOutcome {
     let entry = node.targets.borrow().entry(&order.target).cloned();
     let Some(entry) = entry else { return LoadOutcome::Failed };
-    let born_at_unix_ms = entry.started_at_unix_ms;
+    let started_at_unix_ms = entry.started_at_unix_ms;
     let known = holder.accepted(&entry);
     let chosen = ChosenTarget { address: entry.address, id: entry.id };
     let expected_orders = match known {
@@ -194,7 +196,7 @@
         },
     };
     // Asked right before the order: a pause since the plan must not let it out under a lapsed lease.
-    let fence = holder.tenancy.order_fence(clock::now());
+    let fence = holder.lease.order_fence(clock::now());
     let Some(fence) = fence else { return LoadOutcome::Failed };
     let settings = node.settings();
     let call = OrderCall {
@@ -206,7 +208,7 @@
         version: order.version,
     };
     let (path, body) = P::order(&call);
-    peers::tell_load(node, &chosen.id, LOAD_MS);
+    peers::announce_load(node, &chosen.id, LOAD_MS);
     let sent = engine_call::<P>(node, &chosen, Some((path, body))).await;
     let status = sent.as_ref().ok().map(|(status, _)| status.as_u16());
     node.note(
@@ -220,11 +222,11 @@
     holder.accepted.borrow_mut().swap_remove(&chosen.id);
     match sent {
         Ok((StatusCode::ACCEPTED, _)) => {
-            holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders + 1);
-            sleep(FIRST_LOOK).await;
+            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders + 1);
+            sleep(FIRST_REPORT_DELAY).await;
         }
         Ok((StatusCode::OK, _)) => {
-            holder.note_accepted(&chosen.id, born_at_unix_ms, expected_orders);
+            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders);
             node.targets.borrow_mut().record_version(&chosen.id, &order.model, order.version);
             return LoadOutcome::Done;
         }
@@ -247,7 +249,7 @@
     chosen: &ChosenTarget,
     order: &LoadOrder,
 ) -> LoadOutcome {
-    for _ in 0..LOOKS_MAX {
+    for _ in 0..REPORTS_MAX {
         let known = node.targets.borrow().entry(&chosen.id).is_some_and(|entry| {
             entry.models.iter().any(|(model, held)| *model == order.model && *held >= order.version)
         });
@@ -266,7 +268,7 @@
             }
             Err(_) => return LoadOutcome::Failed,
         }
-        sleep(NEXT_LOOK).await;
+        sleep(NEXT_REPORT_DELAY).await;
     }
     LoadOutcome::Failed
 }
@@ -282,7 +284,7 @@
     report: &EngineReport,
 ) {
     if !report.busy {
-        holder.note_accepted(&chosen.id, report.born_at_unix_ms, report.orders_accepted);
+        holder.note_accepted(&chosen.id, report.started_at_unix_ms, report.orders_accepted);
     }
     for (model, version) in &report.models {
         node.targets.borrow_mut().record_version(&chosen.id, model, *version);
@@ -298,10 +300,10 @@
         return Err(CallError::may_have_run(format!("the report was answered {status}")));
     }
     let report = P::report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
-    let (of_this_life, change) =
-        node.targets.borrow_mut().apply_start_time(&chosen.id, report.born_at_unix_ms);
+    let (is_current, change) =
+        node.targets.borrow_mut().apply_start_time(&chosen.id, report.started_at_unix_ms);
     node.target_changed(&change, "its report");
-    if !of_this_life {
+    if !is_current {
         return Err(CallError::may_have_run("the report is of an earlier life"));
     }
     Ok(report)
@@ -322,11 +324,11 @@
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
         .map_err(|error| CallError { message: error.to_string(), verdict: Verdict::NotRun })?;
-    let marks = crate::platform::RequestMarks {
+    let marks = crate::platform::TargetRequestMetadata {
         expected_target: Some(&chosen.id),
-        ..crate::platform::RequestMarks::default()
+        ..crate::platform::TargetRequestMetadata::default()
     };
-    P::mark_request(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &marks);
     let exchange = async {
         let (response, connection) = node.pool.send(chosen.address, request).await?;
         let (head, body) = response.into_parts();
@@ -334,23 +336,23 @@
         node.pool.release(connection, &head.headers);
         Ok((head.status, body))
     };
-    match timeout(ENGINE_MAX, exchange).await {
+    match timeout(ENGINE_TIMEOUT, exchange).await {
         Ok(result) => result,
         Err(_) => Err(CallError::may_have_run("the engine did not answer in time")),
     }
 }
 
 /// Reports store machines as empty: nothing that lasts is kept on them.
-fn report_vacated<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
-    let asked = node.vacating.borrow().clone();
+fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
+    let asked = node.draining.borrow().clone();
     for (machine, revision) in asked {
-        let reported = holder.vacated.borrow_mut().insert(machine.clone(), revision);
+        let reported = holder.drained.borrow_mut().insert(machine.clone(), revision);
         if reported == Some(revision) {
             continue;
         }
         let (node, holder) = (Rc::clone(node), Rc::clone(holder));
         tokio::task::spawn_local(async move {
-            let (key, value) = P::vacated(&machine);
+            let (key, value) = P::drained(&machine);
             let puts = vec![Put { key, lease: None, value }];
             let call = StoreCall::Transaction { deletes: Vec::new(), expected: Vec::new(), puts };
             match node.store(&call).await {
@@ -360,7 +362,7 @@
                 Err(refusal) => {
                     let why = json!({ "machine": machine, "why": refusal.message });
                     node.note("vacate_unreported", why);
-                    holder.vacated.borrow_mut().swap_remove(&machine);
+                    holder.drained.borrow_mut().swap_remove(&machine);
                 }
             }
         });
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -1,6 +1,6 @@
 //! Which node does what one node does for all.
 
-use super::{Owner, name_of, with_members};
+use super::{Owner, to_node_name, with_members};
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_member::{DutyRank, Fact, NodeFact, NodeState, OwnerFact};
@@ -18,7 +18,7 @@
 }
 
 /// Tells whether the node at an address comes before this one for a duty.
-pub(crate) fn comes_before<P: Platform>(node: &Node<P>, address: SocketAddr, duty: &str) -> bool {
+pub(crate) fn ranks_before<P: Platform>(node: &Node<P>, address: SocketAddr, duty: &str) -> bool {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return false };
     let mine = DutyRank::of(members.me(), duty);
@@ -49,8 +49,8 @@
 }
 
 /// Returns the holder of a duty, and the nodes that come first in rank for it, this one among them.
-pub(crate) fn followers<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
-    let holder = holder_of(node, &name_of(duty));
+pub(crate) fn duty_candidates<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
+    let holder = holder_of(node, &to_node_name(duty));
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
     let mut live: Vec<&NodeFact> =
@@ -92,6 +92,6 @@
 }
 
 /// Tells all that this node holds a duty.
-pub(crate) fn tell_holder<P: Platform>(node: &Node<P>, fact: OwnerFact) {
+pub(crate) fn announce_holder<P: Platform>(node: &Node<P>, fact: OwnerFact) {
     with_members(node, |members, now| members.observe(now, Fact::Owner(fact)));
 }
