--- a/crates/dispatch/src/copies.rs
+++ b/crates/dispatch/src/copies.rs
@@ -1,79 +1,80 @@
-//! What the node that would follow an owner needs to hear of the texts in progress.
+//! Incremental updates of partial texts, for the node that would take over a batch from its owner.
 //!
-//! A text grows by an event each 40 ms for up to seven seconds; sent whole each time, the texts of a
-//! batch would cross the network several times. So only what is new of each is sent, and a copy that
-//! has missed a part asks for all.
+//! A text grows by an event every 40 ms for up to seven seconds. If it were sent in full each time,
+//! the texts of a batch would cross the network several times. Only the new part of each text is
+//! therefore sent, and a copy that has missed a part requests the full texts.
 //!
-//! *Texts of two runs are joined* where an item began anew and its text has outgrown what was told of
-//! the first run. It would be noticed as a result that no run generated. So what is new names the digest
-//! of what comes before it, on both sides.
+//! If an item restarts and its new text outgrows what was sent of the first run, appending by
+//! length alone would join texts of two runs into a result that no run generated. Each update
+//! therefore carries the digest of the text before it, which the receiver checks.
 
 use crate::submission::Progress;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What is new of a text.
+/// The new part of a text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TextUpdate {
-    /// The digest of what the receiver must have of the text already; none where it has nothing.
+    /// Digest of the text that the receiver must already have. `None` if the update replaces the
+    /// text.
     pub after_digest: Option<u64>,
-    /// The item.
+    /// Id of the item.
     pub item: String,
-    /// The text with what came before left out.
+    /// Progress of the item, with only the new part of the text.
     pub progress: Progress,
 }
 
-/// What a copy has been told of a text.
+/// What was sent of a text.
 #[derive(Clone, Copy, Debug)]
-struct ToldText {
+struct SentText {
     bytes: usize,
     digest: u64,
 }
 
-/// What a copy has been told of the texts of a batch.
+/// What was sent of the texts of a batch.
 #[derive(Clone, Debug, Default)]
-pub struct SentTexts(IndexMap<String, ToldText>);
+pub struct SentTexts(IndexMap<String, SentText>);
 
 impl SentTexts {
-    /// Returns what is new of some texts, and counts it as told.
+    /// Returns the updates for some texts, and records them as sent.
     pub fn updates(&mut self, texts: &[(String, Progress)]) -> Vec<TextUpdate> {
-        texts.iter().filter_map(|(item, progress)| self.news_of(item, progress)).collect()
+        texts.iter().filter_map(|(item, progress)| self.update_of(item, progress)).collect()
     }
 
-    fn news_of(&mut self, item: &str, progress: &Progress) -> Option<TextUpdate> {
+    fn update_of(&mut self, item: &str, progress: &Progress) -> Option<TextUpdate> {
         let text = &progress.text;
-        let told = self.0.get(item).copied();
-        let before = told.filter(|told| {
-            text.get(..told.bytes).is_some_and(|start| digest(start) == told.digest)
+        let sent = self.0.get(item).copied();
+        let prefix = sent.filter(|sent| {
+            text.get(..sent.bytes).is_some_and(|start| digest(start) == sent.digest)
         });
-        let new = &text[before.map_or(0, |told| told.bytes)..];
+        let new = &text[prefix.map_or(0, |sent| sent.bytes)..];
         if new.is_empty() {
             return None;
         }
-        self.0.insert(item.to_owned(), ToldText { bytes: text.len(), digest: digest(text) });
+        self.0.insert(item.to_owned(), SentText { bytes: text.len(), digest: digest(text) });
         Some(TextUpdate {
-            after_digest: before.map(|told| told.digest),
+            after_digest: prefix.map(|sent| sent.digest),
             item: item.to_owned(),
             progress: Progress { text: new.to_owned(), ..progress.clone() },
         })
     }
 
-    /// Forgets what was told: the copy missed a part, or another node holds it now.
+    /// Forgets what was sent, because the copy missed a part or another node holds it now.
     pub fn forget(&mut self) {
         self.0.clear();
     }
 }
 
-/// The texts of a batch as far as its copy has them.
+/// The texts of a batch as far as this copy has received them.
 #[derive(Clone, Debug, Default)]
 pub struct CopiedTexts(IndexMap<String, Progress>);
 
 impl CopiedTexts {
-    /// Takes news; returns false when a part before them is missing.
-    pub fn apply(&mut self, news: Vec<TextUpdate>) -> bool {
-        let mut whole = true;
-        for TextUpdate { after_digest, item, progress } in news {
+    /// Applies updates. Returns `false` if a part before one of them is missing.
+    pub fn apply(&mut self, updates: Vec<TextUpdate>) -> bool {
+        let mut complete = true;
+        for TextUpdate { after_digest, item, progress } in updates {
             let held = self.0.entry(item).or_default();
             match after_digest {
                 None => *held = progress,
@@ -81,13 +82,13 @@
                     let text = std::mem::take(&mut held.text) + &progress.text;
                     *held = Progress { text, ..progress };
                 }
-                Some(_) => whole = false,
+                Some(_) => complete = false,
             }
         }
-        whole
+        complete
     }
 
-    /// Gives out the texts.
+    /// Returns the texts.
     pub fn into_texts(self) -> Vec<(String, Progress)> {
         self.0.into_iter().collect()
     }
--- a/crates/dispatch/src/document.rs
+++ b/crates/dispatch/src/document.rs
@@ -1,66 +1,66 @@
-//! The operators' configuration as the request path reads it.
+//! The operators' configuration in the form that request handling uses.
 
 use catkinmast_access::Workspaces;
 use catkinmast_scaling::ScalingConfig;
 use indexmap::IndexMap;
 
-/// What may be repeated of a route's requests, and how they are run.
+/// How a route's requests are run, and whether they may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// May run at most once for each attempt of the caller.
+    /// Requests run at most once for each attempt of the caller.
     NonIdempotent,
     /// Batch submissions, whose items run later.
     Rollout,
-    /// A stream of events.
+    /// Requests that are answered by a stream of events.
     Stream,
 }
 
-/// One service of a route and its share of the requests.
+/// A service of a route and its share of the requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Its share, relative to the other weights of the route.
+    /// Share of the requests, relative to the other weights of the route.
     pub weight: u64,
 }
 
-/// A route: which requests go to which service, and on which terms.
+/// A route: which requests go to which services, and how.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
     /// Most targets that one attempt of the caller may be sent to.
     pub attempts: u32,
     /// How long after its first submission an item may be given up.
     pub give_up_ms: Option<u64>,
-    /// The host whose requests it takes.
+    /// Host whose requests it matches.
     pub host: String,
-    /// What may be repeated.
+    /// How its requests are run.
     pub kind: RouteKind,
-    /// Whether its requests carry no key.
+    /// Whether its requests need no key.
     pub is_public: bool,
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The path prefix, beginning and ending with a slash.
+    /// Path prefix that it matches, beginning and ending with a slash.
     pub prefix: String,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Whether a stream may go on at another target.
+    /// Whether a stream may be resumed at another target.
     pub resumable: bool,
-    /// When all results of a batch submission are due, after it was first submitted.
+    /// How long after its first submission all results of a batch are due.
     pub run_target_ms: Option<u64>,
-    /// Where the requests go.
+    /// Services that the requests go to.
     pub services: Vec<WeightedService>,
-    /// Whether one weight version must have produced a whole sample.
+    /// Whether a single weight version must have produced a whole sample.
     pub single_version: bool,
-    /// The longest that a request is kept waiting.
+    /// Longest time that a request is kept waiting.
     pub timeout_ms: Option<u64>,
-    /// The time within which an answer is worth its full value.
+    /// Time within which an answer has its full value.
     pub target_latency_ms: u64,
 }
 
 impl Route {
-    /// Chooses the service for a draw from `0..u64::MAX`, in proportion to the weights.
+    /// Returns the service for a draw from `0..u64::MAX`, in proportion to the weights.
     pub fn service(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.services.iter().map(|share| share.weight).sum();
         if total == 0 {
@@ -76,62 +76,63 @@
         None
     }
 
-    /// Tells whether a request may be sent again after one that may have run.
+    /// Returns whether a request may be sent again after one that may have run.
     pub const fn repeatable(&self) -> bool {
         matches!(self.kind, RouteKind::Idempotent)
     }
 }
 
-/// What a service's model engines are.
+/// Configuration of a service's model engines.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineConfig {
-    /// The models that they serve.
+    /// Models that the engines serve.
     pub models: Vec<String>,
-    /// Requests that one engine runs at once.
+    /// Number of requests that one engine runs at once.
     pub slots: u32,
 }
 
-/// A service's terms.
+/// Configuration of a service.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ServiceConfig {
-    /// Connections that one target accepts from all of us.
+    /// Most connections that one target accepts from all nodes together.
     pub connections_max: Option<u32>,
-    /// Set where its targets are model engines.
+    /// Set if its targets are model engines.
     pub engine: Option<EngineConfig>,
-    /// Set where the number of its targets is ordered.
+    /// Set if the number of its targets is scaled.
     pub scaling: Option<ScalingConfig>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Largest request body.
     pub body_max_bytes: u64,
     /// Largest request head.
     pub header_max_bytes: u64,
-    /// How long a head may take.
+    /// Longest time for receiving a request head.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle.
+    /// Longest time that a connection may stay idle.
     pub idle_timeout_ms: u64,
 }
 
-/// The operators' configuration, whole.
+/// The complete configuration of the operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Document {
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: Limits,
     /// The routes.
     pub routes: Vec<Route>,
-    /// The services by name.
+    /// The services, by name.
     pub services: IndexMap<String, ServiceConfig>,
-    /// Its version; a higher one replaces it.
+    /// Version of the configuration. A higher version replaces a lower one.
     pub version: u64,
-    /// The workspaces of callers; none where no keys are asked for.
+    /// The workspaces of callers. `None` if no keys are required.
     pub workspaces: Option<Workspaces>,
 }
 
 impl Document {
-    /// Finds the route of a request: that with the longest prefix among those of the host.
+    /// Returns the route of a request: the one with the longest matching prefix among those of the
+    /// host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -141,7 +142,8 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Tells whether calls about the batches of a host need no key: one of its batch routes is public.
+    /// Returns whether calls about batches of a host need no key, because one of its batch routes
+    /// is public.
     pub fn has_public_batches(&self, host: &str) -> bool {
         self.routes.iter().any(|route| {
             route.is_public
@@ -150,7 +152,7 @@
         })
     }
 
-    /// Tells whether a service's targets are model engines.
+    /// Returns the engine configuration of a service, if its targets are model engines.
     pub fn engine(&self, service: &str) -> Option<&EngineConfig> {
         self.services.get(service).and_then(|terms| terms.engine.as_ref())
     }
--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -63,7 +63,7 @@
     OwnCall,
     /// A node with an earlier rank reported an answer.
     EarlierRank,
-    /// A node with a later rank reported an answer.
+    /// Another node, not known to have an earlier rank, reported an answer.
     LaterRank,
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,19 +1,22 @@
-//! The decisions of the path between callers and targets, without a network.
+//! Dispatch decisions between callers and targets, without I/O.
 //!
-//! Everything here is a plain aggregate: it is told what happened and when, and says what to do.
-//! It owns no socket, clock, thread or random source, so that each decision is played in a test.
+//! The types here are plain state machines: the caller reports what happened and when, and they
+//! return what to do. They own no socket, clock, thread or random source, so that tests can drive
+//! each decision.
 //!
-//! - [`Document`]: the operators' routes and services, and which route a request takes.
-//! - [`TargetTable`]: which targets may receive work, from a registry that lags and has outages.
-//! - [`LoadBalancer`]: what this process sees of each target by its own calls, and the choice among them.
-//! - [`WaitQueue`]: whose request is tried next while all targets refuse for load.
-//! - [`Batch`]: a batch submission, its items, and the results in their fixed positions.
-//! - [`Freshness`]: how old a node's view of the store is, and when it looks for itself.
+//! - [`Document`]: the operators' routes and services, and the route of a request.
+//! - [`TargetTable`]: which targets may receive work, by a registry that lags and has outages.
+//! - [`LoadBalancer`]: the load of each target by this process's own calls, and the choice among
+//!   targets.
+//! - [`WaitQueue`]: fair queueing while all targets refuse for load.
+//! - [`Batch`]: a batch submission, its items, and the results at their fixed positions.
+//! - [`Freshness`]: how old a node's view of the store is, and when it must read the store itself.
 //! - [`RunTimeEstimator`]: how long items run.
 //! - [`Lookahead`]: which weights a later batch of the same items will accept.
-//! - [`Rollout`]: which target is brought to which weight version, and when.
+//! - [`Rollout`]: which target loads which weight version, and when.
 //! - [`Demand`]: how many targets each model gets.
-//! - [`EventReader`]: the events of a token stream.
+//! - [`EventReader`]: a parser for token streams.
+//! - [`SentTexts`] and [`CopiedTexts`]: incremental copies of partial texts.
 
 mod batch;
 mod copies;
--- a/crates/dispatch/src/run_time.rs
+++ b/crates/dispatch/src/run_time.rs
@@ -1,10 +1,10 @@
-//! How long items run, learnt from those that have.
+//! Estimates how long items run from the runs that have finished.
 
-/// Tokens of finished items that are remembered: about two steps of a trainer. Older ones count
-/// half each time that as many again have come.
-const REMEMBERED_TOKENS: u64 = 100_000;
+/// Number of tokens of finished items that count in full: about two steps of a trainer. Whenever
+/// more have accumulated, all of them are halved.
+const HISTORY_TOKENS: u64 = 100_000;
 
-/// How long runs take by their callers' estimates of their lengths.
+/// Mean run time per token of the callers' length estimates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimeEstimator {
     run_ms: u64,
@@ -12,18 +12,18 @@
 }
 
 impl RunTimeEstimator {
-    /// Takes a run that began at the start of its text and came to its end.
+    /// Records a run that started at the beginning of its text and completed it.
     pub fn record(&mut self, estimated_tokens: u64, run_ms: u64) {
         self.run_ms += run_ms;
         self.tokens += estimated_tokens;
-        if self.tokens > REMEMBERED_TOKENS {
+        if self.tokens > HISTORY_TOKENS {
             self.run_ms /= 2;
             self.tokens /= 2;
         }
     }
 
-    /// Returns how long a run of an estimated length takes; before any has finished, one millisecond
-    /// for each token, so that runs compare by their estimates.
+    /// Returns the expected run time for an estimated length. Before any run has finished, this is
+    /// one millisecond for each token, so that runs compare by their estimates.
     pub fn expected_ms(&self, estimated_tokens: u64) -> u64 {
         if self.tokens == 0 {
             return estimated_tokens;
