--- a/crates/access/src/admit.rs
+++ b/crates/access/src/admit.rs
@@ -1,16 +1,16 @@
-//! Decides who a request is from.
+//! Decides which workspace a request belongs to.
 
 use crate::{CredentialError, KeyDigest, Workspace, Workspaces};
 
-/// How old a node's view of the configuration is, and what that means for keys.
+/// The age of a node's view of the configuration, and the bounds that apply to it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ViewAge {
-    /// The view's age in milliseconds; none if it is not known.
+    /// Age of the view in milliseconds. `None` if it is unknown.
     pub age_ms: Option<u64>,
-    /// The age up to which an unknown key is known not to be a new one, in milliseconds.
+    /// Largest age in milliseconds at which an unknown key is certain not to be a new one.
     pub bound_ms: u64,
-    /// The age from which keys that are known may have been taken away for too long, in milliseconds;
-    /// none where they are served all the same.
+    /// Age in milliseconds beyond which known keys are refused, because they may have been revoked
+    /// too long ago. `None` if known keys are accepted at any age.
     pub fail_closed_after_ms: Option<u64>,
 }
 
@@ -25,23 +25,23 @@
     }
 }
 
-/// Who a request is from.
+/// Which workspace a request belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission<'a> {
-    /// Of nobody in particular: no key is asked for.
+    /// To no particular workspace: no key is required.
     Anyone,
-    /// The key belongs to no workspace.
+    /// The key is missing, malformed or of no workspace; the text says which.
     Denied(String),
-    /// That cannot be told: the view is too old.
+    /// The view is too old to decide; the text says why.
     Undetermined(String),
-    /// Of this workspace.
+    /// To this workspace.
     Workspace(&'a Workspace),
 }
 
-/// Decides who a request is from.
+/// Decides which workspace a request belongs to.
 ///
-/// A denial is final for its caller. So a node denies an unknown key only by a view whose age it knows:
-/// the key may be of a configuration that has not arrived.
+/// A denial is final for the caller. An unknown key is therefore denied only if the age of the view
+/// is known: otherwise the key may be from a configuration that has not arrived yet.
 pub fn admit(
     workspaces: Option<&Workspaces>,
     is_public: bool,
--- a/crates/access/src/credential.rs
+++ b/crates/access/src/credential.rs
@@ -3,10 +3,10 @@
 use crate::KeyDigest;
 use displaydoc::Display;
 
-/// The scheme of the header, in any case.
+/// Authentication scheme of the header, in any case.
 const SCHEME: &[u8] = b"bearer";
 
-/// Why a request does not name a workspace by its key.
+/// Why a request carries no usable key.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum CredentialError {
     /// the request carries no key
@@ -21,11 +21,11 @@
 
 impl std::error::Error for CredentialError {}
 
-/// Reads the key out of the values of all `Authorization` headers of a request.
+/// Reads the key from the values of all `Authorization` headers of a request.
 ///
 /// # Errors
-/// When there is not exactly one header with the scheme `Bearer` and one key. No error holds any part of
-/// what was sent.
+/// Returns an error unless there is exactly one header with the scheme `Bearer` and one key. No
+/// error contains any part of the header.
 pub fn credential<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
 ) -> Result<KeyDigest, CredentialError> {
--- a/crates/access/src/digest.rs
+++ b/crates/access/src/digest.rs
@@ -1,17 +1,17 @@
-//! What is kept of a key.
+//! Digests of keys, which are stored in place of the keys.
 
 use displaydoc::Display;
 use std::fmt;
 use std::str::FromStr;
 
-/// Bytes of a digest: no caller can make a key that meets another's.
+/// Bytes of a digest: enough that no caller can construct a key with the digest of another.
 const DIGEST_BYTES: usize = 16;
-/// Separates these digests from all others of the same hash.
+/// Context string that separates these digests from all others of the same hash.
 const CONTEXT: &str = "catkinmast caller key v1";
 /// Hexadecimal digits of the short form.
 const SHORT_DIGITS: usize = 8;
 
-/// The first 16 bytes of the BLAKE3 digest of a key, derived for this use alone.
+/// The first 16 bytes of the BLAKE3 digest of a key, with a context of its own.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -22,7 +22,7 @@
 impl std::error::Error for ParseDigestError {}
 
 impl KeyDigest {
-    /// Takes the digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         hasher.update(key);
@@ -31,7 +31,7 @@
         Self(digest)
     }
 
-    /// Returns the beginning of the digest, by which a key is named in logs and errors.
+    /// Returns the first digits of the digest, which identify a key in logs and errors.
     pub fn short(&self) -> String {
         let mut text = self.to_string();
         text.truncate(SHORT_DIGITS);
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,11 +1,12 @@
-//! Workspaces and the keys by which their callers are known.
+//! Workspaces and the keys that identify their callers.
 //!
-//! A caller's key is a secret. It is turned into a [`KeyDigest`] where it is read, and only the digest is
-//! kept, compared, sent to other nodes or written down. A comparison of digests tells by its time nothing
-//! of a key.
+//! A caller's key is a secret. It is converted to a [`KeyDigest`] where it is read, and only the
+//! digest is stored, compared, sent to other nodes or written down. The time that a comparison of
+//! digests takes reveals nothing about a key.
 //!
-//! [`Workspaces`] are those of one configuration. [`admit`] decides who a request is from, or why it is
-//! turned away, by that configuration and by how old this node's view of it is.
+//! [`Workspaces`] are those of one configuration. [`admit`] decides which workspace a request
+//! belongs to, or why it is refused, by that configuration and by the age of this node's view of
+//! it.
 
 mod admit;
 mod credential;
--- a/crates/access/src/workspaces.rs
+++ b/crates/access/src/workspaces.rs
@@ -7,31 +7,31 @@
 /// A workspace.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its rank, which goes before that of a route; 0 is the most urgent.
+    /// Priority, which overrides that of a route; 0 is the most urgent.
     pub priority: Option<u32>,
 }
 
 /// A workspace as the operators configure it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkspaceConfig {
-    /// The digests of its keys.
+    /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its rank, which goes before that of a route; 0 is the most urgent.
+    /// Priority, which overrides that of a route; 0 is the most urgent.
     pub priority: Option<u32>,
 }
 
-/// Why workspaces cannot be put in force.
+/// Why a configuration's workspaces are rejected.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum WorkspaceError {
     /// the name of workspace {index} is {name:?}, which is empty or no text for a header
     BadName {
-        /// Its place in the list, counted from 0.
+        /// Position in the list, from 0.
         index: usize,
-        /// What stands there.
+        /// The name as configured.
         name: String,
     },
     /// the name {name} stands for two workspaces
@@ -41,11 +41,11 @@
     },
     /// the key with the digest {digest} stands in the workspaces {first} and {second}
     SharedKey {
-        /// The short form of the key's digest.
+        /// Short form of the key's digest.
         digest: String,
-        /// The workspace that has it first.
+        /// The workspace that lists the key first.
         first: String,
-        /// The workspace that has it too.
+        /// The workspace that lists the key again.
         second: String,
     },
 }
@@ -60,21 +60,21 @@
 }
 
 impl Workspaces {
-    /// Takes the workspaces of a configuration.
+    /// Creates the workspaces of a configuration.
     ///
     /// # Errors
-    /// When a name is unfit or stands twice, or a key stands in two workspaces: nobody could tell whose
-    /// request it is.
-    pub fn open(terms: impl IntoIterator<Item = WorkspaceConfig>) -> Result<Self, WorkspaceError> {
+    /// Returns an error if a name is empty, not usable in a header or used twice, or if two
+    /// workspaces share a key, because a request with that key could belong to either.
+    pub fn open(config: impl IntoIterator<Item = WorkspaceConfig>) -> Result<Self, WorkspaceError> {
         let mut all = Self::default();
-        for terms in terms {
-            all.add(terms)?;
+        for config in config {
+            all.add(config)?;
         }
         Ok(all)
     }
 
-    fn add(&mut self, terms: WorkspaceConfig) -> Result<(), WorkspaceError> {
-        let WorkspaceConfig { keys, name, priority } = terms;
+    fn add(&mut self, config: WorkspaceConfig) -> Result<(), WorkspaceError> {
+        let WorkspaceConfig { keys, name, priority } = config;
         let index = self.list.len();
         if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(WorkspaceError::BadName { index, name });
@@ -92,22 +92,22 @@
         Ok(())
     }
 
-    /// Finds the workspace that holds a key.
+    /// Returns the workspace that a key belongs to.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Workspace> {
         self.by_key.get(key).map(|index| &self.list[*index])
     }
 
-    /// Returns how many workspaces there are.
+    /// Returns the number of workspaces.
     pub const fn len(&self) -> usize {
         self.list.len()
     }
 
-    /// Tells whether there is no workspace.
+    /// Returns whether there is no workspace.
     pub const fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Returns how many keys there are.
+    /// Returns the number of keys.
     pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
--- a/crates/scaling/src/config.rs
+++ b/crates/scaling/src/config.rs
@@ -1,34 +1,34 @@
-//! What the operators allow.
+//! Scaling configuration of a service.
 
 use displaydoc::Display;
 
-/// What the operators allow for a service's targets.
+/// Scaling configuration of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ScalingConfig {
-    /// How long a new target takes until it serves.
+    /// How long a new target takes to start serving.
     pub boot_ms: u64,
-    /// The most targets in a data centre, of both kinds together.
+    /// Largest number of targets in a data centre, of both kinds together.
     pub max: u32,
-    /// The fewest.
+    /// Smallest number of targets.
     pub min: u32,
 }
 
 /// scaling has min {min} over max {max}
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub struct ScalingError {
-    /// The most.
+    /// The largest number.
     pub max: u32,
-    /// The fewest.
+    /// The smallest number.
     pub min: u32,
 }
 
 impl std::error::Error for ScalingError {}
 
 impl ScalingConfig {
-    /// Checks the terms.
+    /// Checks the configuration.
     ///
     /// # Errors
-    /// When no number of targets is allowed.
+    /// Returns an error if the bounds allow no number of targets.
     pub const fn validated(self) -> Result<Self, ScalingError> {
         if self.min > self.max {
             return Err(ScalingError { max: self.max, min: self.min });
--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -1,8 +1,8 @@
-//! How many targets a service has in each data centre, and of which kind.
+//! Decides how many targets a service has in each data centre, and of which kind.
 //!
-//! [`Scaling`] is one service's. It is told which targets serve and what became of its orders, and says
-//! what to order. It answers the loss of targets while trainers wait: taken back by the provider, gone
-//! for good, or drained without another in their place.
+//! [`Scaling`] handles one service. The caller reports which targets serve and the outcomes of
+//! orders, and it returns what to order. It replaces targets that are lost while trainers wait:
+//! reclaimed by the provider, failed for good, or drained without a replacement.
 //!
 //! It owns no socket, clock or thread.
 
@@ -14,19 +14,19 @@
 pub use config::{ScalingConfig, ScalingError};
 pub use plan::{DesiredCounts, OrderOutcome, Scaling};
 
-/// A kind of target in a data centre; each is ordered by itself.
+/// A kind of target in a data centre. Each pool is ordered separately.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Pool {
     /// The data centre.
     pub data_centre: String,
-    /// Whether the provider may take its targets back, all of a data centre at once.
+    /// Whether the provider may reclaim its targets, possibly all of a data centre at once.
     pub reclaimable: bool,
 }
 
-/// How many targets a pool is to have.
+/// An order to set the number of targets in a pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetOrder {
-    /// The number.
+    /// The number of targets.
     pub count: u32,
     /// The pool.
     pub pool: Pool,
--- a/crates/scaling/src/plan.rs
+++ b/crates/scaling/src/plan.rs
@@ -1,96 +1,96 @@
-//! Which orders are due.
+//! Plans the orders of targets for a service.
 
 use crate::{Pool, ScalingConfig, TargetOrder};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 
-/// How long the targets must not change before their number is taken for what the service began with.
-const STEADY_MS: u64 = 3_000;
-/// How long a pool is short before more are ordered: a replacement that the provider makes by itself
-/// starts within this time.
-const SHORT_MS: u64 = 1_500;
-/// Added to the time that new targets take, before a pool that is still short is ordered again.
-const ORDER_AGAIN_MS: u64 = 4_000;
-/// How long after a refusal an order is made again: nothing was to be had.
-const REFUSED_PAUSE_MS: u64 = 2_000;
+/// How long the number of targets must not change before it is taken as the service's initial size.
+const SETTLE_MS: u64 = 3_000;
+/// How long a pool is short before targets are ordered. A replacement by the provider itself starts
+/// within this time.
+const SHORTAGE_GRACE_MS: u64 = 1_500;
+/// Added to the start-up time of new targets before a pool that is still short is ordered again.
+const REORDER_MARGIN_MS: u64 = 4_000;
+/// How long after an order that was refused, or whose outcome is unknown, the next one is made.
+const REFUSED_RETRY_MS: u64 = 2_000;
 
-/// How many targets each pool is to have.
+/// The desired number of targets of each pool.
 pub type DesiredCounts = IndexMap<Pool, u32>;
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
-    /// It may have been taken, or not.
+    /// The order may or may not have been accepted.
     Unknown,
-    /// None are to be had there now.
+    /// The pool has no targets available now.
     NoCapacity,
-    /// It was taken.
+    /// The order was accepted.
     Accepted,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct State {
-    order_from: UnixMs,
-    /// Targets that are missing and are not to be had.
-    refused_short: u32,
-    /// Targets that this pool has in place of others' that are not to be had.
-    stands_in: u32,
+struct PoolState {
+    next_order_at: UnixMs,
+    /// Missing targets that the provider refused to supply.
+    unavailable: u32,
+    /// Extra targets of this pool in place of unavailable ones of others.
+    substitutes: u32,
     short_since: Option<UnixMs>,
 }
 
-/// The targets of one service.
+/// The scaling state of one service.
 #[derive(Clone, Debug)]
 pub struct Scaling {
-    seen: (DesiredCounts, UnixMs),
-    states: IndexMap<Pool, State>,
-    /// What the service is to have; none until it is known.
-    wanted: Option<DesiredCounts>,
+    last_serving: (DesiredCounts, UnixMs),
+    pools: IndexMap<Pool, PoolState>,
+    /// The desired counts; `None` until they are known.
+    desired: Option<DesiredCounts>,
 }
 
 impl Scaling {
-    /// Opens the scaling of a service; `wanted` is what it is to have, where that was found before.
-    pub fn open(wanted: Option<DesiredCounts>) -> Self {
-        let seen = (DesiredCounts::new(), UnixMs(0));
-        Self { seen, states: IndexMap::new(), wanted }
+    /// Opens the scaling of a service, with the desired counts if they were determined before.
+    pub fn open(desired: Option<DesiredCounts>) -> Self {
+        let last_serving = (DesiredCounts::new(), UnixMs(0));
+        Self { last_serving, pools: IndexMap::new(), desired }
     }
 
-    /// Returns what the service is to have, once that is known.
+    /// Returns the desired counts, once they are known.
     pub const fn desired(&self) -> Option<&DesiredCounts> {
-        self.wanted.as_ref()
+        self.desired.as_ref()
     }
 
-    /// Returns the orders that are due under the terms in force, given how many targets of each pool
-    /// serve.
+    /// Returns the orders that are due under the configuration in force, given how many targets of
+    /// each pool serve.
     pub fn plan(
         &mut self,
         now: UnixMs,
-        terms: ScalingConfig,
+        config: ScalingConfig,
         serving: &DesiredCounts,
     ) -> Vec<TargetOrder> {
-        if self.wanted.is_none() {
-            self.learn(now, serving);
+        if self.desired.is_none() {
+            self.learn_desired(now, serving);
         }
-        let Some(wanted) = self.wanted.clone() else { return Vec::new() };
+        let Some(desired) = self.desired.clone() else { return Vec::new() };
         let mut orders = Vec::new();
-        for (pool, count) in &wanted {
-            let state = self.states.entry(pool.clone()).or_default();
-            let count = (count + state.stands_in).clamp(terms.min, terms.max);
+        for (pool, count) in &desired {
+            let state = self.pools.entry(pool.clone()).or_default();
+            let count = (count + state.substitutes).clamp(config.min, config.max);
             if serving.get(pool).copied().unwrap_or(0) >= count {
                 state.short_since = None;
-                state.refused_short = 0;
+                state.unavailable = 0;
                 continue;
             }
             let since = *state.short_since.get_or_insert(now);
-            if now.since_ms(since) >= SHORT_MS && now >= state.order_from {
-                state.order_from = now.plus(terms.boot_ms + ORDER_AGAIN_MS);
+            if now.since_ms(since) >= SHORTAGE_GRACE_MS && now >= state.next_order_at {
+                state.next_order_at = now.plus(config.boot_ms + REORDER_MARGIN_MS);
                 orders.push(TargetOrder { count, pool: pool.clone() });
             }
         }
-        self.stand_in(&wanted);
+        self.assign_substitutes(&desired);
         orders
     }
 
-    /// Takes what became of an order, when so many targets of its pool served.
+    /// Records the outcome of an order, given how many targets of its pool served when it was made.
     pub fn record_outcome(
         &mut self,
         now: UnixMs,
@@ -98,38 +98,38 @@
         serving: u32,
         outcome: OrderOutcome,
     ) {
-        let state = self.states.entry(order.pool.clone()).or_default();
+        let state = self.pools.entry(order.pool.clone()).or_default();
         match outcome {
-            OrderOutcome::Accepted => state.refused_short = 0,
+            OrderOutcome::Accepted => state.unavailable = 0,
             OrderOutcome::NoCapacity => {
-                state.refused_short = order.count.saturating_sub(serving);
-                state.order_from = now.plus(REFUSED_PAUSE_MS);
+                state.unavailable = order.count.saturating_sub(serving);
+                state.next_order_at = now.plus(REFUSED_RETRY_MS);
             }
-            OrderOutcome::Unknown => state.order_from = now.plus(REFUSED_PAUSE_MS),
+            OrderOutcome::Unknown => state.next_order_at = now.plus(REFUSED_RETRY_MS),
         }
     }
 
-    /// Lets pools of other data centres stand in for what is not to be had, evenly.
-    fn stand_in(&mut self, wanted: &DesiredCounts) {
-        let refused = |state: &&State| state.refused_short > 0;
-        let short: u32 = self.states.values().map(|state| state.refused_short).sum();
-        let others = wanted.len() - self.states.values().filter(refused).count();
-        for pool in wanted.keys() {
-            let state = self.states.entry(pool.clone()).or_default();
-            let can = state.refused_short == 0 && others > 0;
-            state.stands_in = if can { short.div_ceil(others as u32) } else { 0 };
+    /// Distributes unavailable targets evenly over the pools that were not refused.
+    fn assign_substitutes(&mut self, desired: &DesiredCounts) {
+        let refused = |state: &&PoolState| state.unavailable > 0;
+        let total_unavailable: u32 = self.pools.values().map(|state| state.unavailable).sum();
+        let others = desired.len() - self.pools.values().filter(refused).count();
+        for pool in desired.keys() {
+            let state = self.pools.entry(pool.clone()).or_default();
+            let is_substitute = state.unavailable == 0 && others > 0;
+            state.substitutes =
+                if is_substitute { total_unavailable.div_ceil(others as u32) } else { 0 };
         }
     }
 
-    /// Takes the targets that serve for what the service began with, once they have not changed for a
-    /// while.
-    fn learn(&mut self, now: UnixMs, serving: &DesiredCounts) {
-        if self.seen.0 != *serving {
-            self.seen = (serving.clone(), now);
+    /// Takes the serving targets as the desired counts once they have not changed for a while.
+    fn learn_desired(&mut self, now: UnixMs, serving: &DesiredCounts) {
+        if self.last_serving.0 != *serving {
+            self.last_serving = (serving.clone(), now);
         }
-        let is_steady = now.since_ms(self.seen.1) >= STEADY_MS;
+        let is_steady = now.since_ms(self.last_serving.1) >= SETTLE_MS;
         if is_steady && !serving.is_empty() {
-            self.wanted = Some(serving.clone());
+            self.desired = Some(serving.clone());
         }
     }
 }
