--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -12,7 +12,7 @@
 mod plan;
 
 pub use config::{ScalingConfig, ScalingError};
-pub use plan::{DesiredCounts, OrderOutcome, Scaling};
+pub use plan::{OrderOutcome, PoolCounts, Scaling};
 
 /// A kind of target in a data centre. Each pool is ordered separately.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/crates/scaling/src/plan.rs
+++ b/crates/scaling/src/plan.rs
@@ -15,7 +15,7 @@
 const REFUSED_RETRY_MS: u64 = 2_000;
 
 /// The desired number of targets of each pool.
-pub type DesiredCounts = IndexMap<Pool, u32>;
+pub type PoolCounts = IndexMap<Pool, u32>;
 
 /// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,21 +41,21 @@
 /// The scaling state of one service.
 #[derive(Clone, Debug)]
 pub struct Scaling {
-    last_serving: (DesiredCounts, UnixMs),
+    last_serving: (PoolCounts, UnixMs),
     pools: IndexMap<Pool, PoolState>,
     /// The desired counts; `None` until they are known.
-    desired: Option<DesiredCounts>,
+    desired: Option<PoolCounts>,
 }
 
 impl Scaling {
     /// Opens the scaling of a service, with the desired counts if they were determined before.
-    pub fn open(desired: Option<DesiredCounts>) -> Self {
-        let last_serving = (DesiredCounts::new(), UnixMs(0));
+    pub fn open(desired: Option<PoolCounts>) -> Self {
+        let last_serving = (PoolCounts::new(), UnixMs(0));
         Self { last_serving, pools: IndexMap::new(), desired }
     }
 
     /// Returns the desired counts, once they are known.
-    pub const fn desired(&self) -> Option<&DesiredCounts> {
+    pub const fn desired(&self) -> Option<&PoolCounts> {
         self.desired.as_ref()
     }
 
@@ -65,7 +65,7 @@
         &mut self,
         now: UnixMs,
         config: ScalingConfig,
-        serving: &DesiredCounts,
+        serving: &PoolCounts,
     ) -> Vec<TargetOrder> {
         if self.desired.is_none() {
             self.learn_desired(now, serving);
@@ -110,7 +110,7 @@
     }
 
     /// Distributes unavailable targets evenly over the pools that were not refused.
-    fn assign_substitutes(&mut self, desired: &DesiredCounts) {
+    fn assign_substitutes(&mut self, desired: &PoolCounts) {
         let refused = |state: &&PoolState| state.unavailable > 0;
         let total_unavailable: u32 = self.pools.values().map(|state| state.unavailable).sum();
         let others = desired.len() - self.pools.values().filter(refused).count();
@@ -123,7 +123,7 @@
     }
 
     /// Takes the serving targets as the desired counts once they have not changed for a while.
-    fn learn_desired(&mut self, now: UnixMs, serving: &DesiredCounts) {
+    fn learn_desired(&mut self, now: UnixMs, serving: &PoolCounts) {
         if self.last_serving.0 != *serving {
             self.last_serving = (serving.clone(), now);
         }
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -9,7 +9,7 @@
 use crate::settings::DutySettings;
 use crate::store::{Expectation, Put, StoreAnswer, StoreCall};
 use crate::tenancy::Tenancy;
-use catkinmast_scaling::{DesiredCounts, OrderOutcome, Pool, Scaling, ScalingConfig, TargetOrder};
+use catkinmast_scaling::{OrderOutcome, Pool, PoolCounts, Scaling, ScalingConfig, TargetOrder};
 use http::StatusCode;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -71,7 +71,7 @@
     let Ok(StoreAnswer::Item(found)) = node.store(&call).await else { return None };
     let wanted = found.and_then(|item| {
         let wanted = postcard::from_bytes::<Vec<(Pool, u32)>>(&item.value);
-        wanted.ok().map(|pools| pools.into_iter().collect::<DesiredCounts>())
+        wanted.ok().map(|pools| pools.into_iter().collect::<PoolCounts>())
     });
     let written = wanted.is_some();
     Some(Service { scaling: Scaling::open(wanted), written })
@@ -82,8 +82,8 @@
 }
 
 /// Returns how many targets of each pool serve.
-fn serving<P: Platform>(node: &Node<P>, service: &str) -> DesiredCounts {
-    let mut serving = DesiredCounts::new();
+fn serving<P: Platform>(node: &Node<P>, service: &str) -> PoolCounts {
+    let mut serving = PoolCounts::new();
     for entry in node.targets.borrow().usable(service) {
         let data_centre = entry.data_centre.clone();
         let pool = Pool { data_centre, reclaimable: entry.reclaimable };
@@ -137,7 +137,7 @@
     node: &Node<P>,
     service: &str,
     order: &TargetOrder,
-    serving: &DesiredCounts,
+    serving: &PoolCounts,
     answer: &Result<StatusCode, CallError>,
 ) {
     let label = match outcome(answer) {
@@ -162,7 +162,7 @@
     node: &Rc<Node<P>>,
     tenancy: &Tenancy,
     service: &str,
-    wanted: &DesiredCounts,
+    wanted: &PoolCounts,
 ) -> bool {
     let Some(fence) = tenancy.order_fence(clock::now()) else { return false };
     let pools: Vec<(&Pool, u32)> = wanted.iter().map(|(pool, count)| (pool, *count)).collect();
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -2,7 +2,7 @@
 
 use catkinmast_model::UnixMs;
 use catkinmast_scaling::{
-    DesiredCounts, OrderOutcome, Pool, Scaling, ScalingConfig, ScalingError, TargetOrder,
+    OrderOutcome, Pool, PoolCounts, Scaling, ScalingConfig, ScalingError, TargetOrder,
 };
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
     Pool { data_centre: data_centre.to_owned(), reclaimable: false }
 }
 
-fn serving(counts: &[(&str, u32)]) -> DesiredCounts {
+fn serving(counts: &[(&str, u32)]) -> PoolCounts {
     counts.iter().map(|(data_centre, count)| (pool(data_centre), *count)).collect()
 }
 
@@ -22,7 +22,7 @@
     scaling: &mut Scaling,
     from_ms: u64,
     for_ms: u64,
-    serving: &DesiredCounts,
+    serving: &PoolCounts,
     outcome: OrderOutcome,
 ) -> Vec<(u64, TargetOrder)> {
     let mut orders = Vec::new();
@@ -144,7 +144,7 @@
         began in prop::collection::vec(0_u32..50, 1..4),
         later in prop::collection::vec((prop::collection::vec(0_u32..50, 1..4), 0_u8..3), 0..12),
     ) {
-        let of = |counts: &[u32]| -> DesiredCounts {
+        let of = |counts: &[u32]| -> PoolCounts {
             counts.iter().enumerate().map(|(index, count)| (pool(&format!("z{index}")), *count)).collect()
         };
         let mut scaling = Scaling::open(None);
