--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What all nodes have told of their windows.
+//! The counts that all nodes have reported.
 
 use crate::Window;
 use catkinmast_model::{Incarnation, Name};
@@ -6,83 +6,86 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A life of a node that tells of its counts.
+/// An incarnation of a node that reports counts.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct UsageSource {
-    /// The life.
+    /// The incarnation.
     pub incarnation: Incarnation,
     /// The node.
     pub node: Name,
 }
 
-/// All that a node's life has counted in a window so far.
+/// All that an incarnation of a node has counted in a window so far.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowCounts {
-    /// Whether nothing will be added.
+    /// Whether the counts are final.
     pub complete: bool,
-    /// Requests by workspace.
+    /// Number of requests by workspace.
     pub counts: BTreeMap<String, u64>,
     /// The window.
     pub window: Window,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Reported {
     complete: bool,
     counts: BTreeMap<String, u64>,
 }
 
-/// What all lives of all nodes have told, by window.
+/// The counts that all incarnations of all nodes have reported, by window.
 ///
-/// Counts only grow and are told whole, so that a table that is told twice, or late, adds nothing. A
-/// node's next life tells anew, beside what its former one has told.
+/// Counts only increase and are reported in full, so a report that arrives twice, or late, adds
+/// nothing. A restarted node counts from zero, and its counts are added to those of its earlier
+/// incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    windows: BTreeMap<Window, IndexMap<UsageSource, Told>>,
+    windows: BTreeMap<Window, IndexMap<UsageSource, Reported>>,
 }
 
 impl Ledger {
-    /// Takes a node's table.
-    pub fn record(&mut self, teller: &UsageSource, table: WindowCounts) {
-        let window = self.windows.entry(table.window).or_default();
-        let told = window.entry(teller.clone()).or_default();
-        told.complete |= table.complete;
-        for (workspace, count) in table.counts {
-            let held = told.counts.entry(workspace).or_default();
+    /// Records a report.
+    pub fn record(&mut self, source: &UsageSource, window_counts: WindowCounts) {
+        let window = self.windows.entry(window_counts.window).or_default();
+        let reported = window.entry(source.clone()).or_default();
+        reported.complete |= window_counts.complete;
+        for (workspace, count) in window_counts.counts {
+            let held = reported.counts.entry(workspace).or_default();
             *held = count.max(*held);
         }
     }
 
-    /// Forgets the windows before this one.
+    /// Drops the windows before `oldest`.
     pub fn forget_before(&mut self, oldest: Window) {
         self.windows.retain(|window, _| *window >= oldest);
     }
 
-    /// Returns which of the lives given have not told all of a window.
+    /// Returns which of the given incarnations have not reported their final counts of a window.
     pub fn missing<'a>(
         &self,
         window: Window,
-        alive: impl IntoIterator<Item = &'a UsageSource>,
+        sources: impl IntoIterator<Item = &'a UsageSource>,
     ) -> Vec<&'a UsageSource> {
-        let told = self.windows.get(&window);
-        let is_complete = |teller: &&UsageSource| {
-            told.and_then(|told| told.get(*teller)).is_some_and(|told| told.complete)
+        let reported = self.windows.get(&window);
+        let is_complete = |source: &&UsageSource| {
+            reported
+                .and_then(|reported| reported.get(*source))
+                .is_some_and(|reported| reported.complete)
         };
-        alive.into_iter().filter(|teller| !is_complete(teller)).collect()
+        sources.into_iter().filter(|source| !is_complete(source)).collect()
     }
 
-    /// Returns the sums over all lives that have told of a window.
+    /// Returns the sums over all incarnations that have reported a window.
     pub fn totals(&self, window: Window) -> BTreeMap<String, u64> {
         let mut totals = BTreeMap::new();
-        for told in self.windows.get(&window).into_iter().flat_map(IndexMap::values) {
-            for (workspace, count) in &told.counts {
+        for reported in self.windows.get(&window).into_iter().flat_map(IndexMap::values) {
+            for (workspace, count) in &reported.counts {
                 *totals.entry(workspace.clone()).or_default() += count;
             }
         }
         totals
     }
 
-    /// Returns how many lives have told of a window.
+    /// Returns how many incarnations have reported a window.
     pub fn source_count(&self, window: Window) -> usize {
         self.windows.get(&window).map_or(0, IndexMap::len)
     }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,9 +1,9 @@
-//! How much of the service each workspace uses, by windows of true time.
+//! Counts how much each workspace uses the service, in windows of the fleet's time of day.
 //!
-//! - [`FleetClock`]: the time of day as most clocks of the fleet have it.
-//! - [`Windows`]: the windows into which it is divided.
-//! - [`UsageCounts`]: what this node's own requests add to the windows.
-//! - [`Ledger`]: what all nodes have told of theirs, and when a window can be closed.
+//! - [`FleetClock`]: the time of day by the median of the fleet's clocks.
+//! - [`Windows`]: the windows of time.
+//! - [`UsageCounts`]: the requests of this node, by window and workspace.
+//! - [`Ledger`]: the counts that all nodes have reported, and when a window can be closed.
 //!
 //! Nothing here owns a socket or a clock.
 
--- a/crates/usage/src/window.rs
+++ b/crates/usage/src/window.rs
@@ -1,9 +1,9 @@
-//! The windows of usage.
+//! The time windows of usage reports.
 
 use catkinmast_model::UnixMs;
 use serde::{Deserialize, Serialize};
 
-/// A window's number: windows are counted from the start of 1970.
+/// Number of a window, counted from the start of 1970.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Window(pub u64);
 
@@ -14,12 +14,12 @@
 }
 
 impl Windows {
-    /// Divides time into windows of this length, in milliseconds; one of 0 counts as 1.
+    /// Divides time into windows of this length, in milliseconds. A length of 0 counts as 1.
     pub const fn of_ms(length_ms: u64) -> Self {
         Self { length_ms: if length_ms == 0 { 1 } else { length_ms } }
     }
 
-    /// Returns the window of a moment of true time.
+    /// Returns the window of a time of day.
     pub const fn at(self, time: UnixMs) -> Window {
         Window(time.0 / self.length_ms)
     }
