--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -80,7 +80,7 @@
     /// When a call of this node last confirmed the view.
     own_call_at: Option<UnixMs>,
     /// When a node with an earlier rank last reported a confirmation.
-    earlier_rank_at: Option<UnixMs>,
+    earlier_at: Option<UnixMs>,
 }
 
 impl Freshness {
@@ -89,9 +89,7 @@
         self.confirmed_at = self.confirmed_at.max(Some(at));
         match by {
             ConfirmationSource::OwnCall => self.own_call_at = self.own_call_at.max(Some(at)),
-            ConfirmationSource::EarlierRank => {
-                self.earlier_rank_at = self.earlier_rank_at.max(Some(at))
-            }
+            ConfirmationSource::EarlierRank => self.earlier_at = self.earlier_at.max(Some(at)),
             ConfirmationSource::LaterRank => {}
         }
     }
@@ -125,7 +123,7 @@
     /// Returns whether a node of this rank watches the store: because of its rank, or because no
     /// node with an earlier rank has reported an answer for too long.
     pub fn should_watch(&self, now: UnixMs, rank: usize, bound: ChangeBound) -> bool {
-        let is_covered = self.earlier_rank_at.is_some_and(|at| now.since_ms(at) < bound.stale_ms());
+        let is_covered = self.earlier_at.is_some_and(|at| now.since_ms(at) < bound.stale_ms());
         rank < WATCHERS || !is_covered
     }
 
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -326,11 +326,11 @@
 impl TargetStats {
     const fn record_answer(&mut self, latency_ms: u64) {
         self.failures_in_row = 0;
-        let latency_us = latency_ms * 1_000;
+        let sample_us = latency_ms * 1_000;
         self.latency_us = if self.latency_us == 0 {
-            latency_us
+            sample_us
         } else {
-            (self.latency_us * (LATENCY_SMOOTHING - 1) + latency_us) / LATENCY_SMOOTHING
+            (self.latency_us * (LATENCY_SMOOTHING - 1) + sample_us) / LATENCY_SMOOTHING
         };
     }
 
