--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -13,7 +13,7 @@
 use super::write::write_chunk;
 use crate::clock;
 use crate::node::Node;
-use crate::peers::{self, Datagram, Life, Owner, PeerCall};
+use crate::peers::{self, Datagram, Owner, OwnerStatus, PeerCall};
 use crate::platform::Platform;
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal, StoredItem};
 use catkinmast_dispatch::Progress;
@@ -232,10 +232,12 @@
 /// there long enough to have heard of all: after a restart of the whole fleet each node's view is
 /// partial for a moment, and owners that live would lose their batches over and over.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
-    match peers::life_of(node, owner) {
-        Life::Over => true,
-        Life::GoesOn => false,
-        Life::Unheard => clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS,
+    match peers::owner_status(node, owner) {
+        OwnerStatus::Ended => true,
+        OwnerStatus::Running => false,
+        OwnerStatus::Unknown => {
+            clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS
+        }
     }
 }
 
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -5,9 +5,9 @@
 use crate::feed::{self, Subject};
 use crate::metrics::count;
 use crate::node::Node;
-use crate::platform::{AnswerMarks, Platform, RequestMarks};
+use crate::platform::{Platform, TargetRequestMetadata, TargetResponseMetadata};
 use crate::pool::{CallError, Connection, read_body};
-use crate::usage::Counted;
+use crate::usage::CountedRequest;
 use bytes::Bytes;
 use catkinmast_dispatch::CallOutcome;
 use catkinmast_model::{UnixMs, Verdict};
@@ -93,7 +93,7 @@
 pub(crate) struct CompleteAnswer {
     pub body: Bytes,
     pub headers: HeaderMap,
-    pub marks: AnswerMarks,
+    pub marks: TargetResponseMetadata,
     pub status: StatusCode,
 }
 
@@ -200,7 +200,7 @@
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
-) -> Result<(Response<Incoming>, Connection, AnswerMarks), AttemptFailure> {
+) -> Result<(Response<Incoming>, Connection, TargetResponseMetadata), AttemptFailure> {
     crashes::admit(node, outgoing).await?;
     let request = written::<P>(chosen, outgoing)
         .map_err(|error| AttemptFailure::not_run(Cause::Other, error.to_string()))?;
@@ -211,7 +211,7 @@
         }
         AttemptFailure::of(error)
     })?;
-    let marks = P::answer_marks(response.headers());
+    let marks = P::response_metadata(response.headers());
     // A late answer to an abandoned request may stand where ours is expected.
     if marks.request_id.is_some() && marks.request_id != outgoing.request_id {
         return Err(AttemptFailure::may_have_run("the answer belongs to another request"));
@@ -228,19 +228,22 @@
         .uri(outgoing.path.as_str())
         .body(Full::new(outgoing.body.clone()))?;
     *request.headers_mut() = outgoing.headers.clone();
-    let marks = RequestMarks {
+    let marks = TargetRequestMetadata {
         deadline_ms: Some(outgoing.deadline_at.since_ms(clock::now())),
         expected_target: Some(&chosen.id),
         last_event_id: outgoing.last_event_id,
         request_id: outgoing.request_id.as_deref(),
         workspace: outgoing.workspace.as_deref(),
     };
-    P::mark_request(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &marks);
     Ok(request)
 }
 
 /// What a refusing answer says, if it is one: the target did not run the request.
-pub(crate) fn refusal(status: StatusCode, marks: &AnswerMarks) -> Option<AttemptFailure> {
+pub(crate) fn refusal(
+    status: StatusCode,
+    marks: &TargetResponseMetadata,
+) -> Option<AttemptFailure> {
     let moved = status == StatusCode::MISDIRECTED_REQUEST;
     let cause = if moved { Cause::Other } else { Cause::Full };
     (marks.not_run || moved)
@@ -254,7 +257,7 @@
     outgoing: &OutgoingRequest,
 ) -> Result<CompleteAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
-    let counted = Counted::sent(node, outgoing.workspace.as_deref());
+    let counted = CountedRequest::sent(node, outgoing.workspace.as_deref());
     let began_at = clock::now();
     let left_ms = outgoing.deadline_at.since_ms(began_at);
     let exchange = exchange(node, chosen, outgoing);
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! A request's way: `listener` → `caller` → `forward` → target → answer. A sample's: `caller` →
 //! `batch_calls` → `batches` (made durable) → `runs` (scheduled, run, scored) → `batches` (listed) →
-//! reader. What one node does for all is held under a lease by `tenancy`: `orders` to engines, and the
+//! reader. What one node does for all is held under a lease by `duty_lease`: `orders` to engines, and the
 //! `duties` towards the platform, which `usage` and `scaling` serve.
 
 mod access;
@@ -16,6 +16,7 @@
 mod clock;
 mod crashes;
 mod duties;
+mod duty_lease;
 mod feed;
 mod forward;
 mod listener;
@@ -32,18 +33,17 @@
 mod scaling;
 mod settings;
 mod store;
-mod tenancy;
 mod trail;
 mod usage;
 mod wait_queue;
 
 pub use platform::{
-    AnswerMarks, BatchCall, CallerTerms, DecodeError, DutyCall, DutyRequest, EngineReport,
-    OperatorNotice, OrderCall, Platform, RequestMarks, StoreRequest,
+    BatchCall, CallerOptions, DecodeError, DutyCall, DutyRequest, EngineReport, OperatorUpdate,
+    OrderCall, Platform, StoreRequest, TargetRequestMetadata, TargetResponseMetadata,
 };
 pub use process::{run_front, run_standby};
 pub use settings::{DutySettings, Settings, SettingsError};
 pub use store::{
     Expectation, LeaseId, Put, StoreAnswer, StoreCall, StoreEvent, StoreRefusal, StoredItem,
 };
-pub use trail::whole_writes;
+pub use trail::atomic_writes;
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -39,14 +39,14 @@
 
 /// The store answers in milliseconds, and in up to half a second when it is slow; after this time
 /// a call is taken for lost.
-const STORE_MAX: Duration = Duration::from_millis(1_200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// What a watch may take beyond its wait.
 const WATCH_SLACK_MS: u64 = 1_000;
 /// How long peers are asked first after the store did not answer this machine.
-const STORE_REST_MS: u64 = 1_500;
+const STORE_BACKOFF_MS: u64 = 1_500;
 /// Peers that are asked to make one call of the store: with two, one that is itself cut off does
 /// not fail the call.
-const STORE_PEERS: usize = 2;
+const STORE_PEERS_MAX: usize = 2;
 /// About how long an event of a stream takes, for what is left of a run that goes on.
 const EVENT_MS: u64 = 40;
 /// The largest answer of the store: a page of a megabyte in base64, and some room.
@@ -87,17 +87,17 @@
     pub registered: RefCell<IndexMap<Name, Incarnation>>,
     pub rng: RefCell<Pcg64Mcg>,
     pub settings: RefCell<Rc<Settings>>,
-    pub store_rests_until: Cell<UnixMs>,
+    pub store_backoff_until: Cell<UnixMs>,
     pub targets: RefCell<TargetTable>,
     pub trail: Trail,
     /// The requests that wait because all targets of their service refuse for load, by service.
-    pub turns: RefCell<IndexMap<String, WaitQueue>>,
+    pub wait_queues: RefCell<IndexMap<String, WaitQueue>>,
     /// The requests of which the store does not have this node's evidence yet.
     pub unsaved_crashes: RefCell<IndexSet<Fingerprint>>,
     /// The requests of workspaces, here and as other nodes told.
     pub usage: Usage,
     /// The machines that are to be emptied, and the revision that asks for it.
-    pub vacating: RefCell<IndexMap<String, u64>>,
+    pub draining: RefCell<IndexMap<String, u64>>,
     pub versions: RefCell<IndexMap<String, u64>>,
     /// Wakes the scheduler of batch items.
     pub work: Notify,
@@ -134,13 +134,13 @@
             registered: RefCell::new(IndexMap::new()),
             rng: RefCell::new(Pcg64Mcg::from_os_rng()),
             settings: RefCell::new(Rc::new(settings)),
-            store_rests_until: Cell::new(UnixMs(0)),
+            store_backoff_until: Cell::new(UnixMs(0)),
             targets: RefCell::new(TargetTable::default()),
             trail,
-            turns: RefCell::new(IndexMap::new()),
+            wait_queues: RefCell::new(IndexMap::new()),
             unsaved_crashes: RefCell::new(IndexSet::new()),
             usage: Usage::default(),
-            vacating: RefCell::new(IndexMap::new()),
+            draining: RefCell::new(IndexMap::new()),
             versions: RefCell::new(IndexMap::new()),
             work: Notify::new(),
             platform: PhantomData,
@@ -171,7 +171,7 @@
         whole_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
     }
 
-    pub(crate) fn draw(&self) -> u64 {
+    pub(crate) fn random_u64(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
@@ -256,22 +256,28 @@
     /// store may have dropped the history meanwhile, and tells so only with the next change. It
     /// would be noticed as a configuration that is seconds old; the feed reads the whole instead.
     pub(crate) async fn store(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
-        let rests = clock::now() < self.store_rests_until.get();
+        let backs_off = clock::now() < self.store_backoff_until.get();
         if matches!(call, StoreCall::Watch { .. }) {
-            return if rests {
-                self.store_by_peers(call).await
+            return if backs_off {
+                self.store_via_peers(call).await
             } else {
-                self.store_here(call).await
+                self.store_direct(call).await
             };
         }
-        let first =
-            if rests { self.store_by_peers(call).await } else { self.store_here(call).await };
+        let first = if backs_off {
+            self.store_via_peers(call).await
+        } else {
+            self.store_direct(call).await
+        };
         let first = match first {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
-        let second =
-            if rests { self.store_here(call).await } else { self.store_by_peers(call).await };
+        let second = if backs_off {
+            self.store_direct(call).await
+        } else {
+            self.store_via_peers(call).await
+        };
         second.map_err(|refusal| {
             let unsure = first.verdict.may_have_run() || refusal.verdict.may_have_run();
             let verdict = if unsure { Verdict::MayHaveRun } else { Verdict::NotRun };
@@ -280,27 +286,27 @@
     }
 
     /// Makes a call of the store from this machine.
-    pub(crate) async fn store_here(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
-        count(&self.metrics.store_calls, call.duty());
+    pub(crate) async fn store_direct(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
+        count(&self.metrics.store_calls, call.kind());
         let max = match call {
             StoreCall::Watch { wait_ms, .. } => Duration::from_millis(wait_ms + WATCH_SLACK_MS),
-            _ => STORE_MAX,
+            _ => STORE_TIMEOUT,
         };
         let began_at = clock::now();
-        let result = self.exchange_until_over(call, max).await;
+        let result = self.exchange_retried_after_outage(call, max).await;
         match &result {
             Ok(_) => {
-                self.store_rests_until.set(UnixMs(0));
-                outage::answered(self, call.duty());
+                self.store_backoff_until.set(UnixMs(0));
+                outage::record_answer(self, call.kind());
             }
             Err(refusal) => {
                 count(&self.metrics.store_failures, "direct");
-                if self.outage.is_over_since(began_at) {
+                if self.outage.answered_since(began_at) {
                     return result;
                 }
-                self.store_rests_until.set(clock::now().plus(STORE_REST_MS));
-                if self.outage.noticed(began_at) {
-                    let why = json!({ "by": call.duty(), "why": refusal.message });
+                self.store_backoff_until.set(clock::now().plus(STORE_BACKOFF_MS));
+                if self.outage.record_failure(began_at) {
+                    let why = json!({ "by": call.kind(), "why": refusal.message });
                     self.note("store_lost", why);
                 }
             }
@@ -309,7 +315,7 @@
     }
 
     /// Makes a call, and makes it again when an outage ends while it waits for its answer.
-    async fn exchange_until_over(
+    async fn exchange_retried_after_outage(
         &self,
         call: &StoreCall,
         max: Duration,
@@ -318,17 +324,17 @@
             message: message.to_owned(),
             verdict: Verdict::MayHaveRun,
         };
-        let is_over = self.outage.over.notified();
+        let outage_ended = self.outage.ended.notified();
         tokio::select! {
             result = timeout(max, self.exchange_with_store(call)) => {
                 return result.unwrap_or_else(|_| Err(may_have_run("no answer in time")));
             }
-            () = is_over => {}
+            () = outage_ended => {}
         }
         if matches!(call, StoreCall::Watch { .. }) {
             return Err(may_have_run("it was made during an outage"));
         }
-        self.note("store_call_again", json!({ "by": call.duty() }));
+        self.note("store_call_again", json!({ "by": call.kind() }));
         let again = timeout(max, self.exchange_with_store(call)).await;
         // The first one may yet have been done, whatever became of the second.
         again
@@ -364,13 +370,13 @@
         P::store_answer(call, head.status.as_u16(), &body)
     }
 
-    async fn store_by_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
+    async fn store_via_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let wait_ms = if let StoreCall::Watch { wait_ms, .. } = call { *wait_ms } else { 0 };
-        let max = STORE_MAX + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
-        let peers = if wait_ms > 0 { 1 } else { STORE_PEERS };
-        let mut last = no_peer();
+        let max = STORE_TIMEOUT + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
+        let peers = if wait_ms > 0 { 1 } else { STORE_PEERS_MAX };
+        let mut last = no_live_peer();
         for peer in self.live_peers().into_iter().take(peers) {
-            match self.store_by(peer, call, max).await {
+            match self.store_via(peer, call, max).await {
                 Ok(answer) => {
                     self.batches.store_returned();
                     return Ok(answer);
@@ -382,17 +388,17 @@
     }
 
     /// Makes a call of the store by way of one peer, once.
-    pub(crate) async fn store_by_a_peer(
+    pub(crate) async fn store_via_one_peer(
         &self,
         call: &StoreCall,
     ) -> Result<StoreAnswer, StoreRefusal> {
         match self.live_peers().first() {
-            Some(peer) => self.store_by(*peer, call, STORE_MAX).await,
-            None => Err(no_peer()),
+            Some(peer) => self.store_via(*peer, call, STORE_TIMEOUT).await,
+            None => Err(no_live_peer()),
         }
     }
 
-    async fn store_by(
+    async fn store_via(
         &self,
         peer: SocketAddr,
         call: &StoreCall,
@@ -438,6 +444,6 @@
     }
 }
 
-fn no_peer() -> StoreRefusal {
+fn no_live_peer() -> StoreRefusal {
     StoreRefusal { message: "no peer to ask".to_owned(), verdict: Verdict::NotRun }
 }
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -23,14 +23,14 @@
 use tokio::time::sleep;
 
 /// How often a node looks whether there is something to tell.
-const TELL_EVERY: Duration = Duration::from_millis(250);
+const SHARE_INTERVAL: Duration = Duration::from_millis(250);
 /// Nodes from which each further one lengthens that pause, so that those that are told hear some 250
 /// calls a second in a fleet of any size.
-const TELL_NODES: usize = 64;
+const SHARE_NODES_PER_INTERVAL: usize = 64;
 /// How long a node that is told may take to answer.
-const TELL_MAX: Duration = Duration::from_secs(1);
+const SHARE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The nodes that are told beside the holder: the first in rank, one of which follows it.
-const FOLLOWERS: usize = 3;
+const CANDIDATES: usize = 3;
 
 /// What this node knows of the use of workspaces.
 #[derive(Debug, Default)]
@@ -43,7 +43,7 @@
 
 impl Usage {
     /// Takes it that a node's clock shows this time of day.
-    pub(crate) fn clock_shows(&self, node: SocketAddr, wall: UnixMs) {
+    pub(crate) fn record_clock(&self, node: SocketAddr, wall: UnixMs) {
         self.time.borrow_mut().record_reading(node, wall, clock::now());
     }
 
@@ -60,12 +60,12 @@
 
 /// A request of a workspace at a target. Dropped, it counts as begun: nobody can tell otherwise.
 #[derive(Debug)]
-pub(crate) struct Counted<P: Platform> {
+pub(crate) struct CountedRequest<P: Platform> {
     node: Rc<Node<P>>,
     ticket: Option<OpenRequestId>,
 }
 
-impl<P: Platform> Counted<P> {
+impl<P: Platform> CountedRequest<P> {
     /// Takes it that a request is handed to a target; none where its use is not reported.
     pub(crate) fn sent(node: &Rc<Node<P>>, workspace: Option<&str>) -> Option<Self> {
         let windows = windows(node)?;
@@ -95,7 +95,7 @@
     }
 }
 
-impl<P: Platform> Drop for Counted<P> {
+impl<P: Platform> Drop for CountedRequest<P> {
     fn drop(&mut self) {
         self.settle(|counts, ticket| counts.request_started(ticket, None));
     }
@@ -108,7 +108,11 @@
 }
 
 /// Takes what another node has counted.
-pub(crate) fn told<P: Platform>(node: &Node<P>, teller: &UsageSource, tables: Vec<WindowCounts>) {
+pub(crate) fn record_counts<P: Platform>(
+    node: &Node<P>,
+    teller: &UsageSource,
+    tables: Vec<WindowCounts>,
+) {
     let mut ledger = node.usage.ledger.borrow_mut();
     for table in tables {
         ledger.record(teller, table);
@@ -121,8 +125,8 @@
 
 impl Confirmed {
     /// Returns what it was not told yet.
-    fn news(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
-        let news = tables.iter().filter_map(|table| {
+    fn updates(&self, tables: &[WindowCounts]) -> Vec<WindowCounts> {
+        let updates = tables.iter().filter_map(|table| {
             let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
             let is_new =
                 |workspace: &String, count: &u64| held.counts.get(workspace) != Some(count);
@@ -132,36 +136,38 @@
                 .filter(|(workspace, count)| is_new(workspace, count))
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
-            let is_news = !counts.is_empty() || table.complete != held.complete;
-            is_news.then(|| WindowCounts { counts, ..table.clone() })
+            let is_update = !counts.is_empty() || table.complete != held.complete;
+            is_update.then(|| WindowCounts { counts, ..table.clone() })
         });
-        news.collect()
+        updates.collect()
     }
 }
 
 /// Tells what this node counts until the process ends.
-pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn share_counts<P: Platform>(node: Rc<Node<P>>) {
     let Some(me) = peers::me(&node) else { return };
     let teller = UsageSource { incarnation: me.incarnation, node: me.node.clone() };
     let mut confirmed: IndexMap<Owner, Confirmed> = IndexMap::new();
     loop {
-        sleep(pause(&node)).await;
+        sleep(share_interval(&node)).await;
         let Some(windows) = windows(&node) else { continue };
         let now = node.usage.now();
         let tables = {
             let mut counts = node.usage.counts.borrow_mut();
             counts.get_or_insert_with(|| UsageCounts::open(windows)).window_counts(now)
         };
-        told(&node, &teller, tables.clone());
-        let followers: Vec<Owner> =
-            peers::followers(&node, DUTY, FOLLOWERS).into_iter().filter(|to| *to != me).collect();
-        confirmed.retain(|to, _| followers.contains(to));
+        record_counts(&node, &teller, tables.clone());
+        let duty_candidates: Vec<Owner> = peers::duty_candidates(&node, DUTY, CANDIDATES)
+            .into_iter()
+            .filter(|to| *to != me)
+            .collect();
+        confirmed.retain(|to, _| duty_candidates.contains(to));
         let mut calls = JoinSet::new();
-        for to in followers {
-            let news = confirmed.entry(to.clone()).or_default().news(&tables);
-            if !news.is_empty() {
+        for to in duty_candidates {
+            let updates = confirmed.entry(to.clone()).or_default().updates(&tables);
+            if !updates.is_empty() {
                 let (node, teller) = (Rc::clone(&node), teller.clone());
-                calls.spawn_local(async move { tell_one(&node, to, teller, news).await });
+                calls.spawn_local(async move { share_with(&node, to, teller, updates).await });
             }
         }
         while let Some(done) = calls.join_next().await {
@@ -174,14 +180,14 @@
 }
 
 /// Tells one node; returns it if it has confirmed that.
-async fn tell_one<P: Platform>(
+async fn share_with<P: Platform>(
     node: &Node<P>,
     to: Owner,
     teller: UsageSource,
     tables: Vec<WindowCounts>,
 ) -> Option<Owner> {
     let call = PeerCall::Usage { tables, teller };
-    match node.ask_peer(to.address, &call, TELL_MAX).await {
+    match node.ask_peer(to.address, &call, SHARE_TIMEOUT).await {
         Ok(PeerAnswer::Accepted) => Some(to),
         Ok(_) => None,
         Err(error) => {
@@ -191,7 +197,7 @@
     }
 }
 
-fn pause<P: Platform>(node: &Node<P>) -> Duration {
+fn share_interval<P: Platform>(node: &Node<P>) -> Duration {
     let nodes = node.members.borrow().as_ref().map_or(1, |members| members.nodes().count());
-    TELL_EVERY * (nodes.div_ceil(TELL_NODES).max(1) as u32)
+    SHARE_INTERVAL * (nodes.div_ceil(SHARE_NODES_PER_INTERVAL).max(1) as u32)
 }
