--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -57,7 +57,7 @@
 pub(crate) struct Node<P> {
     pub batches: Batches,
     /// Requests that broke off at targets of which nothing was heard since.
-    pub broken_off: RefCell<InterruptedRequests>,
+    pub interrupted: RefCell<InterruptedRequests>,
     /// Whether no more connections and requests of callers are taken, because the process ends.
     pub closing: watch::Sender<bool>,
     /// Wakes the keeper of the evidence against requests that end targets.
@@ -72,12 +72,12 @@
     pub joined_at: Cell<Option<UnixMs>>,
     pub key: SharedKey,
     pub leaving: Cell<bool>,
-    pub lengths: RefCell<RunTimeEstimator>,
+    pub run_times: RefCell<RunTimeEstimator>,
     pub load: RefCell<LoadBalancer>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
     /// When the last batch of each model was opened.
-    pub opened: RefCell<IndexMap<String, UnixMs>>,
+    pub batch_opened_at: RefCell<IndexMap<String, UnixMs>>,
     pub outage: Outage,
     pub pool: Pool,
     /// The requests under which targets ended.
@@ -110,7 +110,7 @@
         let pool = Pool::open(metrics.connections_opened.clone());
         Self {
             batches: Batches::default(),
-            broken_off: RefCell::new(InterruptedRequests::default()),
+            interrupted: RefCell::new(InterruptedRequests::default()),
             closing: watch::Sender::new(false),
             crashes_changed: Notify::new(),
             datagrams,
@@ -122,11 +122,11 @@
             // The platform gives no secret to share; the tag still refuses what is not a frame.
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
-            lengths: RefCell::new(RunTimeEstimator::default()),
+            run_times: RefCell::new(RunTimeEstimator::default()),
             load: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
-            opened: RefCell::new(IndexMap::new()),
+            batch_opened_at: RefCell::new(IndexMap::new()),
             outage: Outage::default(),
             pool,
             quarantine: RefCell::new(Quarantine::default()),
@@ -159,15 +159,15 @@
     /// and its time where loads are ordered.
     pub(crate) fn note_demand(&self, model: Option<&str>, work_tokens: u64) {
         if let Some(model) = model {
-            self.opened.borrow_mut().insert(model.to_owned(), clock::now());
+            self.batch_opened_at.borrow_mut().insert(model.to_owned(), clock::now());
             self.demand.borrow_mut().record_batch(model, work_tokens);
         }
     }
 
     /// Returns how long the run of an item is expected to take that begins after an event.
     pub(crate) fn expected_run_ms(&self, item: &Item, after: Option<u64>) -> u64 {
-        let lengths = self.lengths.borrow();
-        let whole_ms = lengths.expected_ms(item.expected_tokens());
+        let run_times = self.run_times.borrow();
+        let whole_ms = run_times.expected_ms(item.expected_tokens());
         whole_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
     }
 
