--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -1,11 +1,12 @@
 //! Accepting a submission: once, and kept before anyone is told.
 
 use super::keys::{
-    Origin, Record, TRANSACTION_MAX_KEYS, encode, part_key, part_max_bytes, record_key, unexpected,
+    Origin, Record, TRANSACTION_MAX_KEYS, encode, part_key, part_max_bytes, record_key,
+    unexpected_answer,
 };
 use super::standby::send_copies;
-use super::write::{RETRY, save_texts, write_results};
-use super::{LEFTOVER_KEPT_MS, LocalBatch};
+use super::write::{RETRY_PAUSE, save_partial_outputs, write_results};
+use super::{LocalBatch, REUSABLE_OUTPUT_TTL_MS};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
@@ -23,10 +24,10 @@
 
 /// Tries of an acceptance whose outcome is unknown; with the store's longest answer they take less
 /// than a trainer waits.
-pub(super) const ACCEPT_TRIES: u32 = 3;
+pub(super) const STORE_ATTEMPTS: u32 = 3;
 
 /// How long the owner of a model may take to accept a batch before this node does it.
-pub(super) const SUBMIT_MAX: Duration = Duration::from_secs(1);
+pub(super) const PEER_SUBMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What became of a submission.
 #[derive(Clone, Debug)]
@@ -81,13 +82,13 @@
     origin: Origin,
     submission: Submission,
 ) -> Acceptance {
-    let duty = duty_of(submission.model.as_deref().unwrap_or(&origin.path));
+    let duty = model_duty(submission.model.as_deref().unwrap_or(&origin.path));
     let owner = peers::first_for(node, &duty);
     let Some(owner) = owner.filter(|_| node.batches.get(id).is_none()) else {
         return accept(node, id, origin, submission).await;
     };
     let call = PeerCall::Submit { batch: id.to_owned(), origin, submission: Box::new(submission) };
-    let answer = node.ask_peer(owner, &call, SUBMIT_MAX).await;
+    let answer = node.ask_peer(owner, &call, PEER_SUBMIT_TIMEOUT).await;
     match answer {
         Ok(PeerAnswer::Accepted) => return Acceptance::Accepted,
         Ok(PeerAnswer::NoBatch) => return Acceptance::IdConflict,
@@ -124,8 +125,8 @@
     origin: Origin,
     submission: Submission,
 ) -> Acceptance {
-    if let Some(held) = node.batches.get(id) {
-        let same = held.borrow().record.origin.workspace == origin.workspace;
+    if let Some(local) = node.batches.get(id) {
+        let same = local.borrow().record.origin.workspace == origin.workspace;
         return if same { Acceptance::Accepted } else { Acceptance::IdConflict };
     }
     let Some(owner) = peers::me(node) else {
@@ -141,35 +142,35 @@
         owner,
         total: submission.items.len(),
     };
-    let call = match creation(node, id, &record, &submission) {
+    let call = match creation_transaction(node, id, &record, &submission) {
         Ok(call) => call,
         Err(refusal) => return Acceptance::Unknown(refusal),
     };
     let accepted_at = clock::now();
     let mut failure = None;
-    for _ in 0..ACCEPT_TRIES {
+    for _ in 0..STORE_ATTEMPTS {
         match node.store(&call).await {
             Ok(StoreAnswer::Committed { revision }) => {
-                let source = Source {
+                let source = BatchSource {
                     record,
                     record_revision: revision,
                     results: Vec::new(),
                     submission,
                     texts: Vec::new(),
                 };
-                own(node, id, source, accepted_at, 0, &[]);
+                start_owning(node, id, source, accepted_at, 0, &[]);
                 return Acceptance::Accepted;
             }
             Ok(StoreAnswer::Conflict { items }) => {
-                return known_already(node, id, &record, submission, accepted_at, &items);
+                return resolve_existing_record(node, id, &record, submission, accepted_at, &items);
             }
-            Ok(other) => failure = Some(unexpected(&other)),
+            Ok(other) => failure = Some(unexpected_answer(&other)),
             Err(refusal) if refusal.verdict == Verdict::NotRun && failure.is_none() => {
                 return Acceptance::Unknown(refusal);
             }
             Err(refusal) => failure = Some(refusal),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
     let verdict = Verdict::MayHaveRun;
     let message = failure.map_or_else(String::new, |refusal| refusal.message);
@@ -177,7 +178,7 @@
 }
 
 /// The transaction that creates a batch: all of it or nothing, once.
-pub(super) fn creation<P: Platform>(
+pub(super) fn creation_transaction<P: Platform>(
     node: &Node<P>,
     id: &str,
     record: &Record,
@@ -197,7 +198,7 @@
 }
 
 /// The record is there already: of an earlier submission, or of our own call whose answer was lost.
-pub(super) fn known_already<P: Platform>(
+pub(super) fn resolve_existing_record<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
     record: &Record,
@@ -213,17 +214,17 @@
             return Acceptance::IdConflict;
         }
         if stored == *record && node.batches.get(id).is_none() {
-            let source = Source {
+            let source = BatchSource {
                 record: stored,
                 record_revision: item.revision,
                 results: Vec::new(),
                 submission,
                 texts: Vec::new(),
             };
-            own(node, id, source, accepted_at, 0, &[]);
+            start_owning(node, id, source, accepted_at, 0, &[]);
         } else {
             if !stored.ended {
-                tell_owner(node, id, &stored.owner);
+                notify_owner(node, id, &stored.owner);
             }
             node.batches.note_owner(id, stored.owner);
         }
@@ -232,14 +233,14 @@
 }
 
 /// Tells the owner that the store names of its batch: it may not know that its own call was done.
-fn tell_owner<P: Platform>(node: &Rc<Node<P>>, id: &str, owner: &Owner) {
+fn notify_owner<P: Platform>(node: &Rc<Node<P>>, id: &str, owner: &Owner) {
     if peers::me(node).is_none_or(|me| me == *owner) {
         return;
     }
     let call = PeerCall::Adopt { batch: id.to_owned(), texts: Vec::new() };
     let (node, id, owner) = (Rc::clone(node), id.to_owned(), owner.clone());
     tokio::task::spawn_local(async move {
-        if let Err(error) = node.ask_peer(owner.address, &call, SUBMIT_MAX).await {
+        if let Err(error) = node.ask_peer(owner.address, &call, PEER_SUBMIT_TIMEOUT).await {
             let why = json!({ "request": id, "owner": owner.node, "why": error.message });
             node.note("owner_unreachable", why);
         }
@@ -247,7 +248,7 @@
 }
 
 /// What a batch is opened from.
-pub(super) struct Source {
+pub(super) struct BatchSource {
     pub(super) record: Record,
     pub(super) record_revision: u64,
     /// Results that are not durable yet.
@@ -258,10 +259,10 @@
 }
 
 /// Opens a batch as its owner and starts to run and to write it.
-pub(super) fn own<P: Platform>(
+pub(super) fn start_owning<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
-    source: Source,
+    source: BatchSource,
     accepted_at: UnixMs,
     slack_ms: u64,
     chunks: &[Chunk],
@@ -269,7 +270,7 @@
     if node.batches.get(id).is_some() {
         return;
     }
-    let Source { record, record_revision, submission, .. } = &source;
+    let BatchSource { record, record_revision, submission, .. } = &source;
     let Origin { host, path, .. } = &record.origin;
     let route = node.document().and_then(|document| document.route(host, path).cloned());
     let Some(route) = route else {
@@ -283,17 +284,17 @@
         "target_groups": submission.target_groups, "chunks": chunks.len(),
         "record_revision": record_revision, "route": route.name,
     });
-    let (mut held, resumed) = open(node, id, source, accepted_at, terms, chunks);
-    held.taken_over = slack_ms > 0;
+    let (mut local, resumed) = build_local_batch(node, id, source, accepted_at, terms, chunks);
+    local.taken_over = slack_ms > 0;
     line["resumed"] = json!(resumed);
     node.note("batch_owned", line);
-    node.batches.note_opening(held.batch.submission());
-    let held = Rc::new(RefCell::new(held));
-    node.batches.owned.borrow_mut().insert(id.to_owned(), Rc::clone(&held));
+    node.batches.note_opening(local.batch.submission());
+    let local = Rc::new(RefCell::new(local));
+    node.batches.owned.borrow_mut().insert(id.to_owned(), Rc::clone(&local));
     node.metrics.batches_open.set(node.batches.owned.borrow().len() as i64);
     let (model, work_tokens) = {
-        let held = held.borrow();
-        let submission = held.batch.submission();
+        let local = local.borrow();
+        let submission = local.batch.submission();
         (submission.model.clone(), submission.work_tokens())
     };
     node.note_demand(model.as_deref(), work_tokens);
@@ -302,27 +303,27 @@
         peers::tell_all(node, &Datagram::BatchOwned { batch, model, owner, work_tokens });
     }
     node.work.notify_one();
-    tokio::task::spawn_local(write_results(Rc::clone(node), Rc::clone(&held)));
-    tokio::task::spawn_local(send_copies(Rc::clone(node), Rc::clone(&held)));
-    tokio::task::spawn_local(save_texts(Rc::clone(node), held));
+    tokio::task::spawn_local(write_results(Rc::clone(node), Rc::clone(&local)));
+    tokio::task::spawn_local(send_copies(Rc::clone(node), Rc::clone(&local)));
+    tokio::task::spawn_local(save_partial_outputs(Rc::clone(node), local));
 }
 
 /// Opens a batch with what is known of it; returns how many texts it goes on from.
-pub(super) fn open<P: Platform>(
+pub(super) fn build_local_batch<P: Platform>(
     node: &Node<P>,
     id: &str,
-    source: Source,
+    source: BatchSource,
     accepted_at: UnixMs,
     terms: BatchPolicy,
     chunks: &[Chunk],
 ) -> (LocalBatch, usize) {
-    let Source { record, record_revision, results, submission, texts } = source;
+    let BatchSource { record, record_revision, results, submission, texts } = source;
     let workspace = record.origin.workspace.as_deref();
-    let (mut batch, resumed) = open_batch(node, workspace, submission, terms, chunks, texts);
+    let (mut batch, resumed) = restore_batch(node, workspace, submission, terms, chunks, texts);
     for result in results {
         batch.finished(clock::now(), result);
     }
-    let held = LocalBatch {
+    let local = LocalBatch {
         accepted_at,
         batch,
         changed: Rc::new(Notify::new()),
@@ -337,12 +338,12 @@
         settled_at: None,
         taken_over: false,
     };
-    (held, resumed)
+    (local, resumed)
 }
 
 /// Opens a batch with what is durable of it, and with the texts that an earlier batch left of its
 /// items; returns how many of those fit.
-pub(super) fn open_batch<P: Platform>(
+pub(super) fn restore_batch<P: Platform>(
     node: &Node<P>,
     workspace: Option<&str>,
     submission: Submission,
@@ -350,12 +351,13 @@
     chunks: &[Chunk],
     texts: Vec<(String, Progress)>,
 ) -> (Batch, usize) {
-    let mut leftovers = node.batches.leftovers.borrow_mut();
+    let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
     let now = clock::now();
-    leftovers.texts.retain(|_, left| now.since_ms(left.since) < LEFTOVER_KEPT_MS);
-    leftovers.groups.retain(|_, at| now.since_ms(*at) < LEFTOVER_KEPT_MS);
+    reusable_outputs.by_item.retain(|_, left| now.since_ms(left.since) < REUSABLE_OUTPUT_TTL_MS);
+    reusable_outputs.groups.retain(|_, at| now.since_ms(*at) < REUSABLE_OUTPUT_TTL_MS);
     let ids: Vec<String> = submission.items.iter().map(|item| item.id.clone()).collect();
-    let mut batch = Batch::open(submission, terms, |group| leftovers.groups.contains_key(group));
+    let mut batch =
+        Batch::open(submission, terms, |group| reusable_outputs.groups.contains_key(group));
     for chunk in chunks {
         batch.merge(chunk);
     }
@@ -372,11 +374,11 @@
                 json!({ "request": id, "last_event": last_event, "versions": versions, "fits": fits }),
             );
             if fits {
-                leftovers.take(&id, workspace);
+                reusable_outputs.take(&id, workspace);
                 resumed += 1;
             }
         }
-        if let Some(progress) = leftovers.take(&id, workspace)
+        if let Some(progress) = reusable_outputs.take(&id, workspace)
             && batch.resume_from(&id, progress)
         {
             resumed += 1;
@@ -385,6 +387,6 @@
     (batch, resumed)
 }
 
-pub(super) fn duty_of(model: &str) -> String {
+pub(super) fn model_duty(model: &str) -> String {
     format!("batches/{model}")
 }
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -1,15 +1,15 @@
 //! Ending a batch, and forgetting it when nobody reads it any more.
 
 use super::LocalBatch;
-use super::accept::ACCEPT_TRIES;
+use super::accept::STORE_ATTEMPTS;
 use super::keys::{
-    Record, RecordWrite, Scope, TRANSACTION_MAX_KEYS, chunk_key, encode, part_key, part_max_bytes,
-    record_key, texts_key, write_record,
+    Record, RecordWrite, Scope, TRANSACTION_MAX_KEYS, chunk_key, encode, outputs_key, part_key,
+    part_max_bytes, record_key, write_record,
 };
-use super::ownership::{stop, take_record};
-use super::read::{Asked, Lookup, ask_owner};
-use super::standby::tell_standby;
-use super::write::RETRY;
+use super::ownership::{apply_record, stop_batch};
+use super::read::{Lookup, OwnerReply, ask_owner};
+use super::standby::notify_standby;
+use super::write::RETRY_PAUSE;
 use crate::clock;
 use crate::metrics::count;
 use crate::node::Node;
@@ -23,10 +23,10 @@
 use tokio::time::sleep;
 
 /// How long after it was told first an end is told again.
-pub(super) const TELL_AGAIN: Duration = Duration::from_millis(600);
+pub(super) const END_NOTICE_INTERVAL: Duration = Duration::from_millis(600);
 
 /// How long a settled batch is kept for readers.
-pub(super) const KEPT_MS: u64 = 180_000;
+pub(super) const SETTLED_RETENTION_MS: u64 = 180_000;
 
 /// Ends a batch that this node owns: at once here, then in the store, then confirmed.
 pub(crate) async fn end_owned<P: Platform>(
@@ -34,56 +34,56 @@
     batch: &str,
     scope: &Scope,
 ) -> PeerAnswer {
-    let Some(held) = node.batches.get(batch) else { return PeerAnswer::NotOwner };
-    if !scope.covers(held.borrow().origin()) {
+    let Some(local) = node.batches.get(batch) else { return PeerAnswer::NotOwner };
+    if !scope.covers(local.borrow().origin()) {
         return PeerAnswer::NoBatch;
     }
     {
-        let mut held = held.borrow_mut();
-        if !held.batch.is_ended() {
-            stop(node, &mut held);
-            let (waiting, running, finished) = held.batch.counts();
+        let mut local = local.borrow_mut();
+        if !local.batch.is_ended() {
+            stop_batch(node, &mut local);
+            let (waiting, running, finished) = local.batch.counts();
             node.note(
                 "batch_ended",
                 json!({
-                    "request": batch, "listed": held.batch.listed_count(), "waiting": waiting,
+                    "request": batch, "listed": local.batch.listed_count(), "waiting": waiting,
                     "running": running, "finished": finished,
-                    "ms": clock::now().since_ms(held.accepted_at),
+                    "ms": clock::now().since_ms(local.accepted_at),
                 }),
             );
         }
-        if held.record.ended {
+        if local.record.ended {
             return PeerAnswer::Ended;
         }
     }
-    for _ in 0..ACCEPT_TRIES {
+    for _ in 0..STORE_ATTEMPTS {
         let (record, revision) = {
-            let held = held.borrow();
-            (Record { ended: true, ..held.record.clone() }, held.record_revision)
+            let local = local.borrow();
+            (Record { ended: true, ..local.record.clone() }, local.record_revision)
         };
         match write_record(node, batch, &record, revision).await {
             Ok(RecordWrite::Done(revision)) => {
-                take_record(node, &held, record, revision);
-                if held.borrow().taken_over {
-                    tell_ended(node, batch);
+                apply_record(node, &local, record, revision);
+                if local.borrow().taken_over {
+                    broadcast_ended(node, batch);
                 } else {
-                    tell_standby(node, batch);
+                    notify_standby(node, batch);
                 }
                 return PeerAnswer::Ended;
             }
             Ok(RecordWrite::Changed(found, revision)) => {
                 let ended = found.ended;
-                take_record(node, &held, found, revision);
+                apply_record(node, &local, found, revision);
                 if ended {
                     return PeerAnswer::Ended;
                 }
-                if !held.borrow().owned {
+                if !local.borrow().owned {
                     return PeerAnswer::NotOwner;
                 }
             }
             Err(refusal) => {
                 node.note("end_unwritten", json!({ "request": batch, "why": refusal.message }));
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
@@ -102,12 +102,14 @@
     }
     let call = PeerCall::End { batch: batch.to_owned(), scope: scope.clone() };
     let (record, revision) = match ask_owner(node, batch, &call, 0).await {
-        Asked::Answer(PeerAnswer::Ended) => return Lookup::Found(()),
-        Asked::Answer(PeerAnswer::NoBatch) | Asked::Missing => return Lookup::Missing,
-        Asked::Answer(_) => return Lookup::Unavailable("the owner could not write it".to_owned()),
-        Asked::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
-        Asked::Record(record, revision) => (record, revision),
-        Asked::Unavailable(why) => return Lookup::Unavailable(why),
+        OwnerReply::Answer(PeerAnswer::Ended) => return Lookup::Found(()),
+        OwnerReply::Answer(PeerAnswer::NoBatch) | OwnerReply::Missing => return Lookup::Missing,
+        OwnerReply::Answer(_) => {
+            return Lookup::Unavailable("the owner could not write it".to_owned());
+        }
+        OwnerReply::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
+        OwnerReply::Record(record, revision) => (record, revision),
+        OwnerReply::Unavailable(why) => return Lookup::Unavailable(why),
     };
     if record.ended {
         return Lookup::Found(());
@@ -119,7 +121,7 @@
                 "batch_ended_for_owner",
                 json!({ "request": batch, "owner": ended.owner.node }),
             );
-            tell_ended(node, batch);
+            broadcast_ended(node, batch);
             Lookup::Found(())
         }
         Ok(RecordWrite::Changed(found, _)) if found.ended => Lookup::Found(()),
@@ -130,35 +132,36 @@
 
 /// Tells all nodes that a batch is ended: one that owned it may live, cut off from the store or
 /// from us alone, and would run items on that nobody wants. Datagrams are lost at times.
-pub(super) fn tell_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
+pub(super) fn broadcast_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     const TIMES: u32 = 3;
     let datagram = Datagram::BatchEnded { batch: batch.to_owned() };
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         for _ in 0..TIMES {
             peers::tell_all(&node, &datagram);
-            sleep(TELL_AGAIN).await;
+            sleep(END_NOTICE_INTERVAL).await;
         }
     });
 }
 
 /// Gives up items whose time is over, and forgets batches that nobody reads any more.
-pub(super) async fn forget_old<P: Platform>(node: &Rc<Node<P>>) {
+pub(super) async fn delete_expired<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
     let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
-    for held in all {
-        let old = held.borrow().settled_at.is_some_and(|at| now.since_ms(at) > KEPT_MS);
+    for local in all {
+        let old =
+            local.borrow().settled_at.is_some_and(|at| now.since_ms(at) > SETTLED_RETENTION_MS);
         if old {
-            forget(node, &held).await;
+            delete_batch(node, &local).await;
         }
     }
 }
 
-pub(super) async fn forget<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
-    let (id, chunks) = (held.borrow().id.clone(), held.borrow().batch.next_chunk());
-    let parts = encode(held.borrow().batch.submission())
+pub(super) async fn delete_batch<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
+    let (id, chunks) = (local.borrow().id.clone(), local.borrow().batch.next_chunk());
+    let parts = encode(local.borrow().batch.submission())
         .map_or(1, |body| body.len().div_ceil(part_max_bytes(node)));
-    let keys = (0..parts).map(|number| part_key(&id, number)).chain([texts_key(&id)]);
+    let keys = (0..parts).map(|number| part_key(&id, number)).chain([outputs_key(&id)]);
     let keys: Vec<String> = keys.chain((0..chunks).map(|number| chunk_key(&id, number))).collect();
     for deletes in keys.chunks(TRANSACTION_MAX_KEYS) {
         let deletes = deletes.to_vec();
@@ -170,7 +173,7 @@
     let deletes = vec![record_key(&id)];
     let call = StoreCall::Transaction { deletes, expected: Vec::new(), puts: Vec::new() };
     if node.store(&call).await.is_ok() {
-        held.borrow_mut().owned = false;
+        local.borrow_mut().owned = false;
         node.batches.owned.borrow_mut().swap_remove(&id);
         node.batches.owners.borrow_mut().swap_remove(&id);
         count(&node.metrics.item_runs, "batch_forgotten");
--- a/crates/serve/src/batches/keys.rs
+++ b/crates/serve/src/batches/keys.rs
@@ -11,13 +11,13 @@
 use serde_json::json;
 
 /// Keys of the records, by batch.
-pub(super) const RECORDS: &str = "cm/h/";
+pub(super) const RECORD_PREFIX: &str = "cm/h/";
 
 /// Keys of submissions and results, by batch.
-pub(super) const DATA: &str = "cm/d/";
+pub(super) const DATA_PREFIX: &str = "cm/d/";
 
 /// The part of a value's allowed size that we use; the rest is for its framing.
-pub(super) const VALUE_PART_PERCENT: usize = 70;
+pub(super) const VALUE_FILL_PERCENT: usize = 70;
 
 /// Keys that one transaction may change.
 pub(super) const TRANSACTION_MAX_KEYS: usize = 30;
@@ -66,23 +66,23 @@
 }
 
 pub(super) fn record_key(batch: &str) -> String {
-    format!("{RECORDS}{batch}")
+    format!("{RECORD_PREFIX}{batch}")
 }
 
 pub(super) fn part_key(batch: &str, number: usize) -> String {
-    format!("{DATA}{batch}/p{number:03}")
+    format!("{DATA_PREFIX}{batch}/p{number:03}")
 }
 
-pub(super) fn texts_key(batch: &str) -> String {
-    format!("{DATA}{batch}/t")
+pub(super) fn outputs_key(batch: &str) -> String {
+    format!("{DATA_PREFIX}{batch}/t")
 }
 
 pub(super) fn chunk_prefix(batch: &str) -> String {
-    format!("{DATA}{batch}/c")
+    format!("{DATA_PREFIX}{batch}/c")
 }
 
 pub(super) fn chunk_key(batch: &str, number: u32) -> String {
-    format!("{DATA}{batch}/c{number:05}")
+    format!("{DATA_PREFIX}{batch}/c{number:05}")
 }
 
 pub(super) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreRefusal> {
@@ -90,24 +90,28 @@
         .map_err(|error| StoreRefusal { message: error.to_string(), verdict: Verdict::NotRun })
 }
 
-pub(super) fn unexpected(answer: &StoreAnswer) -> StoreRefusal {
+pub(super) fn unexpected_answer(answer: &StoreAnswer) -> StoreRefusal {
     StoreRefusal { message: format!("unexpected answer {answer:?}"), verdict: Verdict::MayHaveRun }
 }
 
 pub(super) fn part_max_bytes<P: Platform>(node: &Node<P>) -> usize {
-    node.settings().value_max_bytes * VALUE_PART_PERCENT / 100
+    node.settings().value_max_bytes * VALUE_FILL_PERCENT / 100
 }
 
-pub(super) fn unreadable<P: Platform>(node: &Node<P>, item: &StoredItem, error: &postcard::Error) {
+pub(super) fn report_unreadable<P: Platform>(
+    node: &Node<P>,
+    item: &StoredItem,
+    error: &postcard::Error,
+) {
     node.note("own_key_unreadable", json!({ "key": item.key, "why": error.to_string() }));
 }
 
-pub(super) fn chunks_of<P: Platform>(node: &Node<P>, items: &[StoredItem]) -> Vec<Chunk> {
+pub(super) fn decode_chunks<P: Platform>(node: &Node<P>, items: &[StoredItem]) -> Vec<Chunk> {
     let mut chunks: Vec<Chunk> = Vec::new();
     for item in items {
         match postcard::from_bytes(&item.value) {
             Ok(chunk) => chunks.push(chunk),
-            Err(error) => unreadable(node, item, &error),
+            Err(error) => report_unreadable(node, item, &error),
         }
     }
     chunks.sort_by_key(|chunk| chunk.number);
@@ -124,7 +128,7 @@
             Ok(record) => Ok(Some((record, item.revision))),
             Err(error) => Err(StoreRefusal { message: error.to_string(), verdict: Verdict::Ran }),
         },
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_answer(&other)),
     }
 }
 
@@ -159,28 +163,28 @@
             })?;
             Ok(RecordWrite::Changed(found, item.revision))
         }
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_answer(&other)),
     }
 }
 
 /// What the store keeps of a batch.
-pub(super) struct Kept {
+pub(super) struct StoredBatch {
     pub(super) chunks: Vec<Chunk>,
     pub(super) submission: Submission,
     pub(super) texts: Vec<(String, Progress)>,
 }
 
 /// Reads a submission, its results and the texts that were begun from the store.
-pub(super) async fn read_submission<P: Platform>(
+pub(super) async fn read_stored_batch<P: Platform>(
     node: &Node<P>,
     batch: &str,
-) -> Result<Kept, StoreRefusal> {
-    let (items, _) = feed::read_whole(node, &format!("{DATA}{batch}/")).await?;
-    let (chunk_prefix, texts_key) = (chunk_prefix(batch), texts_key(batch));
+) -> Result<StoredBatch, StoreRefusal> {
+    let (items, _) = feed::read_whole(node, &format!("{DATA_PREFIX}{batch}/")).await?;
+    let (chunk_prefix, outputs_key) = (chunk_prefix(batch), outputs_key(batch));
     let (chunks, others): (Vec<StoredItem>, Vec<StoredItem>) =
         items.into_iter().partition(|item| item.key.starts_with(&chunk_prefix));
     let (texts, parts): (Vec<StoredItem>, Vec<StoredItem>) =
-        others.into_iter().partition(|item| item.key == texts_key);
+        others.into_iter().partition(|item| item.key == outputs_key);
     let body: Vec<u8> = parts.into_iter().flat_map(|part| part.value).collect();
     let submission = postcard::from_bytes(&body).map_err(|error| StoreRefusal {
         message: format!("batch {batch}: {error}"),
@@ -188,8 +192,8 @@
     })?;
     let texts = texts.first().and_then(|item| {
         let texts = postcard::from_bytes(&item.value);
-        texts.inspect_err(|error| unreadable(node, item, error)).ok()
+        texts.inspect_err(|error| report_unreadable(node, item, error)).ok()
     });
     let texts = texts.unwrap_or_default();
-    Ok(Kept { chunks: chunks_of(node, &chunks), submission, texts })
+    Ok(StoredBatch { chunks: decode_chunks(node, &chunks), submission, texts })
 }
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -37,11 +37,11 @@
 
 /// How long texts of ended batches are kept: a trainer that asks for a group again does so within
 /// a few steps.
-const LEFTOVER_KEPT_MS: u64 = 30_000;
+const REUSABLE_OUTPUT_TTL_MS: u64 = 30_000;
 
 /// How long after it was told of an owner a node takes the batch for one that may be open: more than
 /// two steps of a trainer. Older ones are left to the nodes that search the store.
-const OPEN_MAX_MS: u64 = 30_000;
+const ASSUMED_OPEN_MS: u64 = 30_000;
 
 /// A batch that this node owns.
 #[derive(Debug)]
@@ -85,10 +85,10 @@
 
     /// Returns what runs of at least this age hold of their texts, by item, and the texts of items
     /// that are finished but not durable.
-    fn texts(&self, least_age_ms: u64) -> Vec<(String, Progress)> {
+    fn partial_outputs(&self, min_age_ms: u64) -> Vec<(String, Progress)> {
         let now = clock::now();
         let items = &self.batch.submission().items;
-        let old = |run: &Run| now.since_ms(run.began_at) >= least_age_ms;
+        let old = |run: &Run| now.since_ms(run.started_at) >= min_age_ms;
         let begun = |run: &Run| run.progress.borrow().is_begun();
         let running = self
             .runs
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub(crate) struct Run {
     /// When it began.
-    pub began_at: UnixMs,
+    pub started_at: UnixMs,
     /// What is held of the text.
     pub progress: Rc<RefCell<Progress>>,
     /// Whether its text is whole and it is being scored.
@@ -132,49 +132,49 @@
 
 /// What ended batches left of their items' texts.
 #[derive(Debug, Default)]
-struct Leftovers {
+struct ReusableOutputs {
     groups: IndexMap<String, UnixMs>,
-    texts: IndexMap<String, LeftText>,
+    by_item: IndexMap<String, ReusableOutput>,
 }
 
 /// What an ended batch left of an item's text.
 #[derive(Debug)]
-struct LeftText {
+struct ReusableOutput {
     progress: Progress,
     since: UnixMs,
     workspace: Option<String>,
 }
 
-impl Leftovers {
+impl ReusableOutputs {
     /// Takes what is left of an item's text by a batch of the same workspace.
     fn take(&mut self, item: &str, workspace: Option<&str>) -> Option<Progress> {
-        let left = self.texts.get(item)?;
+        let left = self.by_item.get(item)?;
         if left.workspace.as_deref() != workspace {
             return None;
         }
-        self.texts.swap_remove(item).map(|left| left.progress)
+        self.by_item.swap_remove(item).map(|left| left.progress)
     }
 }
 
 /// The owner of a batch, as this node was told.
 #[derive(Clone, Debug)]
-struct ToldOwner {
+struct ReportedOwner {
     owner: Owner,
     /// When it was told first; none once the batch is known to be ended.
-    told_at: Option<UnixMs>,
+    reported_at: Option<UnixMs>,
 }
 
 /// All batches that this node knows of.
 #[derive(Debug, Default)]
 pub(crate) struct Batches {
-    leftovers: RefCell<Leftovers>,
+    reusable_outputs: RefCell<ReusableOutputs>,
     pub lookahead: RefCell<Lookahead>,
     owned: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
-    owners: RefCell<IndexMap<String, ToldOwner>>,
+    owners: RefCell<IndexMap<String, ReportedOwner>>,
     /// Runs of items for batches to come.
     pub second_runs: SecondRuns,
     pub standby: Standby,
-    taking: RefCell<IndexSet<String>>,
+    takeovers: RefCell<IndexSet<String>>,
     /// Wakes the search for batches without an owner.
     pub orphaned: Notify,
     started_at: Cell<UnixMs>,
@@ -186,43 +186,45 @@
 impl Batches {
     pub(crate) fn note_owner(&self, batch: &str, owner: Owner) {
         let mut owners = self.owners.borrow_mut();
-        if owners.get(batch).is_some_and(|told| told.owner == owner) {
+        if owners.get(batch).is_some_and(|reported| reported.owner == owner) {
             return;
         }
-        let told_at = Some(clock::now());
-        owners.insert(batch.to_owned(), ToldOwner { owner, told_at });
+        let reported_at = Some(clock::now());
+        owners.insert(batch.to_owned(), ReportedOwner { owner, reported_at });
     }
 
     /// Takes that a batch is ended: nobody needs to run it any more.
     fn note_ended(&self, batch: &str) {
-        if let Some(told) = self.owners.borrow_mut().get_mut(batch) {
-            told.told_at = None;
+        if let Some(reported) = self.owners.borrow_mut().get_mut(batch) {
+            reported.reported_at = None;
         }
     }
 
     /// Tells whether a batch is known to be ended.
     fn is_ended(&self, batch: &str) -> bool {
-        self.owners.borrow().get(batch).is_some_and(|told| told.told_at.is_none())
+        self.owners.borrow().get(batch).is_some_and(|reported| reported.reported_at.is_none())
     }
 
     /// Returns the owner of a batch, as far as this node was told.
     fn owner_of(&self, batch: &str) -> Option<Owner> {
-        self.owners.borrow().get(batch).map(|told| told.owner.clone())
+        self.owners.borrow().get(batch).map(|reported| reported.owner.clone())
     }
 
     /// Returns the batches that may be open, with their owners.
-    fn owners_told_lately(&self, now: UnixMs) -> Vec<(String, Owner)> {
-        let lately = |told: &ToldOwner| {
-            told.told_at.is_some_and(|told_at| now.since_ms(told_at) < OPEN_MAX_MS)
+    fn recently_reported_owners(&self, now: UnixMs) -> Vec<(String, Owner)> {
+        let lately = |reported: &ReportedOwner| {
+            reported
+                .reported_at
+                .is_some_and(|reported_at| now.since_ms(reported_at) < ASSUMED_OPEN_MS)
         };
         let owners = self.owners.borrow();
-        let told = owners.iter().filter(|(_, told)| lately(told));
-        told.map(|(id, told)| (id.clone(), told.owner.clone())).collect()
+        let reported = owners.iter().filter(|(_, reported)| lately(reported));
+        reported.map(|(id, reported)| (id.clone(), reported.owner.clone())).collect()
     }
 
     /// Returns where the owners of the batches known are reached.
     pub(crate) fn owner_addresses(&self) -> IndexSet<SocketAddr> {
-        self.owners.borrow().values().map(|told| told.owner.address).collect()
+        self.owners.borrow().values().map(|reported| reported.owner.address).collect()
     }
 
     /// Takes the store's return: a search that failed meanwhile is made again.
@@ -236,9 +238,9 @@
     fn note_opening(&self, submission: &Submission) {
         let (Some(model), Some(step)) = (&submission.model, submission.step) else { return };
         let open = self.open();
-        let steps = open.iter().filter_map(|held| {
-            let held = held.borrow();
-            let open = held.batch.submission();
+        let steps = open.iter().filter_map(|local| {
+            let local = local.borrow();
+            let open = local.batch.submission();
             open.step.filter(|_| open.model.as_ref() == Some(model))
         });
         self.lookahead.borrow_mut().opened(model, step, steps);
@@ -247,13 +249,13 @@
     /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
     pub(crate) fn stop_runs_at(&self, target: &str) {
         let owned: Vec<Rc<RefCell<LocalBatch>>> = self.owned.borrow().values().cloned().collect();
-        for held in owned.into_iter().chain(self.standby.interim()) {
-            let mut held = held.borrow_mut();
+        for local in owned.into_iter().chain(self.standby.interim()) {
+            let mut local = local.borrow_mut();
             let at_target =
-                held.runs.iter().filter(|(_, run)| run.target == target && !run.scoring);
+                local.runs.iter().filter(|(_, run)| run.target == target && !run.scoring);
             let indices: Vec<usize> = at_target.map(|(index, _)| *index).collect();
             for index in indices {
-                held.stop_run(index);
+                local.stop_run(index);
             }
         }
         self.second_runs.stop_where(|second| second.target == target);
@@ -269,10 +271,10 @@
             .owned
             .borrow()
             .values()
-            .filter(|held| !held.borrow().batch.is_settled() && !held.borrow().batch.is_ended())
+            .filter(|local| !local.borrow().batch.is_settled() && !local.borrow().batch.is_ended())
             .cloned()
             .collect();
-        open.sort_by_key(|held| held.borrow().batch.terms().due_at);
+        open.sort_by_key(|local| local.borrow().batch.terms().due_at);
         open
     }
 }
--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -1,6 +1,6 @@
 //! Reading results and bodies of any batch at any node.
 
-use super::keys::{Record, Scope, chunk_prefix, chunks_of, read_record, read_submission};
+use super::keys::{Record, Scope, chunk_prefix, decode_chunks, read_record, read_stored_batch};
 use crate::clock;
 use crate::feed;
 use crate::node::Node;
@@ -18,7 +18,7 @@
 pub(super) const PAGE_MAX_BYTES: usize = 900_000;
 
 /// What a call to an owner may take beyond its wait.
-pub(super) const OWNER_SLACK: Duration = Duration::from_millis(700);
+pub(super) const OWNER_CALL_SLACK: Duration = Duration::from_millis(700);
 
 /// Reads results of a batch that this node owns; waits up to `wait_ms` for the first.
 pub(crate) async fn read_owned<P: Platform>(
@@ -28,23 +28,23 @@
     after: usize,
     wait_ms: u64,
 ) -> PeerAnswer {
-    let Some(held) = node.batches.get(batch) else { return PeerAnswer::NotOwner };
-    if !scope.covers(held.borrow().origin()) {
+    let Some(local) = node.batches.get(batch) else { return PeerAnswer::NotOwner };
+    if !scope.covers(local.borrow().origin()) {
         return PeerAnswer::NoBatch;
     }
     let until = clock::now().plus(wait_ms);
     loop {
-        let changed = Rc::clone(&held.borrow().changed);
+        let changed = Rc::clone(&local.borrow().changed);
         let changed = changed.notified();
         {
-            let held = held.borrow();
-            if !held.owned || held.unverified {
+            let local = local.borrow();
+            if !local.owned || local.unverified {
                 return PeerAnswer::NotOwner;
             }
-            let page = held.batch.page(after, PAGE_MAX_BYTES);
-            let total = held.batch.submission().items.len();
+            let page = local.batch.page(after, PAGE_MAX_BYTES);
+            let total = local.batch.submission().items.len();
             let left_ms = until.since_ms(clock::now());
-            let over = after >= total || held.batch.is_ended() || left_ms == 0;
+            let over = after >= total || local.batch.is_ended() || left_ms == 0;
             if !page.is_empty() || over {
                 return PeerAnswer::Page { results: page.to_vec(), total };
             }
@@ -82,14 +82,14 @@
     let call = PeerCall::Read { after, batch: batch.to_owned(), scope: scope.clone(), wait_ms };
     let asked = ask_owner(node, batch, &call, wait_ms).await;
     let record = match asked {
-        Asked::Answer(PeerAnswer::Page { results, total }) => {
+        OwnerReply::Answer(PeerAnswer::Page { results, total }) => {
             return Lookup::Found((total, results));
         }
-        Asked::Answer(PeerAnswer::NoBatch) | Asked::Missing => return Lookup::Missing,
-        Asked::Answer(_) => return Lookup::Unavailable("the owner cannot tell".to_owned()),
-        Asked::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
-        Asked::Record(record, _) => record,
-        Asked::Unavailable(why) => return Lookup::Unavailable(why),
+        OwnerReply::Answer(PeerAnswer::NoBatch) | OwnerReply::Missing => return Lookup::Missing,
+        OwnerReply::Answer(_) => return Lookup::Unavailable("the owner cannot tell".to_owned()),
+        OwnerReply::Record(record, _) if !scope.covers(&record.origin) => return Lookup::Missing,
+        OwnerReply::Record(record, _) => record,
+        OwnerReply::Unavailable(why) => return Lookup::Unavailable(why),
     };
     match feed::read_whole(node, &chunk_prefix(batch)).await {
         Ok((items, _)) => Lookup::Found((record.total, page_of_chunks(node, &items, after))),
@@ -104,7 +104,7 @@
 ) -> Vec<ItemResult> {
     let mut seen = IndexSet::new();
     let mut spent_bytes = 0;
-    let results = chunks_of(node, items).into_iter().flat_map(|chunk| chunk.results);
+    let results = decode_chunks(node, items).into_iter().flat_map(|chunk| chunk.results);
     results
         .filter(|result| seen.insert(result.id.clone()))
         .skip(after)
@@ -117,7 +117,7 @@
 }
 
 /// What came of asking a batch's owner.
-pub(super) enum Asked {
+pub(super) enum OwnerReply {
     Answer(PeerAnswer),
     /// The owner cannot be asked; this is the batch's record and its revision.
     Record(Record, u64),
@@ -131,29 +131,29 @@
     batch: &str,
     call: &PeerCall,
     wait_ms: u64,
-) -> Asked {
-    let max = Duration::from_millis(wait_ms) + OWNER_SLACK;
-    let told = node.batches.owner_of(batch);
-    if let Some(owner) = &told
-        && let Some(answer) = ask_one(node, owner, call, max).await
+) -> OwnerReply {
+    let max = Duration::from_millis(wait_ms) + OWNER_CALL_SLACK;
+    let known_owner = node.batches.owner_of(batch);
+    if let Some(owner) = &known_owner
+        && let Some(answer) = call_owner(node, owner, call, max).await
     {
-        return Asked::Answer(answer);
+        return OwnerReply::Answer(answer);
     }
     let (record, revision) = match read_record(node, batch).await {
         Ok(Some(found)) => found,
-        Ok(None) => return Asked::Missing,
-        Err(refusal) => return Asked::Unavailable(refusal.message),
+        Ok(None) => return OwnerReply::Missing,
+        Err(refusal) => return OwnerReply::Unavailable(refusal.message),
     };
     node.batches.note_owner(batch, record.owner.clone());
-    if told.as_ref() != Some(&record.owner)
-        && let Some(answer) = ask_one(node, &record.owner, call, max).await
+    if known_owner.as_ref() != Some(&record.owner)
+        && let Some(answer) = call_owner(node, &record.owner, call, max).await
     {
-        return Asked::Answer(answer);
+        return OwnerReply::Answer(answer);
     }
-    Asked::Record(record, revision)
+    OwnerReply::Record(record, revision)
 }
 
-pub(super) async fn ask_one<P: Platform>(
+pub(super) async fn call_owner<P: Platform>(
     node: &Rc<Node<P>>,
     owner: &Owner,
     call: &PeerCall,
@@ -186,12 +186,12 @@
     scope: &Scope,
     item: &str,
 ) -> PeerAnswer {
-    let Some(held) = node.batches.get(batch) else { return PeerAnswer::NotOwner };
-    let held = held.borrow();
-    if !scope.covers(held.origin()) {
+    let Some(local) = node.batches.get(batch) else { return PeerAnswer::NotOwner };
+    let local = local.borrow();
+    if !scope.covers(local.origin()) {
         return PeerAnswer::NoBatch;
     }
-    match held.batch.item(item) {
+    match local.batch.item(item) {
         Some(item) => PeerAnswer::Body(item.body.clone()),
         None => PeerAnswer::NoItem,
     }
@@ -212,12 +212,14 @@
     let (id, item_id) = (batch.to_owned(), item.to_owned());
     let call = PeerCall::ItemBody { batch: id, item: item_id, scope: scope.clone() };
     match ask_owner(node, batch, &call, 0).await {
-        Asked::Answer(PeerAnswer::Body(body)) => Lookup::Found(body),
-        Asked::Answer(PeerAnswer::NoBatch | PeerAnswer::NoItem) | Asked::Missing => Lookup::Missing,
-        Asked::Answer(_) => Lookup::Unavailable("the owner cannot tell".to_owned()),
-        Asked::Unavailable(why) => Lookup::Unavailable(why),
-        Asked::Record(record, _) if !scope.covers(&record.origin) => Lookup::Missing,
-        Asked::Record(..) => match read_submission(node, batch).await {
+        OwnerReply::Answer(PeerAnswer::Body(body)) => Lookup::Found(body),
+        OwnerReply::Answer(PeerAnswer::NoBatch | PeerAnswer::NoItem) | OwnerReply::Missing => {
+            Lookup::Missing
+        }
+        OwnerReply::Answer(_) => Lookup::Unavailable("the owner cannot tell".to_owned()),
+        OwnerReply::Unavailable(why) => Lookup::Unavailable(why),
+        OwnerReply::Record(record, _) if !scope.covers(&record.origin) => Lookup::Missing,
+        OwnerReply::Record(..) => match read_stored_batch(node, batch).await {
             Ok(kept) => kept
                 .submission
                 .items
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -12,11 +12,11 @@
 //! A copy is soft state: it is lost without harm, and nothing of it is listed or shown. An owner that
 //! turns out to live, the end of the batch or another owner stop the runs.
 
-use super::accept::{Source, open, reward_attempts, terms};
+use super::accept::{BatchSource, build_local_batch, reward_attempts, terms};
 use super::keys::Record;
 use super::takeover::SKEW_MAX_MS;
-use super::write::SAVE_AFTER_MS;
-use super::{LocalBatch, OPEN_MAX_MS};
+use super::write::SAVE_MIN_RUN_AGE_MS;
+use super::{ASSUMED_OPEN_MS, LocalBatch};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
@@ -32,10 +32,10 @@
 use tokio::time::sleep;
 
 /// How long the other node may take to accept a copy of some hundred KB.
-const COPY_MAX: Duration = Duration::from_secs(1);
+const COPY_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often what is new of the texts is sent. Each byte is sent once, so this is what a text loses with
 /// its owner, and a call each 0.6 s for each open batch.
-const COPY_EVERY: Duration = Duration::from_millis(600);
+const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
 /// What was submitted, and the record under which it is kept.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -46,7 +46,7 @@
 
 /// A copy, and when it came.
 #[derive(Debug)]
-struct HeldCopy {
+struct ReceivedCopy {
     copy: BatchCopy,
     since: UnixMs,
     texts: CopiedTexts,
@@ -54,7 +54,7 @@
 
 /// What came of a batch's items while it had no owner.
 #[derive(Debug, Default)]
-pub(super) struct Meanwhile {
+pub(super) struct InterimProgress {
     /// Results with their scores; asked for again, they cost the step another 0.2 to 0.8 s.
     pub(super) results: Vec<ItemResult>,
     /// The texts of the others, as far as they are.
@@ -64,7 +64,7 @@
 /// The copies that this node holds, and the batches of which it runs items without owning them.
 #[derive(Debug, Default)]
 pub(crate) struct Standby {
-    copies: RefCell<IndexMap<String, HeldCopy>>,
+    copies: RefCell<IndexMap<String, ReceivedCopy>>,
     interim: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
 }
 
@@ -80,26 +80,26 @@
     }
 
     /// Stops the interim runs of a batch and returns what came of them.
-    pub(super) fn take(&self, batch: &str) -> Meanwhile {
+    pub(super) fn stop_interim(&self, batch: &str) -> InterimProgress {
         let Some(held) = self.interim.borrow_mut().swap_remove(batch) else {
-            return Meanwhile::default();
+            return InterimProgress::default();
         };
         let mut held = held.borrow_mut();
         held.stop_runs();
         let results = held.batch.take_completed();
-        Meanwhile { results, texts: held.batch.take_progress() }
+        InterimProgress { results, texts: held.batch.take_progress() }
     }
 
     /// Forgets a batch: it is ended, or has an owner that lives.
-    pub(super) fn forget(&self, batch: &str) {
+    pub(super) fn discard(&self, batch: &str) {
         self.copies.borrow_mut().swap_remove(batch);
-        drop(self.take(batch));
+        drop(self.stop_interim(batch));
     }
 
-    fn keep(&self, now: UnixMs, batch: String, copy: BatchCopy) {
+    fn insert_copy(&self, now: UnixMs, batch: String, copy: BatchCopy) {
         let mut copies = self.copies.borrow_mut();
-        copies.retain(|_, held| now.since_ms(held.since) < OPEN_MAX_MS);
-        copies.insert(batch, HeldCopy { copy, since: now, texts: CopiedTexts::default() });
+        copies.retain(|_, held| now.since_ms(held.since) < ASSUMED_OPEN_MS);
+        copies.insert(batch, ReceivedCopy { copy, since: now, texts: CopiedTexts::default() });
     }
 }
 
@@ -107,7 +107,7 @@
 /// texts for as long as it is open.
 pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
     let id = held.borrow().id.clone();
-    let mut told = SentTexts::default();
+    let mut sent = SentTexts::default();
     let mut sent_to = None;
     loop {
         if !held.borrow().is_running() {
@@ -115,13 +115,13 @@
         }
         let Some(successor) = peers::successor_for(&node, &id) else { return };
         if sent_to.as_ref() != Some(&successor) {
-            told.forget();
+            sent.forget();
             let sent = send_copy(&node, &held, &successor).await;
             sent_to = sent.then_some(successor);
-        } else if !send_texts(&node, &held, &successor, &mut told).await {
+        } else if !send_outputs(&node, &held, &successor, &mut sent).await {
             sent_to = None;
         }
-        sleep(COPY_EVERY).await;
+        sleep(COPY_INTERVAL).await;
     }
 }
 
@@ -131,26 +131,31 @@
         let submission = held.batch.submission().clone();
         (held.id.clone(), Box::new(BatchCopy { record: held.record.clone(), submission }))
     };
-    ask(node, to, &batch, &PeerCall::KeepCopy { batch: batch.clone(), copy }).await
+    send_to_standby(node, to, &batch, &PeerCall::KeepCopy { batch: batch.clone(), copy }).await
 }
 
-async fn send_texts<P: Platform>(
+async fn send_outputs<P: Platform>(
     node: &Node<P>,
     held: &RefCell<LocalBatch>,
     to: &Owner,
-    told: &mut SentTexts,
+    sent: &mut SentTexts,
 ) -> bool {
-    let texts = told.news(&held.borrow().texts(SAVE_AFTER_MS));
+    let texts = sent.news(&held.borrow().partial_outputs(SAVE_MIN_RUN_AGE_MS));
     if texts.is_empty() {
         return true;
     }
     let batch = held.borrow().id.clone();
-    ask(node, to, &batch, &PeerCall::KeepTexts { batch: batch.clone(), texts }).await
+    send_to_standby(node, to, &batch, &PeerCall::KeepTexts { batch: batch.clone(), texts }).await
 }
 
 /// Asks the other node to keep something; returns whether it does.
-async fn ask<P: Platform>(node: &Node<P>, to: &Owner, batch: &str, call: &PeerCall) -> bool {
-    match node.ask_peer(to.address, call, COPY_MAX).await {
+async fn send_to_standby<P: Platform>(
+    node: &Node<P>,
+    to: &Owner,
+    batch: &str,
+    call: &PeerCall,
+) -> bool {
+    match node.ask_peer(to.address, call, COPY_TIMEOUT).await {
         Ok(answer) => matches!(answer, PeerAnswer::Accepted),
         Err(error) => {
             let why = json!({ "request": batch, "to": to.node, "why": error.message });
@@ -166,7 +171,7 @@
         return;
     }
     node.batches.note_owner(&batch, copy.record.owner.clone());
-    node.batches.standby.keep(clock::now(), batch, copy);
+    node.batches.standby.insert_copy(clock::now(), batch, copy);
 }
 
 /// Keeps what is new of the texts of a copied batch; returns false when something before is missing.
@@ -180,7 +185,7 @@
 }
 
 /// Tells the node that holds the copy of a batch that it is ended.
-pub(super) fn tell_standby<P: Platform>(node: &Node<P>, batch: &str) {
+pub(super) fn notify_standby<P: Platform>(node: &Node<P>, batch: &str) {
     if let Some(successor) = peers::successor_for(node, batch) {
         let datagram = Datagram::BatchEnded { batch: batch.to_owned() };
         peers::send(node, &datagram, successor.address);
@@ -190,7 +195,9 @@
 /// Runs the items of a batch whose owner is dead until the store names another, if there is a copy.
 pub(super) fn start_interim<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     let copy = node.batches.standby.copies.borrow_mut().swap_remove(batch);
-    let Some(HeldCopy { copy: BatchCopy { record, submission }, texts, .. }) = copy else { return };
+    let Some(ReceivedCopy { copy: BatchCopy { record, submission }, texts, .. }) = copy else {
+        return;
+    };
     let document = node.document();
     let route = document
         .as_ref()
@@ -200,8 +207,8 @@
     let accepted_at = UnixMs(clock::now().0.saturating_sub(age_ms));
     let terms = terms(route, reward_attempts(node, &submission), accepted_at, SKEW_MAX_MS);
     let texts = texts.into_texts();
-    let source = Source { record, record_revision: 0, results: Vec::new(), submission, texts };
-    let (mut held, resumed) = open(node, batch, source, accepted_at, terms, &[]);
+    let source = BatchSource { record, record_revision: 0, results: Vec::new(), submission, texts };
+    let (mut held, resumed) = build_local_batch(node, batch, source, accepted_at, terms, &[]);
     node.note(
         "batch_run_in_interim",
         json!({
@@ -216,7 +223,7 @@
 }
 
 /// Returns for each item the longer of two texts.
-pub(super) fn longer_texts(
+pub(super) fn longer_outputs(
     texts: Vec<(String, Progress)>,
     others: Vec<(String, Progress)>,
 ) -> Vec<(String, Progress)> {
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -1,15 +1,15 @@
 //! Batches whose owner died or leaves: who takes them, and when.
 
 use super::LocalBatch;
-use super::accept::{Source, duty_of, own};
-use super::end::forget_old;
+use super::accept::{BatchSource, model_duty, start_owning};
+use super::end::delete_expired;
 use super::keys::{
-    Kept, RECORDS, Record, RecordWrite, part_max_bytes, read_record, read_submission, unreadable,
-    write_record,
+    RECORD_PREFIX, Record, RecordWrite, StoredBatch, part_max_bytes, read_record,
+    read_stored_batch, report_unreadable, write_record,
 };
-use super::ownership::take_record;
-use super::read::OWNER_SLACK;
-use super::standby::{Meanwhile, longer_texts, start_interim};
+use super::ownership::apply_record;
+use super::read::OWNER_CALL_SLACK;
+use super::standby::{InterimProgress, longer_outputs, start_interim};
 use super::write::write_chunk;
 use crate::clock;
 use crate::node::Node;
@@ -28,27 +28,27 @@
 /// Nodes that look through the store for batches that nobody runs; two, so that the death of one
 /// delays nothing. When all nodes did, their reads were three fifths of all calls of the store on a
 /// day of 165 nodes (4,393 of 7,560), and each death cost as many calls as there are nodes.
-const SEARCHERS: usize = 2;
+const SEARCHER_COUNT: usize = 2;
 
 /// How often old records are looked through for batches that nobody runs.
-pub(super) const SWEEP: Duration = Duration::from_secs(4);
+pub(super) const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Deaths that come within this time cost one search. Batches that a node was told of do not wait for
-/// it, see [`take_known`].
-const GATHER_DEATHS: Duration = Duration::from_millis(200);
+/// it, see [`take_over_known`].
+const COALESCE_DEATHS: Duration = Duration::from_millis(200);
 
 /// How long a takeover may take before the batch's items run without an owner: its three calls take
 /// some milliseconds each, and a slow store's a quarter of a second.
 const INTERIM_AFTER: Duration = Duration::from_millis(200);
 
 /// Pause before a batch is taken again after the store did not answer.
-const TAKE_AGAIN: Duration = Duration::from_millis(500);
+const TAKEOVER_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// The duty of searching.
 const SEARCH_DUTY: &str = "orphans";
 
 /// How long a node that nothing was heard of is given before its batches are taken.
-pub(super) const UNHEARD_MAX_MS: u64 = 3_000;
+pub(super) const UNKNOWN_OWNER_GRACE_MS: u64 = 3_000;
 
 /// How much later than the operator allows an item is given up by an owner that did not accept
 /// the batch itself: the acceptance was timed by another machine's wall clock.
@@ -61,30 +61,30 @@
 /// 0.7 s sooner.
 ///
 /// All nodes are told of batches and their owners, so most deaths need no look at the store: the
-/// first in rank takes what it was told of. [`SEARCHERS`] look for the rest, and tell whom it falls to.
+/// first in rank takes what it was told of. [`SEARCHER_COUNT`] look for the rest, and tell whom it falls to.
 pub(crate) async fn take_over_orphans<P: Platform>(node: Rc<Node<P>>) {
     node.batches.started_at.set(clock::now());
-    sweep(&node, Search::FormerLife).await;
+    sweep(&node, Search::FormerIncarnation).await;
     sleep(Duration::from_millis(peers::SETTLE_MS)).await;
     let mut at_once = true;
     loop {
         if !node.leaving.get() {
-            take_known(&node);
+            take_over_known(&node);
             search(&node, at_once).await;
         }
-        forget_old(&node).await;
-        at_once = timeout(SWEEP, node.batches.orphaned.notified()).await.is_ok();
+        delete_expired(&node).await;
+        at_once = timeout(SWEEP_INTERVAL, node.batches.orphaned.notified()).await.is_ok();
     }
 }
 
 /// Looks through the store, where this is one of the nodes that do.
 async fn search<P: Platform>(node: &Rc<Node<P>>, at_once: bool) {
-    let is_searcher = peers::rank_for(node, SEARCH_DUTY).is_some_and(|rank| rank < SEARCHERS);
+    let is_searcher = peers::rank_for(node, SEARCH_DUTY).is_some_and(|rank| rank < SEARCHER_COUNT);
     if !is_searcher {
         return;
     }
     if at_once {
-        sleep(GATHER_DEATHS).await;
+        sleep(COALESCE_DEATHS).await;
     }
     node.batches.search_failed.set(false);
     if !sweep(node, Search::Orphans { may_be_old: !at_once }).await {
@@ -93,29 +93,29 @@
 }
 
 /// Takes the batches that this node was told of and that fall to it.
-fn take_known<P: Platform>(node: &Rc<Node<P>>) {
+fn take_over_known<P: Platform>(node: &Rc<Node<P>>) {
     let Some(me) = peers::me(node) else { return };
-    stop_needless_runs(node);
-    for (id, owner) in node.batches.owners_told_lately(clock::now()) {
-        let of_former_life = owner.node == me.node && owner.incarnation < me.incarnation;
+    stop_obsolete_interim(node);
+    for (id, owner) in node.batches.recently_reported_owners(clock::now()) {
+        let of_former_incarnation = owner.node == me.node && owner.incarnation < me.incarnation;
         let falls_here =
-            of_former_life || (is_dead(node, &owner) && peers::is_first_for(node, &id));
+            of_former_incarnation || (is_dead(node, &owner) && peers::is_first_for(node, &id));
         if falls_here && node.batches.get(&id).is_none() {
-            start_taking(node, &id);
+            start_takeover(node, &id);
         }
     }
 }
 
 /// Stops interim runs of batches that do not fall to this node any more: their owner lives, or
 /// another node follows it.
-fn stop_needless_runs<P: Platform>(node: &Rc<Node<P>>) {
+fn stop_obsolete_interim<P: Platform>(node: &Rc<Node<P>>) {
     for id in node.batches.standby.interim_ids() {
         let owner = node.batches.owner_of(&id);
         let falls_here = owner.is_some_and(|owner| is_dead(node, &owner))
             && peers::is_first_for(node, &id)
             && !node.leaving.get();
         if !falls_here {
-            node.batches.standby.forget(&id);
+            node.batches.standby.discard(&id);
         }
     }
 }
@@ -125,7 +125,7 @@
     let is_dead = is_dead(node, &owner);
     node.batches.note_owner(batch, owner);
     if is_dead && node.batches.get(batch).is_none() {
-        start_taking(node, batch);
+        start_takeover(node, batch);
     }
 }
 
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Search {
     /// Batches of this node's former lives.
-    FormerLife,
+    FormerIncarnation,
     /// The same, and those of nodes that are dead as far as this one knows.
     Orphans {
         /// Whether records that are some seconds old will do.
@@ -148,13 +148,13 @@
     let may_be_old = !matches!(search, Search::Orphans { may_be_old: false });
     let mut after = String::new();
     loop {
-        let prefix = RECORDS.to_owned();
+        let prefix = RECORD_PREFIX.to_owned();
         let call = StoreCall::Range { after: after.clone(), may_be_old, prefix };
         let Ok(StoreAnswer::Items { items, truncated, .. }) = node.store(&call).await else {
             return false;
         };
         for item in &items {
-            consider(node, item, search);
+            examine_record(node, item, search);
         }
         match items.last() {
             Some(last) if truncated => after.clone_from(&last.key),
@@ -163,11 +163,11 @@
     }
 }
 
-pub(super) fn consider<P: Platform>(node: &Rc<Node<P>>, item: &StoredItem, search: Search) {
-    let Some(id) = item.key.strip_prefix(RECORDS) else { return };
+pub(super) fn examine_record<P: Platform>(node: &Rc<Node<P>>, item: &StoredItem, search: Search) {
+    let Some(id) = item.key.strip_prefix(RECORD_PREFIX) else { return };
     let record: Record = match postcard::from_bytes(&item.value) {
         Ok(record) => record,
-        Err(error) => return unreadable(node, item, &error),
+        Err(error) => return report_unreadable(node, item, &error),
     };
     if node.batches.get(id).is_some() {
         return;
@@ -176,8 +176,8 @@
     if record.ended {
         return;
     }
-    if peers::me(node).is_some_and(|me| is_or_was(&me, &record.owner)) {
-        return start_taking(node, id);
+    if peers::me(node).is_some_and(|me| is_own_incarnation(&me, &record.owner)) {
+        return start_takeover(node, id);
     }
     // A node that has just started knows nobody, and would come first in rank for everything.
     let may_be_dead = matches!(search, Search::Orphans { .. });
@@ -185,7 +185,7 @@
         return;
     }
     match peers::first_for(node, id) {
-        None => start_taking(node, id),
+        None => start_takeover(node, id),
         Some(first) => {
             let datagram = Datagram::BatchOrphaned { batch: id.to_owned(), owner: record.owner };
             peers::send(node, &datagram, first);
@@ -193,38 +193,41 @@
     }
 }
 
-fn start_taking<P: Platform>(node: &Rc<Node<P>>, id: &str) {
-    if !node.batches.taking.borrow_mut().insert(id.to_owned()) {
+fn start_takeover<P: Platform>(node: &Rc<Node<P>>, id: &str) {
+    if !node.batches.takeovers.borrow_mut().insert(id.to_owned()) {
         return;
     }
     let (node, id) = (Rc::clone(node), id.to_owned());
     tokio::task::spawn_local(async move {
-        if let Err(refusal) = take_or_run(&node, &id).await {
+        if let Err(refusal) = take_over_or_run_interim(&node, &id).await {
             node.note("batch_untaken", json!({ "request": id, "why": refusal.message }));
-            sleep(TAKE_AGAIN).await;
+            sleep(TAKEOVER_RETRY_PAUSE).await;
             node.batches.orphaned.notify_one();
         } else {
-            node.batches.standby.forget(&id);
+            node.batches.standby.discard(&id);
         }
-        node.batches.taking.borrow_mut().swap_remove(&id);
+        node.batches.takeovers.borrow_mut().swap_remove(&id);
     });
 }
 
 /// Takes a batch over; where the store does not answer soon, its items run meanwhile.
-async fn take_or_run<P: Platform>(node: &Rc<Node<P>>, id: &str) -> Result<(), StoreRefusal> {
-    let mut taking = pin!(take_over(node, id, Vec::new()));
-    if let Ok(taken) = timeout(INTERIM_AFTER, &mut taking).await {
+async fn take_over_or_run_interim<P: Platform>(
+    node: &Rc<Node<P>>,
+    id: &str,
+) -> Result<(), StoreRefusal> {
+    let mut takeover = pin!(take_over(node, id, Vec::new()));
+    if let Ok(taken) = timeout(INTERIM_AFTER, &mut takeover).await {
         if taken.is_err() {
             start_interim(node, id);
         }
         return taken;
     }
     start_interim(node, id);
-    taking.await
+    takeover.await
 }
 
 /// Tells whether a node's life is the owner, or one that came after it.
-fn is_or_was(me: &Owner, owner: &Owner) -> bool {
+fn is_own_incarnation(me: &Owner, owner: &Owner) -> bool {
     me.node == owner.node && me.incarnation >= owner.incarnation
 }
 
@@ -235,7 +238,9 @@
     match peers::life_of(node, owner) {
         Life::Over => true,
         Life::GoesOn => false,
-        Life::Unheard => clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS,
+        Life::Unheard => {
+            clock::now().since_ms(node.batches.started_at.get()) > UNKNOWN_OWNER_GRACE_MS
+        }
     }
 }
 
@@ -243,7 +248,7 @@
 pub(super) async fn take_over<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
-    texts_given: Vec<(String, Progress)>,
+    handed_over_outputs: Vec<(String, Progress)>,
 ) -> Result<(), StoreRefusal> {
     let Some(me) = peers::me(node) else { return Ok(()) };
     let Some((record, revision)) = read_record(node, id).await? else { return Ok(()) };
@@ -251,11 +256,11 @@
         node.batches.note_ended(id);
         return Ok(());
     }
-    if !is_or_was(&me, &record.owner) && !is_dead(node, &record.owner) {
+    if !is_own_incarnation(&me, &record.owner) && !is_dead(node, &record.owner) {
         node.batches.note_owner(id, record.owner);
         return Ok(());
     }
-    let was = record.owner.clone();
+    let former_owner = record.owner.clone();
     let record = Record { owner: me, ..record };
     let revision = match write_record(node, id, &record, revision).await? {
         RecordWrite::Done(revision) => revision,
@@ -265,20 +270,20 @@
             return Ok(());
         }
     };
-    let Kept { chunks, submission, texts } = read_submission(node, id).await?;
+    let StoredBatch { chunks, submission, texts } = read_stored_batch(node, id).await?;
     let age_ms = UnixMs::from_wall_clock().since_ms(UnixMs(record.accepted_at_unix_ms));
     let now = clock::now();
     let accepted_at = UnixMs(now.0.saturating_sub(age_ms));
     node.note(
         "batch_taken_over",
-        json!({ "request": id, "from": was.node, "from_incarnation": was.incarnation.0,
+        json!({ "request": id, "from": former_owner.node, "from_incarnation": former_owner.incarnation.0,
                 "age_ms": age_ms, "record_revision": revision }),
     );
-    let texts = if texts_given.is_empty() { texts } else { texts_given };
-    let Meanwhile { results, texts: meanwhile } = node.batches.standby.take(id);
-    let texts = longer_texts(texts, meanwhile);
-    let source = Source { record, record_revision: revision, results, submission, texts };
-    own(node, id, source, accepted_at, SKEW_MAX_MS, &chunks);
+    let texts = if handed_over_outputs.is_empty() { texts } else { handed_over_outputs };
+    let InterimProgress { results, texts: meanwhile } = node.batches.standby.stop_interim(id);
+    let texts = longer_outputs(texts, meanwhile);
+    let source = BatchSource { record, record_revision: revision, results, submission, texts };
+    start_owning(node, id, source, accepted_at, SKEW_MAX_MS, &chunks);
     Ok(())
 }
 
@@ -286,43 +291,43 @@
 /// stop.
 pub(crate) async fn hand_over_all<P: Platform>(node: Rc<Node<P>>) {
     for id in node.batches.standby.interim_ids() {
-        node.batches.standby.forget(&id);
+        node.batches.standby.discard(&id);
     }
-    for held in node.batches.open() {
-        hand_over(&node, &held).await;
+    for local in node.batches.open() {
+        hand_over(&node, &local).await;
     }
 }
 
-pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
+pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
     let texts = {
-        let mut held = held.borrow_mut();
-        let texts = held.texts(0);
-        held.stop_runs();
+        let mut local = local.borrow_mut();
+        let texts = local.partial_outputs(0);
+        local.stop_runs();
         texts
     };
-    while held.borrow_mut().batch.chunk_of_all(part_max_bytes(node)).is_some() {
-        if !write_chunk(node, held).await {
+    while local.borrow_mut().batch.chunk_of_all(part_max_bytes(node)).is_some() {
+        if !write_chunk(node, local).await {
             return;
         }
     }
     let (id, model, record, revision) = {
-        let held = held.borrow();
-        if !held.owned {
+        let local = local.borrow();
+        if !local.owned {
             return;
         }
-        let model = held.batch.submission().model.clone();
-        (held.id.clone(), model, held.record.clone(), held.record_revision)
+        let model = local.batch.submission().model.clone();
+        (local.id.clone(), model, local.record.clone(), local.record_revision)
     };
-    let duty = duty_of(model.as_deref().unwrap_or(&record.origin.path));
+    let duty = model_duty(model.as_deref().unwrap_or(&record.origin.path));
     let Some(successor) = peers::successor_for(node, &duty) else { return };
     let record = Record { owner: successor.clone(), ..record };
     match write_record(node, &id, &record, revision).await {
         Ok(RecordWrite::Done(revision) | RecordWrite::Changed(_, revision)) => {
-            take_record(node, held, record, revision);
+            apply_record(node, local, record, revision);
             node.note("batch_handed_over", json!({ "request": id, "to": successor.node }));
             let call = PeerCall::Adopt { batch: id, texts };
             // A lost call is made good by the successor's own search.
-            drop(node.ask_peer(successor.address, &call, OWNER_SLACK).await);
+            drop(node.ask_peer(successor.address, &call, OWNER_CALL_SLACK).await);
         }
         Err(refusal) => {
             node.note("batch_not_handed_over", json!({ "request": id, "why": refusal.message }));
@@ -336,7 +341,8 @@
     batch: String,
     texts: Vec<(String, Progress)>,
 ) {
-    if node.batches.get(&batch).is_some() || !node.batches.taking.borrow_mut().insert(batch.clone())
+    if node.batches.get(&batch).is_some()
+        || !node.batches.takeovers.borrow_mut().insert(batch.clone())
     {
         return;
     }
@@ -345,6 +351,6 @@
         if let Err(refusal) = take_over(&node, &batch, texts).await {
             node.note("batch_untaken", json!({ "request": batch, "why": refusal.message }));
         }
-        node.batches.taking.borrow_mut().swap_remove(&batch);
+        node.batches.takeovers.borrow_mut().swap_remove(&batch);
     });
 }
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Keys of the evidence.
-const RECORDS: &str = "cm/q/";
+const RECORD_PREFIX: &str = "cm/q/";
 /// Keys of the trials.
 const TRIALS: &str = "cm/qt/";
 /// How long a trial is one node's: longer than a request runs. The key lapses then, so that another one
@@ -47,7 +47,7 @@
 }
 
 fn key(fingerprint: Fingerprint) -> String {
-    format!("{RECORDS}{fingerprint}")
+    format!("{RECORD_PREFIX}{fingerprint}")
 }
 
 /// Keeps the evidence until the process ends: writes what is new, reads what an earlier fleet has left,
@@ -74,7 +74,7 @@
 
 /// Reads the records of an earlier fleet and tells the others; returns whether they were there to read.
 async fn recall<P: Platform>(node: &Rc<Node<P>>) -> bool {
-    let Ok((items, _)) = feed::read_whole(node, RECORDS).await else { return false };
+    let Ok((items, _)) = feed::read_whole(node, RECORD_PREFIX).await else { return false };
     for item in &items {
         match postcard::from_bytes::<Record>(&item.value) {
             Ok(Record { evidence, fingerprint }) => {
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::platform::Platform;
 use catkinmast_dispatch::{ItemResult, NextItem};
-use placement::{OwnTargets, choose, move_slow_runs};
+use placement::{ModelTargets, choose, move_slow_runs};
 use score::start_scoring;
 use second::start_second_runs;
 use serde_json::json;
@@ -25,11 +25,11 @@
 
 /// How often waiting items are looked at again although nothing was heard: a target's rest ends,
 /// another owner's items leave a slot.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an item waits after a run of it failed.
-const FAILED_PAUSE_MS: u64 = 50;
+const FAILED_RETRY_PAUSE_MS: u64 = 50;
 /// How long an item waits after a target refused it for load.
-const FULL_PAUSE_MS: u64 = 20;
+const FULL_RETRY_PAUSE_MS: u64 = 20;
 
 /// Starts items as targets become free, until the process ends.
 pub(crate) async fn schedule<P: Platform>(node: Rc<Node<P>>) {
@@ -38,73 +38,73 @@
             node.work.notified().await;
         } else {
             // Either way the batches are looked at.
-            drop(timeout(LOOK_EVERY, node.work.notified()).await);
+            drop(timeout(SCHEDULE_INTERVAL, node.work.notified()).await);
         }
         if node.leaving.get() {
             continue;
         }
-        for held in node.batches.open().into_iter().chain(node.batches.standby.interim()) {
-            start_items(&node, &held);
-            move_slow_runs(&node, &held);
+        for local in node.batches.open().into_iter().chain(node.batches.standby.interim()) {
+            start_items(&node, &local);
+            move_slow_runs(&node, &local);
         }
         start_second_runs(&node);
     }
 }
 
-fn start_items<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
+fn start_items<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
     let now = clock::now();
-    let mut own = OwnTargets::default();
-    let given_up = held.borrow_mut().batch.expire(now);
+    let mut model_targets = ModelTargets::default();
+    let given_up = local.borrow_mut().batch.expire(now);
     if given_up > 0 {
-        let held = held.borrow();
-        node.note("items_given_up", json!({ "request": held.id, "items": given_up }));
-        held.finished.notify_one();
+        let local = local.borrow();
+        node.note("items_given_up", json!({ "request": local.id, "items": given_up }));
+        local.finished.notify_one();
     }
     loop {
-        let Some(next) = held.borrow_mut().batch.next_item(now) else { return };
+        let Some(next) = local.borrow_mut().batch.next_item(now) else { return };
         if next.progress.whole {
-            start_scoring(node, held, next);
+            start_scoring(node, local, next);
             continue;
         }
-        let Some(chosen) = choose(node, held, &next, &mut own) else {
-            held.borrow_mut().batch.put_back(next.index, now, next.progress);
+        let Some(chosen) = choose(node, local, &next, &mut model_targets) else {
+            local.borrow_mut().batch.put_back(next.index, now, next.progress);
             return;
         };
-        start_run(node, held, next, chosen);
+        start_run(node, local, next, chosen);
     }
 }
 
 fn start_run<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<LocalBatch>>,
+    local: &Rc<RefCell<LocalBatch>>,
     next: NextItem,
     chosen: ChosenTarget,
 ) {
-    let group = held.borrow().batch.submission().items[next.index].group.clone();
+    let group = local.borrow().batch.submission().items[next.index].group.clone();
     if let Some(group) = group {
-        held.borrow_mut().group_targets.insert(group, chosen.id.clone());
+        local.borrow_mut().group_targets.insert(group, chosen.id.clone());
     }
     let NextItem { index, progress } = next;
     let run_ms = {
-        let held = held.borrow();
-        let item = &held.batch.submission().items[index];
+        let local = local.borrow();
+        let item = &local.batch.submission().items[index];
         node.expected_run_ms(item, progress.last_event_id)
     };
     let in_flight = InFlight::begin_run(node, &chosen.id, clock::now().plus(run_ms));
     let progress = Rc::new(RefCell::new(progress));
     let target = chosen.id.clone();
     let shared = Rc::clone(&progress);
-    let run = run_item(Rc::clone(node), Rc::clone(held), index, shared, chosen, in_flight);
+    let run = run_item(Rc::clone(node), Rc::clone(local), index, shared, chosen, in_flight);
     let task = tokio::task::spawn_local(run).abort_handle();
-    let run = Run { began_at: clock::now(), progress, scoring: false, target, task };
-    held.borrow_mut().runs.insert(index, run);
+    let run = Run { started_at: clock::now(), progress, scoring: false, target, task };
+    local.borrow_mut().runs.insert(index, run);
 }
 
-fn finish<P: Platform>(node: &Node<P>, held: &RefCell<LocalBatch>, result: ItemResult) {
-    let mut held = held.borrow_mut();
+fn finish<P: Platform>(node: &Node<P>, local: &RefCell<LocalBatch>, result: ItemResult) {
+    let mut local = local.borrow_mut();
     let now = clock::now();
-    let ms = now.since_ms(held.accepted_at);
+    let ms = now.since_ms(local.accepted_at);
     node.metrics.item_seconds.observe(ms as f64 / 1_000.0);
-    held.batch.finished(now, result);
-    held.finished.notify_one();
+    local.batch.finished(now, result);
+    local.finished.notify_one();
 }
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -15,22 +15,22 @@
 use std::rc::Rc;
 
 /// A run stays where it is for this long: by then its target's pace is known.
-const MOVE_AFTER_MS: u64 = 300;
+const MOVE_MIN_AGE_MS: u64 = 300;
 /// A run moves from a target that takes at least this many tenths of the time of the free one; the
 /// way of a move costs about as much as one event.
-const MOVE_FROM_TENTHS: u64 = 18;
+const MOVE_MIN_RATIO_TENTHS: u64 = 18;
 /// A run that moves is taken for one that goes on for so long: those that are worth a move do.
-const MOVED_RUN_MS: u64 = 2_000;
+const MOVED_RUN_EXPECTED_MS: u64 = 2_000;
 /// Runs moved in one look. A target of eight slots that turns slow is emptied in one, and the
 /// moves of several do not hold up a small machine's other work for longer than an event.
-const MOVES_AT_ONCE: usize = 12;
+const MOVES_PER_PASS: usize = 12;
 
 /// The targets that are kept current for a batch's model, by service. They are worked out once in a
 /// look at a batch: worked out for each item, they took a third of an owner's processor time.
 #[derive(Debug, Default)]
-pub(super) struct OwnTargets(IndexMap<String, Option<IndexSet<String>>>);
+pub(super) struct ModelTargets(IndexMap<String, Option<IndexSet<String>>>);
 
-impl OwnTargets {
+impl ModelTargets {
     /// Returns the ids of a service's own targets; none where the batch names no model.
     fn of<P: Platform>(
         &mut self,
@@ -39,14 +39,14 @@
         submission: &Submission,
     ) -> Option<&IndexSet<String>> {
         if !self.0.contains_key(service) {
-            let own = submission.model.as_ref().map(|model| {
+            let model_targets = submission.model.as_ref().map(|model| {
                 let (targets, versions) = (node.targets.borrow(), node.versions.borrow());
                 let demand = node.demand.borrow();
                 let oldest = submission.oldest_version;
                 let ids = targets.for_model(service, model, oldest, &versions, &demand);
                 ids.into_iter().map(str::to_owned).collect()
             });
-            self.0.insert(service.to_owned(), own);
+            self.0.insert(service.to_owned(), model_targets);
         }
         self.0[service].as_ref()
     }
@@ -63,26 +63,26 @@
 /// A run is started at the free target as soon as it has stopped. Put back to wait for the next
 /// look, several runs left slow targets for one free slot, and all but one went back to where they
 /// had been: some moved every 300 ms and generated nothing.
-pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
-    if held.borrow().batch.has_waiting() {
+pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
+    if local.borrow().batch.has_waiting() {
         return;
     }
     let now = clock::now();
-    let mut own = OwnTargets::default();
-    let old: Vec<(usize, String)> = held
+    let mut model_targets = ModelTargets::default();
+    let old: Vec<(usize, String)> = local
         .borrow()
         .runs
         .iter()
-        .filter(|(_, run)| !run.scoring && now.since_ms(run.began_at) >= MOVE_AFTER_MS)
+        .filter(|(_, run)| !run.scoring && now.since_ms(run.started_at) >= MOVE_MIN_AGE_MS)
         .map(|(index, run)| (*index, run.target.clone()))
         .collect();
     let mut moves = 0;
     for (index, target) in old {
-        if moves >= MOVES_AT_ONCE {
+        if moves >= MOVES_PER_PASS {
             return;
         }
-        if let Some(faster) = faster_target(node, held, index, &target, &mut own) {
-            move_run(node, held, index, &target, faster);
+        if let Some(faster) = faster_target(node, local, index, &target, &mut model_targets) {
+            move_run(node, local, index, &target, faster);
             moves += 1;
         }
     }
@@ -90,95 +90,98 @@
 
 fn move_run<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<LocalBatch>>,
+    local: &Rc<RefCell<LocalBatch>>,
     index: usize,
     from: &str,
     faster: ChosenTarget,
 ) {
     let next = {
-        let mut held = held.borrow_mut();
-        let item = held.batch.submission().items[index].id.clone();
-        let run = held.runs.get(&index);
+        let mut local = local.borrow_mut();
+        let item = local.batch.submission().items[index].id.clone();
+        let run = local.runs.get(&index);
         let last_event = run.and_then(|run| run.progress.borrow().last_event_id);
-        let ms = run.map(|run| clock::now().since_ms(run.began_at));
+        let ms = run.map(|run| clock::now().since_ms(run.started_at));
         let line = json!({
-            "request": item, "batch": held.id, "from": from, "to": faster.id,
+            "request": item, "batch": local.id, "from": from, "to": faster.id,
             "last_event": last_event, "ms": ms,
         });
         node.note("item_moved", line);
-        held.stop_run(index);
-        held.batch.take_item(index)
+        local.stop_run(index);
+        local.batch.take_item(index)
     };
     count(&node.metrics.item_runs, "moved");
     if let Some(next) = next {
-        start_run(node, held, next, faster);
+        start_run(node, local, next, faster);
     }
 }
 
 /// Returns a free target that is worth the move of a run.
 fn faster_target<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     index: usize,
     target: &str,
-    own: &mut OwnTargets,
+    model_targets: &mut ModelTargets,
 ) -> Option<ChosenTarget> {
     // Most runs are at targets like any other; a free one is looked for only for the rest.
-    let (here_ms, fastest_ms) = {
+    let (current_ms, fastest_ms) = {
         let load = node.load.borrow();
-        (load.latency_ms(target), own.fastest_ms(&load))
+        (load.latency_ms(target), model_targets.fastest_ms(&load))
     };
-    if here_ms * 10 < fastest_ms * MOVE_FROM_TENTHS {
+    if current_ms * 10 < fastest_ms * MOVE_MIN_RATIO_TENTHS {
         return None;
     }
-    let (id, address) = pick_free(node, held, index, MOVED_RUN_MS, own)?;
-    let there_ms = node.load.borrow().latency_ms(&id);
-    (there_ms > 0 && here_ms * 10 >= there_ms * MOVE_FROM_TENTHS)
+    let (id, address) = pick_free(node, local, index, MOVED_RUN_EXPECTED_MS, model_targets)?;
+    let candidate_ms = node.load.borrow().latency_ms(&id);
+    (candidate_ms > 0 && current_ms * 10 >= candidate_ms * MOVE_MIN_RATIO_TENTHS)
         .then_some(ChosenTarget { address, id })
 }
 
 pub(super) fn choose<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     next: &NextItem,
-    own: &mut OwnTargets,
+    model_targets: &mut ModelTargets,
 ) -> Option<ChosenTarget> {
     let run_ms = {
-        let held = held.borrow();
-        let item = &held.batch.submission().items[next.index];
+        let local = local.borrow();
+        let item = &local.batch.submission().items[next.index];
         node.expected_run_ms(item, next.progress.last_event_id)
     };
-    pick_free(node, held, next.index, run_ms, own).map(|(id, address)| ChosenTarget { address, id })
+    pick_free(node, local, next.index, run_ms, model_targets)
+        .map(|(id, address)| ChosenTarget { address, id })
 }
 
 /// Chooses a target with a free slot whose weights are new enough.
 fn pick_free<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     index: usize,
     run_ms: u64,
-    own: &mut OwnTargets,
+    model_targets: &mut ModelTargets,
 ) -> Option<(String, SocketAddr)> {
-    let held = held.borrow();
-    let submission = held.batch.submission();
+    let local = local.borrow();
+    let submission = local.batch.submission();
     let item = &submission.items[index];
     let document = node.document()?;
-    let host = held.origin().host.as_str();
+    let host = local.origin().host.as_str();
     let route = document.route(host, &item.path)?;
     let service = route.service(xxhash_rust::xxh3::xxh3_64(item.id.as_bytes()))?;
-    let preferred = item.group.as_ref().and_then(|group| held.group_targets.get(group));
+    let preferred = item.group.as_ref().and_then(|group| local.group_targets.get(group));
     let draw = node.draw();
     let oldest = submission.oldest_version;
-    let own = own.of(node, service, submission);
+    let model_targets = model_targets.of(node, service, submission);
     let fits = |entry: &TargetEntry| {
         submission.model.as_ref().is_none_or(|model| entry.serves(model, oldest))
     };
     node.pick(service, fits, |load, now, picks| {
-        let is_own = |pick: &&Candidate<'_>| own.is_none_or(|ids| ids.contains(pick.id));
-        let own_picks: Vec<Candidate<'_>> = picks.iter().filter(is_own).copied().collect();
+        let is_model_target =
+            |pick: &&Candidate<'_>| model_targets.is_none_or(|ids| ids.contains(pick.id));
+        let model_picks: Vec<Candidate<'_>> =
+            picks.iter().filter(is_model_target).copied().collect();
         // Where all of its own fail or refuse, the others serve rather than none.
-        let all_rest = own_picks.iter().all(|pick| load.rests(now, pick.id));
-        let from = if all_rest { picks } else { &own_picks };
+        let all_back_off = model_picks.iter().all(|pick| load.rests(now, pick.id));
+        let from = if all_back_off { picks } else { &model_picks };
         let preferred = preferred.map(String::as_str);
         load.choose_free(now, from, preferred, run_ms, draw).map(|pick| pick.id.to_owned())
     })
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -16,56 +16,56 @@
 use tokio::time::sleep;
 
 /// How long one scoring call may take.
-const SCORE_MAX_MS: u64 = 3_000;
-/// Pause between two tries of a scoring call; doubled up to [`SCORE_PAUSE_MAX_MS`].
-const SCORE_PAUSE_MS: u64 = 30;
-const SCORE_PAUSE_MAX_MS: u64 = 500;
+const SCORE_TIMEOUT_MS: u64 = 3_000;
+/// Pause between two tries of a scoring call; doubled up to [`SCORE_RETRY_PAUSE_MAX_MS`].
+const SCORE_RETRY_PAUSE_MS: u64 = 30;
+const SCORE_RETRY_PAUSE_MAX_MS: u64 = 500;
 /// Pause of a scoring call that is not made because targets have ended under it.
-const SCORE_BARRED_PAUSE_MS: u64 = 1_000;
+const SCORE_BLOCKED_PAUSE_MS: u64 = 1_000;
 
 /// Scores an item whose whole text an earlier run has left.
 pub(super) fn start_scoring<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &Rc<RefCell<LocalBatch>>,
+    local: &Rc<RefCell<LocalBatch>>,
     next: NextItem,
 ) {
     let NextItem { index, progress } = next;
     let text = progress.clone();
-    let (node, shared) = (Rc::clone(node), Rc::clone(held));
+    let (node, shared) = (Rc::clone(node), Rc::clone(local));
     let task = tokio::task::spawn_local(async move {
         let item = shared.borrow().batch.submission().items[index].clone();
         score_item(&node, &shared, index, &item, text).await;
         shared.borrow_mut().runs.swap_remove(&index);
     });
     let run = Run {
-        began_at: clock::now(),
+        started_at: clock::now(),
         progress: Rc::new(RefCell::new(progress)),
         scoring: true,
         target: String::new(),
         task: task.abort_handle(),
     };
-    held.borrow_mut().runs.insert(index, run);
+    local.borrow_mut().runs.insert(index, run);
 }
 
 /// Scores an item whose text is whole, and takes its result.
 pub(super) async fn score_item<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     index: usize,
     item: &Item,
     progress: Progress,
 ) {
     let score = match &item.reward {
         None => None,
-        Some(reward) => match score(node, held, reward).await {
+        Some(reward) => match score(node, local, reward).await {
             Some(score) => Some(score),
-            None => return finish(node, held, ItemResult::errored(&*item.id)),
+            None => return finish(node, local, ItemResult::errored(&*item.id)),
         },
     };
-    let single = held.borrow().batch.terms().single_version;
+    let single = local.borrow().batch.terms().single_version;
     if single && progress.versions.len() > 1 {
         let from = clock::now();
-        held.borrow_mut().batch.put_back(index, from, Progress::default());
+        local.borrow_mut().batch.put_back(index, from, Progress::default());
         return;
     }
     let result = ItemResult {
@@ -75,19 +75,19 @@
         text: progress.text,
         versions: progress.versions,
     };
-    finish(node, held, result);
+    finish(node, local, result);
 }
 
 /// Repeats a scoring call under the same id until it is answered; none when it has failed as
 /// often as it may.
 async fn score<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     reward: &Reward,
 ) -> Option<String> {
-    let attempts = held.borrow().batch.terms().attempts;
+    let attempts = local.borrow().batch.terms().attempts;
     let mut failures = 0;
-    let mut pause_ms = SCORE_PAUSE_MS;
+    let mut pause_ms = SCORE_RETRY_PAUSE_MS;
     let mut tried: Vec<String> = Vec::new();
     loop {
         let chosen = node.document().and_then(|document| {
@@ -113,7 +113,7 @@
                 }
                 Err(failure) if failure.is_blocked() => {
                     // The text is whole: it waits for its score until its batch is over.
-                    pause_ms = SCORE_BARRED_PAUSE_MS;
+                    pause_ms = SCORE_BLOCKED_PAUSE_MS;
                 }
                 // Its line is written by the attempt.
                 Err(_) => {}
@@ -121,7 +121,7 @@
             tried = vec![chosen.id];
         }
         sleep(Duration::from_millis(pause_ms)).await;
-        pause_ms = (pause_ms * 2).min(SCORE_PAUSE_MAX_MS);
+        pause_ms = (pause_ms * 2).min(SCORE_RETRY_PAUSE_MAX_MS);
     }
 }
 
@@ -132,7 +132,7 @@
     }
     OutgoingRequest {
         body: reward.body.clone().into(),
-        deadline_at: clock::now().plus(SCORE_MAX_MS),
+        deadline_at: clock::now().plus(SCORE_TIMEOUT_MS),
         headers,
         last_event_id: None,
         method: Method::POST,
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -20,14 +20,14 @@
 use tokio::task::AbortHandle;
 
 /// How long a second run may take, and how long its text is kept: two steps of a trainer.
-const SECOND_MAX_MS: u64 = 16_000;
+const SECOND_RUN_MAX_MS: u64 = 16_000;
 /// Second runs at once, for all batches of this node: an eighth of two steps of a hundred items. Each
 /// adds a hundredth to the time of the others at its target.
-const SECONDS_AT_ONCE: usize = 24;
+const SECOND_RUNS_MAX: usize = 24;
 
 /// The part of a target's slots, in percent, that may be taken when a second run starts there: the
 /// rest is for items that trainers wait for now, of which a quarter of a step starts at each target.
-const SECOND_SLOTS_PERCENT: u32 = 75;
+const SECOND_RUN_SLOTS_PERCENT: u32 = 75;
 
 /// A second run.
 #[derive(Debug)]
@@ -50,25 +50,25 @@
 pub(crate) struct SecondRuns(RefCell<IndexMap<String, SecondRun>>);
 
 impl SecondRuns {
-    /// Stops the runs for which `is_needless` holds, and forgets their texts.
-    pub(crate) fn stop_where(&self, is_needless: impl Fn(&SecondRun) -> bool) {
+    /// Stops the runs for which `is_obsolete` holds, and forgets their texts.
+    pub(crate) fn stop_where(&self, is_obsolete: impl Fn(&SecondRun) -> bool) {
         self.0.borrow_mut().retain(|_, second| {
-            let needless = is_needless(second);
-            if needless {
+            let obsolete = is_obsolete(second);
+            if obsolete {
                 second.task.abort();
             }
-            !needless
+            !obsolete
         });
     }
 
     /// Stops an item's second run for a workspace and returns its text.
     pub(crate) fn take(&self, item: &str, workspace: Option<&str>) -> Option<Progress> {
-        let is_theirs = |second: &SecondRun| second.workspace.as_deref() == workspace;
-        let mut held = self.0.borrow_mut();
-        if !held.get(item).is_some_and(is_theirs) {
+        let same_workspace = |second: &SecondRun| second.workspace.as_deref() == workspace;
+        let mut runs = self.0.borrow_mut();
+        if !runs.get(item).is_some_and(same_workspace) {
             return None;
         }
-        let second = held.swap_remove(item)?;
+        let second = runs.swap_remove(item)?;
         second.task.abort();
         let progress = second.progress.borrow().clone();
         progress.is_begun().then_some(progress)
@@ -83,9 +83,9 @@
     }
 
     /// Returns what is held of an item's text, to go on from.
-    fn text(&self, item: &str) -> Progress {
-        let held = self.0.borrow();
-        held.get(item).map(|second| second.progress.borrow().clone()).unwrap_or_default()
+    fn output(&self, item: &str) -> Progress {
+        let runs = self.0.borrow();
+        runs.get(item).map(|second| second.progress.borrow().clone()).unwrap_or_default()
     }
 }
 
@@ -93,52 +93,52 @@
 pub(super) fn start_second_runs<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
     let open = node.batches.open();
-    for held in &open {
-        let held = held.borrow();
-        let taken = held.batch.taken_groups();
+    for local in &open {
+        let local = local.borrow();
+        let taken = local.batch.taken_groups();
         let is_taken =
-            |item: &str| held.batch.item(item).is_some_and(|item| taken.contains(group_of(item)));
+            |item: &str| local.batch.item(item).is_some_and(|item| taken.contains(group_of(item)));
         node.batches
             .second_runs
-            .stop_where(|second| second.batch == held.id && is_taken(&second.item));
+            .stop_where(|second| second.batch == local.id && is_taken(&second.item));
     }
     node.batches.second_runs.stop_where(|second| second.stop_by <= now);
-    for held in open {
-        let model = held.borrow().batch.submission().model.clone();
+    for local in open {
+        let model = local.borrow().batch.submission().model.clone();
         let Some(model) = model else { continue };
-        let oldest = held.borrow().batch.submission().oldest_version;
+        let oldest = local.borrow().batch.submission().oldest_version;
         let next_oldest = node.batches.lookahead.borrow().next_oldest(&model, oldest);
-        for index in to_redo(&held.borrow(), now, next_oldest) {
-            if node.batches.second_runs.running_count() >= SECONDS_AT_ONCE {
+        for index in items_worth_rerunning(&local.borrow(), now, next_oldest) {
+            if node.batches.second_runs.running_count() >= SECOND_RUNS_MAX {
                 return;
             }
-            start(node, &held, index, next_oldest);
+            start(node, &local, index, next_oldest);
         }
     }
 }
 
-fn to_redo(held: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
+fn items_worth_rerunning(local: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
     let text_version = |index: usize| {
-        let run = held.runs.get(&index)?;
+        let run = local.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
     };
-    held.batch.worth_redoing(now, next_oldest, text_version)
+    local.batch.worth_redoing(now, next_oldest, text_version)
 }
 
 fn start<P: Platform>(
     node: &Rc<Node<P>>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     index: usize,
     next_oldest: u64,
 ) {
     let (item, batch, terms, first_target) = {
-        let held = held.borrow();
-        let item = held.batch.submission().items[index].clone();
-        let terms = RunTerms { oldest_version: next_oldest, ..RunTerms::of(&held) };
-        let target = held.runs.get(&index).map(|run| run.target.clone());
-        (item, held.id.clone(), terms, target)
+        let local = local.borrow();
+        let item = local.batch.submission().items[index].clone();
+        let terms = RunTerms { oldest_version: next_oldest, ..RunTerms::of(&local) };
+        let target = local.runs.get(&index).map(|run| run.target.clone());
+        (item, local.id.clone(), terms, target)
     };
-    let progress = node.batches.second_runs.text(&item.id);
+    let progress = node.batches.second_runs.output(&item.id);
     if node.batches.second_runs.is_running(&item.id) || progress.whole {
         return;
     }
@@ -158,33 +158,33 @@
             "oldest_version": next_oldest, "last_event": progress.last_event_id,
         }),
     );
-    let stop_by = clock::now().plus(SECOND_MAX_MS);
+    let stop_by = clock::now().plus(SECOND_RUN_MAX_MS);
     let terms = RunTerms { give_up_at: stop_by, ..terms };
     let progress = Rc::new(RefCell::new(progress));
     let running = Rc::new(Cell::new(true));
     let in_flight = InFlight::begin_run(node, &chosen.id, clock::now().plus(run_ms));
-    let (node_too, progress_too, running_too) =
+    let (task_node, task_progress, task_running) =
         (Rc::clone(node), Rc::clone(&progress), Rc::clone(&running));
     let id = item.id.clone();
-    let (batch_too, target) = (batch.clone(), chosen.id.clone());
+    let (task_batch, target) = (batch.clone(), chosen.id.clone());
     let task = tokio::task::spawn_local(async move {
-        let began_at = clock::now();
+        let started_at = clock::now();
         let gap = Cell::new(0);
-        let end = run(&node_too, &terms, &item, &progress_too, &chosen, &gap).await;
+        let end = run(&task_node, &terms, &item, &task_progress, &chosen, &gap).await;
         let (outcome, why) = match &end {
             RunEnd::Broken { outcome, why } => (*outcome, why.as_str()),
             _ => (CallOutcome::Cancelled, ""),
         };
         in_flight.end(outcome);
-        running_too.set(false);
-        count(&node_too.metrics.item_runs, "second");
-        let text = progress_too.borrow();
-        node_too.note(
+        task_running.set(false);
+        count(&task_node.metrics.item_runs, "second");
+        let output = task_progress.borrow();
+        task_node.note(
             "second_run",
             json!({
-                "request": item.id, "batch": batch_too, "target": chosen.id, "why": why,
-                "whole": text.whole, "versions": text.versions, "last_event": text.last_event_id,
-                "oldest_version": terms.oldest_version, "ms": clock::now().since_ms(began_at),
+                "request": item.id, "batch": task_batch, "target": chosen.id, "why": why,
+                "whole": output.whole, "versions": output.versions, "last_event": output.last_event_id,
+                "oldest_version": terms.oldest_version, "ms": clock::now().since_ms(started_at),
             }),
         );
     });
@@ -196,14 +196,14 @@
         stop_by,
         target,
         task: task.abort_handle(),
-        workspace: held.borrow().origin().workspace.clone(),
+        workspace: local.borrow().origin().workspace.clone(),
     };
     node.batches.second_runs.0.borrow_mut().insert(id, second);
 }
 
 /// Leaves a part of a target's slots to the runs that trainers wait for now.
-fn leave_room<'a>(pick: &Candidate<'a>) -> Candidate<'a> {
-    Candidate { slots: pick.slots * SECOND_SLOTS_PERCENT / 100, ..*pick }
+fn reserve_slots<'a>(pick: &Candidate<'a>) -> Candidate<'a> {
+    Candidate { slots: pick.slots * SECOND_RUN_SLOTS_PERCENT / 100, ..*pick }
 }
 
 /// Chooses a free target whose weights the next batch accepts, other than the first run's.
@@ -225,7 +225,7 @@
     let draw = node.draw();
     let picked = node.pick(service, fits, |load, now, picks| {
         let others: Vec<Candidate<'_>> =
-            picks.iter().filter(|pick| Some(pick.id) != first_target).map(leave_room).collect();
+            picks.iter().filter(|pick| Some(pick.id) != first_target).map(reserve_slots).collect();
         load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
     picked.map(|(id, address)| ChosenTarget { address, id })
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -1,7 +1,7 @@
 //! One run of an item at a target, and what its stream says.
 
 use super::score::score_item;
-use super::{FAILED_PAUSE_MS, FULL_PAUSE_MS, finish};
+use super::{FAILED_RETRY_PAUSE_MS, FULL_RETRY_PAUSE_MS, finish};
 use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes::StreamRun;
@@ -24,16 +24,16 @@
 
 /// The longest wait for a run's first event: a prompt is read in some milliseconds, and a target
 /// that loads refuses at once.
-const FIRST_EVENT_MAX: Duration = Duration::from_millis(1_200);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// The longest silence within a stream. Over a day of 3,000 runs, with targets four times slower
 /// among them, the longest silence of a live target was 266 ms. A text that moves for nothing costs
 /// a prompt that is read again.
-const SILENCE_MAX: Duration = Duration::from_millis(700);
+const EVENT_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a run may take that its caller has not bounded.
-const RUN_MAX_MS: u64 = 30_000;
+const UNBOUNDED_RUN_MS: u64 = 30_000;
 /// How often an item is looked at again that is sent to no target because engines have ended under it.
 /// Its time to be given up, or word that an engine has survived it, comes at any moment.
-const BARRED_PAUSE_MS: u64 = 1_000;
+const BLOCKED_PAUSE_MS: u64 = 1_000;
 
 /// What a run is made under.
 #[derive(Clone, Debug)]
@@ -49,14 +49,14 @@
 
 impl RunTerms {
     /// Returns those of a batch's own runs.
-    pub(super) fn of(held: &LocalBatch) -> Self {
-        let submission = held.batch.submission();
+    pub(super) fn of(local: &LocalBatch) -> Self {
+        let submission = local.batch.submission();
         Self {
-            give_up_at: held.batch.terms().give_up_at,
-            host: held.origin().host.clone(),
+            give_up_at: local.batch.terms().give_up_at,
+            host: local.origin().host.clone(),
             model: submission.model.clone(),
             oldest_version: submission.oldest_version,
-            workspace: held.origin().workspace.clone(),
+            workspace: local.origin().workspace.clone(),
         }
     }
 }
@@ -65,44 +65,44 @@
 #[derive(Debug)]
 pub(super) enum RunEnd {
     /// It was not sent: engines have ended under it.
-    Barred { why: String },
+    Blocked { why: String },
     /// The target's answer says that the item failed.
     Failed,
     /// The item can never be done.
-    Impossible,
+    Unprocessable,
     /// It broke off; another target can go on from the text so far.
     Broken { outcome: CallOutcome, why: String },
     /// The text is whole.
-    Whole,
+    Complete,
 }
 
 pub(super) async fn run_item<P: Platform>(
     node: Rc<Node<P>>,
-    held: Rc<RefCell<LocalBatch>>,
+    local: Rc<RefCell<LocalBatch>>,
     index: usize,
     progress: Rc<RefCell<Progress>>,
     chosen: ChosenTarget,
     in_flight: InFlight<P>,
 ) {
-    let began_at = clock::now();
+    let started_at = clock::now();
     let resumed_after = progress.borrow().last_event_id;
-    let item = held.borrow().batch.submission().items[index].clone();
-    let terms = RunTerms::of(&held.borrow());
+    let item = local.borrow().batch.submission().items[index].clone();
+    let terms = RunTerms::of(&local.borrow());
     let longest_gap_ms = Cell::new(0);
     let end = run(&node, &terms, &item, &progress, &chosen, &longest_gap_ms).await;
     let text = progress.borrow().clone();
     let outcome = match &end {
-        RunEnd::Barred { .. } | RunEnd::Whole | RunEnd::Failed | RunEnd::Impossible => {
+        RunEnd::Blocked { .. } | RunEnd::Complete | RunEnd::Failed | RunEnd::Unprocessable => {
             CallOutcome::Cancelled
         }
         RunEnd::Broken { outcome, .. } => *outcome,
     };
     in_flight.end(outcome);
     let (label, why) = match &end {
-        RunEnd::Whole => ("whole", ""),
+        RunEnd::Complete => ("whole", ""),
         RunEnd::Failed => ("failed", ""),
-        RunEnd::Impossible => ("impossible", ""),
-        RunEnd::Barred { why } => ("barred", why.as_str()),
+        RunEnd::Unprocessable => ("impossible", ""),
+        RunEnd::Blocked { why } => ("barred", why.as_str()),
         RunEnd::Broken { why, .. } => ("broken", why.as_str()),
     };
     count(&node.metrics.item_runs, label);
@@ -111,44 +111,47 @@
     node.note(
         "item_run",
         json!({
-            "request": item.id, "batch": held.borrow().id, "target": chosen.id, "outcome": label,
+            "request": item.id, "batch": local.borrow().id, "target": chosen.id, "outcome": label,
             "why": why, "versions": text.versions, "resumed_after": resumed_after,
             "last_event": text.last_event_id, "longest_gap_ms": longest_gap_ms.get(),
-            "ms": clock::now().since_ms(began_at), "fingerprint": fingerprint,
+            "ms": clock::now().since_ms(started_at), "fingerprint": fingerprint,
         }),
     );
     match end {
-        RunEnd::Whole => {
+        RunEnd::Complete => {
             if resumed_after.is_none() {
-                let run_ms = clock::now().since_ms(began_at);
+                let run_ms = clock::now().since_ms(started_at);
                 node.lengths.borrow_mut().finished(item.expected_tokens(), run_ms);
             }
-            if let Some(run) = held.borrow_mut().runs.get_mut(&index) {
+            if let Some(run) = local.borrow_mut().runs.get_mut(&index) {
                 run.scoring = true;
             }
-            score_item(&node, &held, index, &item, text).await;
+            score_item(&node, &local, index, &item, text).await;
         }
-        RunEnd::Barred { .. } => {
-            let from = clock::now().plus(BARRED_PAUSE_MS);
-            held.borrow_mut().batch.put_back(index, from, text);
+        RunEnd::Blocked { .. } => {
+            let from = clock::now().plus(BLOCKED_PAUSE_MS);
+            local.borrow_mut().batch.put_back(index, from, text);
         }
         RunEnd::Broken { outcome, .. } => {
-            let pause_ms =
-                if outcome == CallOutcome::Full { FULL_PAUSE_MS } else { FAILED_PAUSE_MS };
+            let pause_ms = if outcome == CallOutcome::Full {
+                FULL_RETRY_PAUSE_MS
+            } else {
+                FAILED_RETRY_PAUSE_MS
+            };
             let from = clock::now().plus(pause_ms);
-            held.borrow_mut().batch.put_back(index, from, text);
+            local.borrow_mut().batch.put_back(index, from, text);
         }
-        RunEnd::Impossible => finish(&node, &held, ItemResult::errored(item.id)),
+        RunEnd::Unprocessable => finish(&node, &local, ItemResult::errored(item.id)),
         RunEnd::Failed => {
-            if held.borrow_mut().batch.failed(index) {
-                finish(&node, &held, ItemResult::errored(item.id));
+            if local.borrow_mut().batch.failed(index) {
+                finish(&node, &local, ItemResult::errored(item.id));
             } else {
-                let from = clock::now().plus(FAILED_PAUSE_MS);
-                held.borrow_mut().batch.put_back(index, from, Progress::default());
+                let from = clock::now().plus(FAILED_RETRY_PAUSE_MS);
+                local.borrow_mut().batch.put_back(index, from, Progress::default());
             }
         }
     }
-    held.borrow_mut().runs.swap_remove(&index);
+    local.borrow_mut().runs.swap_remove(&index);
     node.work.notify_one();
 }
 
@@ -173,7 +176,7 @@
     headers.remove(http::header::CONTENT_LENGTH);
     OutgoingRequest {
         body: item.body.clone().into(),
-        deadline_at: terms.give_up_at.min(clock::now().plus(RUN_MAX_MS)),
+        deadline_at: terms.give_up_at.min(clock::now().plus(UNBOUNDED_RUN_MS)),
         headers,
         last_event_id: after,
         method: Method::POST,
@@ -199,9 +202,11 @@
     }
     let sent = StreamRun::begin(chosen.clone(), request.clone());
     let broken = |why: &str, outcome| RunEnd::Broken { outcome, why: why.to_owned() };
-    let opened = match timeout(FIRST_EVENT_MAX, forward::open(node, chosen, &request)).await {
+    let opened = match timeout(FIRST_EVENT_TIMEOUT, forward::open(node, chosen, &request)).await {
         Ok(Ok(opened)) => opened,
-        Ok(Err(failure)) if failure.is_blocked() => return RunEnd::Barred { why: failure.message },
+        Ok(Err(failure)) if failure.is_blocked() => {
+            return RunEnd::Blocked { why: failure.message };
+        }
         Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
         Err(_) => return broken("no head in time", CallOutcome::Failed),
     };
@@ -218,7 +223,7 @@
         return broken(&refusal.message, CallOutcome::Full);
     }
     match parts.status {
-        StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
+        StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Unprocessable,
         StatusCode::INTERNAL_SERVER_ERROR => {
             if crate::pool::read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.is_ok() {
                 node.pool.release(connection, &parts.headers);
@@ -249,21 +254,21 @@
             node.pool.release(connection, &parts.headers);
             stream.progress.borrow_mut().whole = true;
             sent.completed(node);
-            RunEnd::Whole
+            RunEnd::Complete
         }
-        Err(ReadEnd::BrokeOff(why)) => {
+        Err(ReadError::Disconnected(why)) => {
             sent.connection_broke(node);
             broken(&why, CallOutcome::Failed)
         }
-        Err(ReadEnd::Other(why)) => broken(&why, CallOutcome::Failed),
+        Err(ReadError::Other(why)) => broken(&why, CallOutcome::Failed),
     }
 }
 
 /// Why a stream was not read to its end.
 #[derive(Debug)]
-enum ReadEnd {
+enum ReadError {
     /// The connection broke.
-    BrokeOff(String),
+    Disconnected(String),
     /// Silence, or events that cannot be used.
     Other(String),
 }
@@ -285,28 +290,28 @@
         node: &Node<P>,
         chosen: &ChosenTarget,
         sent: &StreamRun,
-    ) -> Result<(), ReadEnd> {
+    ) -> Result<(), ReadError> {
         let mut events = EventReader::default();
-        let mut max = FIRST_EVENT_MAX;
+        let mut max = FIRST_EVENT_TIMEOUT;
         let mut last_at = clock::now();
         let mut first = true;
         loop {
             let frame = match timeout(max, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(error))) => return Err(ReadEnd::BrokeOff(error.to_string())),
+                Ok(Some(Err(error))) => return Err(ReadError::Disconnected(error.to_string())),
                 Ok(None) if events.is_between_events() => return Ok(()),
                 Ok(None) => {
                     let why = "the stream ended within an event".to_owned();
-                    return Err(ReadEnd::BrokeOff(why));
+                    return Err(ReadError::Disconnected(why));
                 }
                 Err(_) => {
-                    return Err(ReadEnd::Other(format!("silent for {} ms", max.as_millis())));
+                    return Err(ReadError::Other(format!("silent for {} ms", max.as_millis())));
                 }
             };
             let Some(data) = frame.data_ref() else { continue };
             sent.received();
             for event in events.read(data) {
-                self.take::<P>(node, chosen, &event).map_err(ReadEnd::Other)?;
+                self.apply_event::<P>(node, chosen, &event).map_err(ReadError::Other)?;
             }
             let now = clock::now();
             if !first {
@@ -316,11 +321,11 @@
             }
             first = false;
             last_at = now;
-            max = SILENCE_MAX;
+            max = EVENT_TIMEOUT;
         }
     }
 
-    fn take<P: Platform>(
+    fn apply_event<P: Platform>(
         &mut self,
         node: &Node<P>,
         chosen: &ChosenTarget,
