--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::access::{self, Refusal};
 use crate::batches::{self, Acceptance, Lookup, Origin};
-use crate::caller::{Answer, ErrorAnswer, RETRY_AFTER_MS, ended, host, plain};
+use crate::caller::{Answer, ErrorAnswer, RETRY_AFTER_MS, end_with_error, host, json_answer};
 use crate::clock;
 use crate::metrics::count;
 use crate::node::Node;
@@ -21,7 +21,7 @@
     headers: &HeaderMap,
     call: BatchCall,
 ) -> Answer<P> {
-    let began_at = clock::now();
+    let started_at = clock::now();
     let scope = match node.document() {
         Some(document) => access::scope(node, &document, host(headers), headers),
         None => Err(Refusal::Unsure("no configuration yet".to_owned())),
@@ -30,46 +30,47 @@
         Ok(scope) => scope,
         Err(refusal) => {
             let id = P::caller_terms(headers).request_id;
-            return ended(node, id.as_deref(), None, &ErrorAnswer::of(refusal));
+            return end_with_error(node, id.as_deref(), None, &ErrorAnswer::of(refusal));
         }
     };
-    let (batch, what, result) = match call {
+    let (batch, call_name, result) = match call {
         BatchCall::Read { after, batch, wait_ms } => {
             let found = batches::read(node, &batch, &scope, after, wait_ms).await;
-            let page =
-                map(found, |(total, results)| P::page(total, after + results.len(), &results));
+            let page = map_found(found, |(total, results)| {
+                P::page(total, after + results.len(), &results)
+            });
             (batch, "read", page)
         }
         BatchCall::ItemBody { batch, item } => {
             let found = batches::item_body(node, &batch, &scope, &item).await;
-            (batch, "item_body", map(found, Bytes::from))
+            (batch, "item_body", map_found(found, Bytes::from))
         }
         BatchCall::End { batch } => {
             let found = batches::end(node, &batch, &scope).await;
-            (batch, "end", map(found, |()| Bytes::from_static(b"{}")))
+            (batch, "end", map_found(found, |()| Bytes::from_static(b"{}")))
         }
     };
     match result {
         Lookup::Found(body) => {
             count(&node.metrics.answers, "batch_call");
-            plain(StatusCode::OK, body)
+            json_answer(StatusCode::OK, body)
         }
         Lookup::Missing => {
-            node.note("batch_call_missing", json!({ "request": batch, "call": what }));
+            node.note("batch_call_missing", json!({ "request": batch, "call": call_name }));
             ErrorAnswer::new(StatusCode::NOT_FOUND, "no such batch or item").answer()
         }
         Lookup::Unavailable(why) => {
-            let ms = clock::now().since_ms(began_at);
+            let ms = clock::now().since_ms(started_at);
             node.note(
                 "batch_call_unsure",
-                json!({ "request": batch, "call": what, "why": why, "ms": ms }),
+                json!({ "request": batch, "call": call_name, "why": why, "ms": ms }),
             );
             ErrorAnswer::not_run(why, RETRY_AFTER_MS).answer()
         }
     }
 }
 
-fn map<T, U>(found: Lookup<T>, change: impl FnOnce(T) -> U) -> Lookup<U> {
+fn map_found<T, U>(found: Lookup<T>, change: impl FnOnce(T) -> U) -> Lookup<U> {
     match found {
         Lookup::Found(found) => Lookup::Found(change(found)),
         Lookup::Missing => Lookup::Missing,
@@ -85,22 +86,22 @@
     id: Option<String>,
     route: &Route,
 ) -> Answer<P> {
-    let began_at = clock::now();
+    let started_at = clock::now();
     let fits = |id: &String| {
         !id.is_empty()
             && id.len() <= 100
             && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
     let Some(id) = id.filter(fits) else {
-        let ending =
+        let error_answer =
             ErrorAnswer::new(StatusCode::BAD_REQUEST, "a batch submission needs a plain id");
-        return ended(node, None, Some(route), &ending);
+        return end_with_error(node, None, Some(route), &error_answer);
     };
     let mut submission = match P::submission(&body) {
         Ok(submission) => submission,
         Err(error) => {
-            let ending = ErrorAnswer::new(StatusCode::BAD_REQUEST, error.to_string());
-            return ended(node, Some(&id), Some(route), &ending);
+            let error_answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, error.to_string());
+            return end_with_error(node, Some(&id), Some(route), &error_answer);
         }
     };
     drop(body);
@@ -112,23 +113,23 @@
     }
     match batches::submit(node, &id, origin, submission).await {
         Acceptance::Accepted => {
-            let ms = clock::now().since_ms(began_at);
+            let ms = clock::now().since_ms(started_at);
             node.note("batch_accepted", json!({ "request": id, "route": route.name, "ms": ms }));
             count(&node.metrics.answers, "batch_accepted");
-            plain(StatusCode::ACCEPTED, Bytes::from_static(b"{}"))
+            json_answer(StatusCode::ACCEPTED, Bytes::from_static(b"{}"))
         }
         Acceptance::IdConflict => {
             let message = format!("the id {id} is taken");
-            let ending = ErrorAnswer::new(StatusCode::CONFLICT, message);
-            ended(node, Some(&id), Some(route), &ending)
+            let error_answer = ErrorAnswer::new(StatusCode::CONFLICT, message);
+            end_with_error(node, Some(&id), Some(route), &error_answer)
         }
         Acceptance::Unknown(refusal) => {
-            let ending = if refusal.verdict == Verdict::NotRun {
+            let error_answer = if refusal.verdict == Verdict::NotRun {
                 ErrorAnswer::not_run(refusal.message, RETRY_AFTER_MS)
             } else {
                 ErrorAnswer::new(StatusCode::GATEWAY_TIMEOUT, refusal.message)
             };
-            ended(node, Some(&id), Some(route), &ending)
+            end_with_error(node, Some(&id), Some(route), &error_answer)
         }
     }
 }
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -37,10 +37,10 @@
 /// not answer: about the time in which either returns after a restart.
 pub(crate) const RETRY_AFTER_MS: u64 = 500;
 /// When to come back after all targets refused for load: about one usual request's time.
-const FULL_COME_BACK_MS: u64 = 100;
+const FULL_RETRY_AFTER_MS: u64 = 100;
 /// Pause before targets that have all been tried are tried again: a slot frees about that often. Targets
 /// that do not listen refuse at once; without a pause one request made 125,784 attempts in three seconds.
-const TRIED_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_ROUND_PAUSE: Duration = Duration::from_millis(20);
 /// How long a request without a deadline is served.
 const UNBOUNDED_MS: u64 = 60_000;
 /// A refusal for load is answered when less than this part of the caller's time is left.
@@ -50,16 +50,16 @@
 const ANSWER_BEFORE_MS: u64 = 20;
 
 /// Counts a request for as long as it is served; a planned stop waits for it.
-struct Serving<'a>(&'a Cell<usize>);
+struct ServingGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Serving<'a> {
+impl<'a> ServingGuard<'a> {
     fn begin(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Serving<'_> {
+impl Drop for ServingGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -93,7 +93,7 @@
 
     pub(crate) fn answer<P: Platform>(&self) -> Answer<P> {
         let body = json!({ "error": self.message }).to_string();
-        let mut answer = plain(self.status, Bytes::from(body));
+        let mut answer = json_answer(self.status, Bytes::from(body));
         if self.status == StatusCode::UNAUTHORIZED {
             let scheme = HeaderValue::from_static("Bearer");
             answer.headers_mut().insert(WWW_AUTHENTICATE, scheme);
@@ -108,7 +108,7 @@
 }
 
 /// Makes an answer with a JSON body.
-pub(crate) fn plain<P: Platform>(status: StatusCode, body: Bytes) -> Answer<P> {
+pub(crate) fn json_answer<P: Platform>(status: StatusCode, body: Bytes) -> Answer<P> {
     let mut answer = Response::new(Either::Left(Full::new(body)));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -120,14 +120,14 @@
     node: Rc<Node<P>>,
     request: Request<Incoming>,
 ) -> Result<Answer<P>, Infallible> {
-    let serving = Serving::begin(&node.in_flight);
-    let began_at = clock::now();
+    let serving = ServingGuard::begin(&node.in_flight);
+    let started_at = clock::now();
     let (head, body) = request.into_parts();
     let mut answer = match P::batch_call(&head) {
         Some(call) => batch_calls::answer(&node, &head.headers, call).await,
-        None => route_request(&node, head, body, began_at).await,
+        None => route_request(&node, head, body, started_at).await,
     };
-    node.metrics.request_seconds.observe(clock::now().since_ms(began_at) as f64 / 1_000.0);
+    node.metrics.request_seconds.observe(clock::now().since_ms(started_at) as f64 / 1_000.0);
     if node.leaving.get() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -139,12 +139,12 @@
     node: &Rc<Node<P>>,
     head: Parts,
     body: Incoming,
-    began_at: UnixMs,
+    started_at: UnixMs,
 ) -> Answer<P> {
     let terms = P::caller_terms(&head.headers);
     let id = terms.request_id.clone();
     let Some(document) = node.document() else {
-        return ended(
+        return end_with_error(
             node,
             id.as_deref(),
             None,
@@ -153,22 +153,24 @@
     };
     let host = host(&head.headers).to_owned();
     let Some(route) = document.route(&host, head.uri.path()).cloned() else {
-        let ending = no_route(node, &document, &host, head.uri.path());
-        return ended(node, id.as_deref(), None, &ending);
+        let error = no_route(node, &document, &host, head.uri.path());
+        return end_with_error(node, id.as_deref(), None, &error);
     };
     let workspace = match access::workspace(node, &document, route.is_public, &head.headers) {
         Ok(workspace) => workspace,
-        Err(refusal) => return ended(node, id.as_deref(), Some(&route), &ErrorAnswer::of(refusal)),
+        Err(refusal) => {
+            return end_with_error(node, id.as_deref(), Some(&route), &ErrorAnswer::of(refusal));
+        }
     };
-    let own_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
-    let priority = own_rank.unwrap_or(route.priority);
+    let workspace_priority = workspace.as_ref().and_then(|workspace| workspace.priority);
+    let priority = workspace_priority.unwrap_or(route.priority);
     let workspace = workspace.map(|workspace| workspace.name);
     let deadline_ms = terms.deadline_ms.unwrap_or(UNBOUNDED_MS);
     let timeout_ms = route.timeout_ms.unwrap_or(u64::MAX);
-    let deadline_at = began_at.plus(deadline_ms.min(timeout_ms));
+    let deadline_at = started_at.plus(deadline_ms.min(timeout_ms));
     let body = match read_body(body, document.limits.body_max_bytes, deadline_at).await {
         Ok(body) => body,
-        Err(ending) => return ended(node, id.as_deref(), Some(&route), &ending),
+        Err(error) => return end_with_error(node, id.as_deref(), Some(&route), &error),
     };
     if route.kind == RouteKind::Rollout {
         let origin = Origin { host, path: head.uri.path().to_owned(), workspace };
@@ -197,8 +199,8 @@
         return crate::relay::stream(node, &route, outgoing).await;
     }
     match serve(node, &route, &outgoing).await {
-        Ok(answer) => passed_on(node, answer),
-        Err(ending) => ended(node, outgoing.request_id.as_deref(), Some(&route), &ending),
+        Ok(answer) => pass_on(node, answer),
+        Err(error) => end_with_error(node, outgoing.request_id.as_deref(), Some(&route), &error),
     }
 }
 
@@ -240,21 +242,21 @@
 }
 
 /// Writes the line of a request that ends without a target's answer, and its answer.
-pub(crate) fn failed<P: Platform>(
+pub(crate) fn end_with_failure<P: Platform>(
     node: &Node<P>,
     id: Option<&str>,
     route: &Route,
     failure: &AttemptFailure,
 ) -> Answer<P> {
-    ended(node, id, Some(route), &ending_of(failure))
+    end_with_error(node, id, Some(route), &error_of(failure))
 }
 
-fn ending_of(failure: &AttemptFailure) -> ErrorAnswer {
+fn error_of(failure: &AttemptFailure) -> ErrorAnswer {
     match failure.verdict {
         Verdict::NotRun => {
             let retry_after_ms = match failure.cause {
                 Cause::Blocked { retry_after_ms } => retry_after_ms,
-                Cause::Full | Cause::Other => FULL_COME_BACK_MS,
+                Cause::Full | Cause::Other => FULL_RETRY_AFTER_MS,
             };
             ErrorAnswer::not_run(failure.message.clone(), retry_after_ms)
         }
@@ -264,23 +266,23 @@
     }
 }
 
-pub(crate) fn ended<P: Platform>(
+pub(crate) fn end_with_error<P: Platform>(
     node: &Node<P>,
     id: Option<&str>,
     route: Option<&Route>,
-    ending: &ErrorAnswer,
+    error: &ErrorAnswer,
 ) -> Answer<P> {
     let version = node.document().map(|document| document.version);
     node.note(
         "request_ended",
         json!({
-            "request": id, "status": ending.status.as_u16(), "why": ending.message,
+            "request": id, "status": error.status.as_u16(), "why": error.message,
             "route": route.map(|route| &route.name), "document_version": version,
             "document_age_ms": feed::age_ms(node, Subject::Operators),
-            "come_back_ms": ending.retry_after_ms,
+            "come_back_ms": error.retry_after_ms,
         }),
     );
-    let reason = match ending.status.as_u16() {
+    let reason = match error.status.as_u16() {
         503 => "refused",
         401 => "no_workspace",
         404 => "no_route",
@@ -289,10 +291,10 @@
         _ => "failed",
     };
     count(&node.metrics.answers, reason);
-    ending.answer()
+    error.answer()
 }
 
-fn passed_on<P: Platform>(node: &Node<P>, answer: CompleteAnswer) -> Answer<P> {
+fn pass_on<P: Platform>(node: &Node<P>, answer: CompleteAnswer) -> Answer<P> {
     count(&node.metrics.answers, "passed_on");
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = answer.status;
@@ -306,18 +308,18 @@
     route: &Route,
     outgoing: &OutgoingRequest,
 ) -> Result<CompleteAnswer, ErrorAnswer> {
-    let began_at = clock::now();
-    let budget_ms = outgoing.deadline_at.since_ms(began_at);
+    let started_at = clock::now();
+    let budget_ms = outgoing.deadline_at.since_ms(started_at);
     let mut tried: Vec<String> = Vec::new();
-    let mut ran = 0;
-    let mut ran_somewhere = false;
+    let mut runs_started = 0;
+    let mut may_have_run = false;
     loop {
         let left_ms = outgoing.deadline_at.since_ms(clock::now());
         if left_ms <= ANSWER_BEFORE_MS {
             let status = StatusCode::GATEWAY_TIMEOUT;
             return Err(ErrorAnswer::new(status, format!("no answer in {budget_ms} ms")));
         }
-        crashes::check(node, outgoing).map_err(|failure| barred(&failure, ran_somewhere))?;
+        crashes::check(node, outgoing).map_err(|failure| blocked(&failure, may_have_run))?;
         let service = route.service(node.draw()).unwrap_or_default();
         let chosen = choose(node, service, &tried);
         let failure = match chosen {
@@ -336,29 +338,30 @@
             }
         };
         if failure.is_blocked() {
-            return Err(barred(&failure, ran_somewhere));
+            return Err(blocked(&failure, may_have_run));
         }
         if failure.verdict.may_have_run() {
-            ran += 1;
-            ran_somewhere = true;
+            runs_started += 1;
+            may_have_run = true;
         }
-        let repeatable = route.repeatable() || !ran_somewhere;
-        if ran >= route.attempts.max(1) || !repeatable {
-            return Err(ending_of(&failure));
+        let repeatable = route.repeatable() || !may_have_run;
+        if runs_started >= route.attempts.max(1) || !repeatable {
+            return Err(error_of(&failure));
         }
         let refuse_at = refuse_at(outgoing.deadline_at, budget_ms);
-        let is_full = failure.cause == Cause::Full && !ran_somewhere;
+        let is_full = failure.cause == Cause::Full && !may_have_run;
         if is_full && clock::now() > refuse_at {
-            return Err(ending_of(&failure));
+            return Err(error_of(&failure));
         }
         if failure.verdict == Verdict::NotRun && all_tried(node, service, &tried) {
             tried.clear();
-            sleep(TRIED_PAUSE).await;
+            sleep(RETRY_ROUND_PAUSE).await;
             if is_full {
                 let workspace = outgoing.workspace.as_deref();
-                let turn = QueuePlace::wait(node, service, began_at, workspace, outgoing.priority);
-                while !turn.is_due() && clock::now() <= refuse_at {
-                    sleep(TRIED_PAUSE).await;
+                let place =
+                    QueuePlace::wait(node, service, started_at, workspace, outgoing.priority);
+                while !place.is_due() && clock::now() <= refuse_at {
+                    sleep(RETRY_ROUND_PAUSE).await;
                 }
             }
         }
@@ -372,11 +375,11 @@
 }
 
 /// How a request ends that is sent to no more targets: a target of this very call may have run it.
-fn barred(failure: &AttemptFailure, ran_somewhere: bool) -> ErrorAnswer {
-    if ran_somewhere {
+fn blocked(failure: &AttemptFailure, may_have_run: bool) -> ErrorAnswer {
+    if may_have_run {
         return ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone());
     }
-    ending_of(failure)
+    error_of(failure)
 }
 
 fn all_tried<P: Platform>(node: &Node<P>, service: &str, tried: &[String]) -> bool {
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -21,7 +21,7 @@
 
 /// Pause before an address that still took a connection is asked once more: a process that ends may
 /// close its connections some milliseconds before its listener.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
+const PROBE_AGAIN_AFTER: Duration = Duration::from_millis(200);
 /// A stream that has brought events for so long shows that its target survives it. Engines end with all
 /// their streams, which last for seconds; held against each, every one of them would soon have three.
 const SURVIVED_AFTER_MS: u64 = 1_000;
@@ -78,19 +78,19 @@
     let now = UnixMs::from_wall_clock();
     let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
     if is_first {
-        tokio::task::spawn_local(ask(Rc::clone(node), chosen.address, life));
+        tokio::task::spawn_local(probe_target(Rc::clone(node), chosen.address, life));
     }
 }
 
 /// Asks a target's address whether anybody listens there.
-async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: Life) {
-    let mut is_closed = node.pool.refuses_connections(address).await;
-    if !is_closed {
-        sleep(ASK_AGAIN_AFTER).await;
-        is_closed = node.pool.refuses_connections(address).await;
+async fn probe_target<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: Life) {
+    let mut refuses = node.pool.refuses_connections(address).await;
+    if !refuses {
+        sleep(PROBE_AGAIN_AFTER).await;
+        refuses = node.pool.refuses_connections(address).await;
     }
-    if is_closed {
-        take(&node, Fate::Ended(&life), "refused");
+    if refuses {
+        apply_outcome(&node, Fate::Ended(&life), "refused");
     }
 }
 
@@ -101,16 +101,18 @@
     entry: &TargetEntry,
 ) {
     match change {
-        TargetChange::Left(id) if !entry.draining => take(node, Fate::Gone { id }, "registry"),
+        TargetChange::Left(id) if !entry.draining => {
+            apply_outcome(node, Fate::Gone { id }, "registry")
+        }
         TargetChange::Reborn(id) => {
             let born_at_unix_ms = entry.born_at_unix_ms;
-            take(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
+            apply_outcome(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
     }
 }
 
-fn take<P: Platform>(node: &Node<P>, fate: Fate<'_>, by: &'static str) {
+fn apply_outcome<P: Platform>(node: &Node<P>, fate: Fate<'_>, by: &'static str) {
     if node.broken_off.borrow().is_empty() {
         return;
     }
@@ -119,13 +121,13 @@
         return;
     }
     count(&node.metrics.targets_ended, by);
-    let under_way = ended.len();
+    let in_flight = ended.len();
     for (fingerprint, life) in ended {
         node.note(
             "target_ended",
             json!({
                 "target": life.id, "born_at_unix_ms": life.born_at_unix_ms, "by": by,
-                "fingerprint": fingerprint.to_string(), "under_way": under_way,
+                "fingerprint": fingerprint.to_string(), "under_way": in_flight,
             }),
         );
         super::ended(node, fingerprint, life);
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -38,7 +38,7 @@
     outgoing: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
-        Standing::Barred { until } => Err(barred(until)),
+        Standing::Barred { until } => Err(blocked(until)),
         Standing::Clear | Standing::Trial { .. } => Ok(()),
     }
 }
@@ -50,7 +50,7 @@
 ) -> Result<(), AttemptFailure> {
     match standing(node, outgoing) {
         Standing::Clear => Ok(()),
-        Standing::Barred { until } => Err(barred(until)),
+        Standing::Barred { until } => Err(blocked(until)),
         Standing::Trial { number } => admit_to_trial(node, outgoing, number).await,
     }
 }
@@ -78,10 +78,10 @@
     );
     // The store may answer after seconds; another target may have ended meanwhile.
     let ends = node.quarantine.borrow().evidence(fingerprint).map_or(0, Evidence::count);
-    if is_ours && ends <= number { Ok(()) } else { Err(barred(now.plus(records::TRIAL_MS))) }
+    if is_ours && ends <= number { Ok(()) } else { Err(blocked(now.plus(records::TRIAL_LEASE_MS))) }
 }
 
-fn barred(until: UnixMs) -> AttemptFailure {
+fn blocked(until: UnixMs) -> AttemptFailure {
     let retry_after_ms = until.since_ms(UnixMs::from_wall_clock());
     let message = "targets have ended while they ran this request";
     AttemptFailure::not_run(Cause::Blocked { retry_after_ms }, message)
@@ -96,7 +96,7 @@
     node.broken_off.borrow_mut().survived(fingerprint);
     if node.quarantine.borrow_mut().survived(fingerprint) {
         node.note("request_cleared", json!({ "fingerprint": fingerprint.to_string() }));
-        spread(node, fingerprint);
+        share_evidence(node, fingerprint);
     }
 }
 
@@ -105,46 +105,46 @@
     let was_clear = is_clear(node, fingerprint);
     let now = UnixMs::from_wall_clock();
     if node.quarantine.borrow_mut().ended(now, fingerprint, life) {
-        note_if_barred(node, fingerprint, was_clear, "seen here");
-        spread(node, fingerprint);
+        note_if_blocked(node, fingerprint, was_clear, "seen here");
+        share_evidence(node, fingerprint);
     }
 }
 
 /// Takes what another node tells.
 pub(crate) fn on_evidence_received<P: Platform>(node: &Node<P>, crash: &CrashFact) {
-    learn(node, crash.fingerprint, &crash.evidence, "a peer");
+    merge_evidence(node, crash.fingerprint, &crash.evidence, "a peer");
 }
 
 /// Takes what was seen elsewhere; returns whether it is news.
-fn learn<P: Platform>(
+fn merge_evidence<P: Platform>(
     node: &Node<P>,
     fingerprint: Fingerprint,
     evidence: &Evidence,
     by: &'static str,
 ) -> bool {
     let was_clear = is_clear(node, fingerprint);
-    let is_news = node.quarantine.borrow_mut().learn(fingerprint, evidence);
-    if is_news {
-        note_if_barred(node, fingerprint, was_clear, by);
+    let is_new = node.quarantine.borrow_mut().learn(fingerprint, evidence);
+    if is_new {
+        note_if_blocked(node, fingerprint, was_clear, by);
     }
-    is_news
+    is_new
 }
 
 /// Tells all nodes what this one has seen of a request, and has it kept.
-fn spread<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
+fn share_evidence<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
     node.unsaved_crashes.borrow_mut().insert(fingerprint);
     node.crashes_changed.notify_one();
-    tell(node, fingerprint);
+    publish_evidence(node, fingerprint);
 }
 
-fn tell<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
+fn publish_evidence<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
     let evidence = node.quarantine.borrow().evidence(fingerprint).cloned();
     let Some(evidence) = evidence else { return };
     let fact = Fact::Crash(CrashFact { evidence, fingerprint });
     peers::with_members(node, |members, now| members.observe(now, fact));
 }
 
-fn note_if_barred<P: Platform>(
+fn note_if_blocked<P: Platform>(
     node: &Node<P>,
     fingerprint: Fingerprint,
     was_clear: bool,
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -6,7 +6,7 @@
 //! not: most are of requests that were under way by chance, and a write for each would cost more calls
 //! than all else that a crash of a target brings.
 
-use super::{has_evidence, learn, tell};
+use super::{has_evidence, merge_evidence, publish_evidence};
 use crate::feed;
 use crate::node::Node;
 use crate::peers;
@@ -24,18 +24,18 @@
 /// Keys of the evidence.
 const RECORD_PREFIX: &str = "cm/q/";
 /// Keys of the trials.
-const TRIALS: &str = "cm/qt/";
+const TRIAL_PREFIX: &str = "cm/qt/";
 /// How long a trial is one node's: longer than a request runs. The key lapses then, so that another one
 /// may try where that node has died.
-pub(super) const TRIAL_MS: u64 = 60_000;
+pub(super) const TRIAL_LEASE_MS: u64 = 60_000;
 /// Ends of which a record is kept.
-const SAVED_FROM: usize = 2;
+const SAVED_MIN_ENDS: usize = 2;
 /// How often records that could not be written are tried again, and old evidence is looked for.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// News that come within this time are written with one call.
-const GATHER: Duration = Duration::from_millis(20);
+const COALESCE: Duration = Duration::from_millis(20);
 /// Records written with one call, within the store's bound of 32 keys.
-const RECORDS_AT_ONCE: usize = 30;
+const RECORDS_PER_CALL: usize = 30;
 /// The duty of the node that reads the records: one that watches the store anyway.
 const DUTY: &str = "feeds";
 
@@ -53,33 +53,33 @@
 /// Keeps the evidence until the process ends: writes what is new, reads what an earlier fleet has left,
 /// forgets what is old.
 pub(crate) async fn maintain_records<P: Platform>(node: Rc<Node<P>>) {
-    let mut has_recalled = false;
+    let mut has_loaded = false;
     loop {
-        if timeout(LOOK_EVERY, node.crashes_changed.notified()).await.is_ok() {
-            sleep(GATHER).await;
+        if timeout(CHECK_INTERVAL, node.crashes_changed.notified()).await.is_ok() {
+            sleep(COALESCE).await;
         }
         let is_first = peers::settles_in_ms(&node) == Some(0) && peers::is_first_for(&node, DUTY);
-        if is_first && !has_recalled {
-            has_recalled = recall(&node).await;
+        if is_first && !has_loaded {
+            has_loaded = load_records(&node).await;
         }
         if !has_evidence(&node) {
             continue;
         }
-        save(&node).await;
-        forget_old(&node, is_first).await;
-        let barred = node.quarantine.borrow().count_barred(UnixMs::from_wall_clock());
-        node.metrics.requests_barred.set(barred as i64);
+        save_records(&node).await;
+        expire_old(&node, is_first).await;
+        let blocked = node.quarantine.borrow().count_barred(UnixMs::from_wall_clock());
+        node.metrics.requests_barred.set(blocked as i64);
     }
 }
 
 /// Reads the records of an earlier fleet and tells the others; returns whether they were there to read.
-async fn recall<P: Platform>(node: &Rc<Node<P>>) -> bool {
+async fn load_records<P: Platform>(node: &Rc<Node<P>>) -> bool {
     let Ok((items, _)) = feed::read_whole(node, RECORD_PREFIX).await else { return false };
     for item in &items {
         match postcard::from_bytes::<Record>(&item.value) {
             Ok(Record { evidence, fingerprint }) => {
-                if learn(node, fingerprint, &evidence, "the store") {
-                    tell(node, fingerprint);
+                if merge_evidence(node, fingerprint, &evidence, "the store") {
+                    publish_evidence(node, fingerprint);
                 }
             }
             Err(error) => {
@@ -95,17 +95,17 @@
 }
 
 /// Writes what is new; what cannot be written is tried again at the next look.
-async fn save<P: Platform>(node: &Rc<Node<P>>) {
+async fn save_records<P: Platform>(node: &Rc<Node<P>>) {
     // Taken out before the call: what is seen while it waits has to be written again.
     let unsaved: Vec<Fingerprint> = {
         let mut unsaved = node.unsaved_crashes.borrow_mut();
-        let count = unsaved.len().min(RECORDS_AT_ONCE);
+        let count = unsaved.len().min(RECORDS_PER_CALL);
         unsaved.drain(..count).collect()
     };
     let mut puts = Vec::new();
     for fingerprint in &unsaved {
         let evidence = node.quarantine.borrow().evidence(*fingerprint).cloned();
-        let Some(evidence) = evidence.filter(|evidence| evidence.len() >= SAVED_FROM) else {
+        let Some(evidence) = evidence.filter(|evidence| evidence.len() >= SAVED_MIN_ENDS) else {
             continue;
         };
         let record = Record { evidence, fingerprint: *fingerprint };
@@ -122,7 +122,7 @@
 }
 
 /// Forgets what is too old to matter; one node removes its records.
-async fn forget_old<P: Platform>(node: &Rc<Node<P>>, removes: bool) {
+async fn expire_old<P: Platform>(node: &Rc<Node<P>>, removes: bool) {
     let old = node.quarantine.borrow_mut().expire(UnixMs::from_wall_clock());
     if old.is_empty() {
         return;
@@ -137,7 +137,7 @@
     if !removes {
         return;
     }
-    for part in old.chunks(RECORDS_AT_ONCE) {
+    for part in old.chunks(RECORDS_PER_CALL) {
         let deletes = part.iter().map(|fingerprint| key(*fingerprint)).collect();
         let call = StoreCall::Transaction { deletes, expected: Vec::new(), puts: Vec::new() };
         // A record that stays is read by a fleet that starts anew, and is forgotten there.
@@ -151,9 +151,9 @@
     fingerprint: Fingerprint,
     number: usize,
 ) -> bool {
-    let opened = node.store(&StoreCall::LeaseOpen { ttl_ms: TRIAL_MS }).await;
+    let opened = node.store(&StoreCall::LeaseOpen { ttl_ms: TRIAL_LEASE_MS }).await;
     let Ok(StoreAnswer::Lease { lease: Some(lease), .. }) = opened else { return false };
-    let key = format!("{TRIALS}{fingerprint}/{number}");
+    let key = format!("{TRIAL_PREFIX}{fingerprint}/{number}");
     let value = node.settings().node.clone().into_bytes();
     let call = StoreCall::Transaction {
         deletes: Vec::new(),
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -202,7 +202,7 @@
     outgoing: &OutgoingRequest,
 ) -> Result<(Response<Incoming>, Connection, AnswerMarks), AttemptFailure> {
     crashes::admit(node, outgoing).await?;
-    let request = written::<P>(chosen, outgoing)
+    let request = build_request::<P>(chosen, outgoing)
         .map_err(|error| AttemptFailure::not_run(Cause::Other, error.to_string()))?;
     let sent = node.pool.send(chosen.address, request).await;
     let (response, connection) = sent.map_err(|error| {
@@ -219,7 +219,7 @@
     Ok((response, connection, marks))
 }
 
-fn written<P: Platform>(
+fn build_request<P: Platform>(
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
@@ -255,15 +255,15 @@
 ) -> Result<CompleteAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
     let counted = Counted::sent(node, outgoing.workspace.as_deref());
-    let began_at = clock::now();
-    let left_ms = outgoing.deadline_at.since_ms(began_at);
+    let started_at = clock::now();
+    let left_ms = outgoing.deadline_at.since_ms(started_at);
     let exchange = exchange(node, chosen, outgoing);
     let result = match timeout(Duration::from_millis(left_ms), exchange).await {
         Ok(result) => result,
         Err(_) => Err(AttemptFailure::may_have_run("no whole answer within the caller's time")),
     };
     let outcome = match &result {
-        Ok(_) => CallOutcome::Answered { latency_ms: clock::now().since_ms(began_at) },
+        Ok(_) => CallOutcome::Answered { latency_ms: clock::now().since_ms(started_at) },
         Err(failure) => failure.outcome(),
     };
     in_flight.end(outcome);
@@ -285,7 +285,7 @@
             "attempt_failed",
             json!({
                 "request": outgoing.request_id, "target": chosen.id, "why": failure.message,
-                "verdict": failure.verdict, "ms": clock::now().since_ms(began_at),
+                "verdict": failure.verdict, "ms": clock::now().since_ms(started_at),
                 "left_ms": outgoing.deadline_at.since_ms(clock::now()),
                 "fingerprint": outgoing.fingerprint_if(failure.verdict),
                 "targets_age_ms": feed::age_ms(node, Subject::Targets),
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -116,16 +116,16 @@
     let ready = node.ready.get() && !node.leaving.get();
     if P::asks_readiness(head) {
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        return caller::plain(status, Bytes::from_static(b"{}"));
+        return caller::json_answer(status, Bytes::from_static(b"{}"));
     }
     if P::asks_addresses(head) {
         let ttl_ms = ADDRESSES_TTL_MS.min(node.settings().directory_ttl_max_ms);
         let addresses = addresses(node);
         let status =
             if addresses.is_empty() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK };
-        return caller::plain(status, P::addresses(&addresses, ttl_ms));
+        return caller::json_answer(status, P::addresses(&addresses, ttl_ms));
     }
-    caller::plain(StatusCode::NOT_FOUND, Bytes::new())
+    caller::json_answer(StatusCode::NOT_FOUND, Bytes::new())
 }
 
 /// Returns the addresses to hand out: nodes that live; if none is known to, those that leave or
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -26,20 +26,20 @@
 
 /// How long a connection may take to open. Within a region a round trip takes a millisecond; a
 /// dropped opening packet is sent again after a second, which is too late for a lookup.
-const CONNECT_MAX: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long sent bytes may stay unacknowledged: longer than any pause of a live target's machine
 /// that a request could still survive.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_secs(2);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 /// A connection may go silent for good without a reset; probes show it after about 2 s.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 2;
 /// An idle connection is used again within this time unless its target names a shorter one.
 const IDLE_MAX_MS: u64 = 8_000;
 /// Connections kept idle for one address.
-const IDLE_MAX_COUNT: usize = 24;
+const IDLE_PER_ADDRESS_MAX: usize = 24;
 /// A connection that was given back is ready within a turn of the loop; one that still sends a
 /// body that its target did not want is not.
-const READY_MAX: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// the call failed ({verdict}): {message}
 #[derive(Clone, Debug, Display)]
@@ -105,7 +105,7 @@
     ) -> Result<(Response<Incoming>, Connection), CallError> {
         let mut request = request;
         loop {
-            let mut connection = match self.take(address).await {
+            let mut connection = match self.take_idle(address).await {
                 Some(connection) => connection,
                 None => self.connect(address).await?,
             };
@@ -131,9 +131,9 @@
         connection.reused = true;
         let until = clock::now().plus(idle_max_ms(answer));
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(connection.address).or_default();
-        if kept.len() < IDLE_MAX_COUNT {
-            kept.push(Idle { connection, until });
+        let idle_here = idle.entry(connection.address).or_default();
+        if idle_here.len() < IDLE_PER_ADDRESS_MAX {
+            idle_here.push(Idle { connection, until });
         }
     }
 
@@ -141,7 +141,7 @@
     pub(crate) fn has_idle(&self, address: SocketAddr) -> bool {
         let idle = self.idle.borrow();
         let now = clock::now();
-        idle.get(&address).is_some_and(|kept| kept.iter().any(|idle| idle.until > now))
+        idle.get(&address).is_some_and(|idle_here| idle_here.iter().any(|idle| idle.until > now))
     }
 
     /// Closes all idle connections to an address.
@@ -149,7 +149,7 @@
         self.idle.borrow_mut().swap_remove(&address);
     }
 
-    async fn take(&self, address: SocketAddr) -> Option<Connection> {
+    async fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         loop {
             let now = clock::now();
             let idle = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop)?;
@@ -157,7 +157,7 @@
             if until <= now || connection.sender.is_closed() {
                 continue;
             }
-            if let Ok(Ok(())) = timeout(READY_MAX, connection.sender.ready()).await {
+            if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
                 return Some(connection);
             }
         }
@@ -167,14 +167,14 @@
     /// answer may be cut off.
     pub(crate) async fn refuses_connections(&self, address: SocketAddr) -> bool {
         self.opened.inc();
-        let opened = timeout(CONNECT_MAX, TcpStream::connect(address)).await;
+        let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
         matches!(opened, Ok(Err(error)) if refused(&error))
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection, CallError> {
         self.opened.inc();
-        let stream = match timeout(CONNECT_MAX, TcpStream::connect(address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(CallError::not_run(error.to_string())),
             Err(_) => return Err(CallError::not_run("no connection in time")),
@@ -196,9 +196,11 @@
 pub(crate) fn set_timeouts_and_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))?;
-    let probes =
-        TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(PROBES);
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -69,26 +69,26 @@
 }
 
 impl<P: Platform> Relay<P> {
-    fn finish(&mut self, whole: bool) {
+    fn finish(&mut self, complete: bool) {
         let latency_ms = self.latency_ms;
         if let Some(counted) = self.counted.take() {
             counted.not_run();
         }
         if let Some(in_flight) = self.in_flight.take() {
             let answered = CallOutcome::Answered { latency_ms };
-            in_flight.end(if whole { answered } else { CallOutcome::Failed });
+            in_flight.end(if complete { answered } else { CallOutcome::Failed });
         }
-        if whole {
+        if complete {
             self.run.completed(&self.node);
         } else {
             self.run.connection_broke(&self.node);
         }
         if let Some(connection) = self.connection.take()
-            && whole
+            && complete
         {
             self.node.pool.release(connection, &self.head);
         }
-        count(&self.node.metrics.answers, if whole { "streamed" } else { "stream_broken" });
+        count(&self.node.metrics.answers, if complete { "streamed" } else { "stream_broken" });
     }
 }
 
@@ -104,17 +104,17 @@
         let service = route.service(node.draw()).unwrap_or_default();
         let Some(chosen) = caller::choose(node, service, &tried) else {
             let failure = not_run(format!("service {service} has no target"));
-            return caller::failed(node, id.as_deref(), route, &failure);
+            return caller::end_with_failure(node, id.as_deref(), route, &failure);
         };
         if tried.contains(&chosen.id) {
             let failure = not_run(format!("all {} targets of {service} refused", tried.len()));
-            return caller::failed(node, id.as_deref(), route, &failure);
+            return caller::end_with_failure(node, id.as_deref(), route, &failure);
         }
         tried.push(chosen.id.clone());
         match start(node, &chosen, &outgoing).await {
             Ok(answer) => return answer,
             Err(failure) if failure.verdict == Verdict::NotRun && !failure.is_blocked() => {}
-            Err(failure) => return caller::failed(node, id.as_deref(), route, &failure),
+            Err(failure) => return caller::end_with_failure(node, id.as_deref(), route, &failure),
         }
     }
 }
@@ -129,8 +129,8 @@
     outgoing: &OutgoingRequest,
 ) -> Result<Answer<P>, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
-    let began_at = clock::now();
-    let left = Duration::from_millis(outgoing.deadline_at.since_ms(began_at));
+    let started_at = clock::now();
+    let left = Duration::from_millis(outgoing.deadline_at.since_ms(started_at));
     let opened = match timeout(left, forward::open(node, chosen, outgoing)).await {
         Ok(opened) => opened,
         Err(_) => Err(AttemptFailure::may_have_run("no answer within the caller's time")),
@@ -148,7 +148,7 @@
             return Err(failure);
         }
     };
-    let latency_ms = clock::now().since_ms(began_at);
+    let latency_ms = clock::now().since_ms(started_at);
     let (mut head, body) = response.into_parts();
     if let Some(refusal) = forward::refusal(head.status, &marks) {
         in_flight.end(CallOutcome::Full);
@@ -158,14 +158,14 @@
         in_flight.end(CallOutcome::Failed);
         return Err(AttemptFailure::may_have_run("an answer without a target's signature"));
     }
-    let kept = head.headers.clone();
+    let answer_headers = head.headers.clone();
     forward::strip_hop_by_hop(&mut head.headers);
     if head.status.is_success() {
         let relay = Relay {
             body,
             connection: Some(connection),
             counted: Counted::sent(node, outgoing.workspace.as_deref()),
-            head: kept,
+            head: answer_headers,
             in_flight: Some(in_flight),
             latency_ms,
             node: Rc::clone(node),
@@ -175,12 +175,12 @@
     }
     in_flight.end(CallOutcome::Answered { latency_ms });
     let body = read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
-    node.pool.release(connection, &kept);
+    node.pool.release(connection, &answer_headers);
     let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
-    Ok(failure_passed_on(answer))
+    Ok(pass_on_error(answer))
 }
 
-fn failure_passed_on<P: Platform>(answer: CompleteAnswer) -> Answer<P> {
+fn pass_on_error<P: Platform>(answer: CompleteAnswer) -> Answer<P> {
     let status: StatusCode = answer.status;
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = status;
