--- a/crates/dispatch/src/shares.rs
+++ b/crates/dispatch/src/shares.rs
@@ -28,7 +28,7 @@
 
 impl Demand {
     /// Takes a batch of a model, by the tokens that its items are expected to generate.
-    pub fn submitted(&mut self, model: &str, tokens: u64) {
+    pub fn record_batch(&mut self, model: &str, tokens: u64) {
         let tokens = tokens.min(WORK_MAX_TOKENS);
         match self.work_tokens.get_mut(model) {
             Some(held) => *held = (*held * (WORK_PARTS - 1) + tokens) / WORK_PARTS,
@@ -70,7 +70,7 @@
 
 /// Deals `count` places out to shares, so that each stretch of places holds them in proportion;
 /// returns for each place the index of its share.
-pub fn deal(shares: &[u64], count: usize) -> Vec<usize> {
+pub fn interleave(shares: &[u64], count: usize) -> Vec<usize> {
     let whole: u64 = shares.iter().sum::<u64>().max(1);
     let mut dealt = vec![0_u64; shares.len()];
     let mut places = Vec::with_capacity(count);
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -83,7 +83,7 @@
     /// Most bytes of answers kept.
     pub answers_max_bytes: usize,
     /// How long an answer is kept.
-    pub memory_ms: u64,
+    pub retention_ms: u64,
     /// Most tickets kept.
     pub tickets_max: usize,
 }
@@ -101,7 +101,7 @@
 
 /// What to do with a call that carries a ticket.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Begin {
+pub enum TicketDecision {
     /// The ticket is too old to be remembered for certain.
     Expired,
     /// No memory is left to remember one more; the call did not run.
@@ -131,22 +131,22 @@
 
 /// The tickets that one node life has run.
 #[derive(Clone, Debug)]
-pub struct TicketBook {
+pub struct TicketTable {
     answers_bytes: usize,
     latest: UnixMs,
     limits: TicketLimits,
     pages: IndexMap<Ticket, Page>,
 }
 
-impl TicketBook {
+impl TicketTable {
     /// Opens an empty book.
     pub fn open(limits: TicketLimits) -> Self {
         Self { answers_bytes: 0, latest: UnixMs(0), limits, pages: IndexMap::new() }
     }
 
     /// Changes how long answers are kept; those already kept stay as long as was promised.
-    pub const fn set_memory(&mut self, memory_ms: u64) {
-        self.limits.memory_ms = memory_ms;
+    pub const fn set_retention(&mut self, retention_ms: u64) {
+        self.limits.retention_ms = retention_ms;
     }
 
     /// Decides on a call with a ticket of this life.
@@ -154,33 +154,33 @@
     /// A full book refuses new tickets: to forget an old one early would let its call run twice.
     /// A wall clock that is set back must not make a forgotten ticket look new, so the latest time
     /// ever seen counts.
-    pub fn begin(&mut self, now: UnixMs, ticket: &Ticket) -> Begin {
+    pub fn begin(&mut self, now: UnixMs, ticket: &Ticket) -> TicketDecision {
         self.latest = self.latest.max(now);
         let now = self.latest;
         if let Some(page) = self.pages.get(ticket) {
             return match &page.state {
-                State::Answered(answer) => Begin::Recorded(answer.clone()),
-                State::Running => Begin::Running,
-                State::Unsettled => Begin::Unsettled,
+                State::Answered(answer) => TicketDecision::Recorded(answer.clone()),
+                State::Running => TicketDecision::Running,
+                State::Unsettled => TicketDecision::Unsettled,
             };
         }
-        if ticket.expires_at <= now || ticket.expires_at > now.plus(self.limits.memory_ms) {
-            return Begin::Expired;
+        if ticket.expires_at <= now || ticket.expires_at > now.plus(self.limits.retention_ms) {
+            return TicketDecision::Expired;
         }
         self.forget(now);
         let is_full = self.pages.len() >= self.limits.tickets_max
             || self.answers_bytes >= self.limits.answers_max_bytes;
         if is_full {
-            return Begin::Full;
+            return TicketDecision::Full;
         }
         // Kept past the ticket's expiry, so that an old ticket is never taken for a new one.
-        let forget_at = now.plus(self.limits.memory_ms);
+        let forget_at = now.plus(self.limits.retention_ms);
         self.pages.insert(ticket.clone(), Page { forget_at, state: State::Running });
-        Begin::Run
+        TicketDecision::Run
     }
 
     /// Records the answer of a call that ran.
-    pub fn answered(&mut self, ticket: &Ticket, answer: RecordedAnswer) {
+    pub fn record_answer(&mut self, ticket: &Ticket, answer: RecordedAnswer) {
         if let Some(page) = self.pages.get_mut(ticket) {
             self.answers_bytes += answer.body.as_ref().map_or(0, Vec::len);
             page.state = State::Answered(answer);
@@ -188,14 +188,14 @@
     }
 
     /// Records that a call may have run and its answer was lost.
-    pub fn unsettled(&mut self, ticket: &Ticket) {
+    pub fn mark_unsettled(&mut self, ticket: &Ticket) {
         if let Some(page) = self.pages.get_mut(ticket) {
             page.state = State::Unsettled;
         }
     }
 
     /// Records that a call certainly did not run; its ticket may be used again.
-    pub fn not_run(&mut self, ticket: &Ticket) {
+    pub fn mark_not_run(&mut self, ticket: &Ticket) {
         self.pages.shift_remove(ticket);
     }
 
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -58,7 +58,7 @@
         attempts: route.attempts.max(reward_attempts).max(1),
         due_at: accepted_at.plus(due_ms),
         give_up_at: accepted_at.plus(give_up_ms + slack_ms),
-        redo_from: accepted_at.plus(due_ms / LONG_PARTS),
+        rerun_from: accepted_at.plus(due_ms / LONG_PARTS),
         single_version: route.single_version,
     }
 }
@@ -321,7 +321,7 @@
     let workspace = record.origin.workspace.as_deref();
     let (mut batch, resumed) = restore_batch(node, workspace, submission, terms, chunks, texts);
     for result in results {
-        batch.finished(clock::now(), result);
+        batch.record_result(clock::now(), result);
     }
     let local = LocalBatch {
         accepted_at,
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -89,7 +89,7 @@
         let now = clock::now();
         let items = &self.batch.submission().items;
         let old = |run: &Run| now.since_ms(run.started_at) >= min_age_ms;
-        let begun = |run: &Run| run.progress.borrow().is_begun();
+        let begun = |run: &Run| run.progress.borrow().is_started();
         let running = self
             .runs
             .iter()
@@ -243,7 +243,7 @@
             let open = local.batch.submission();
             open.step.filter(|_| open.model.as_ref() == Some(model))
         });
-        self.lookahead.borrow_mut().opened(model, step, steps);
+        self.lookahead.borrow_mut().batch_opened(model, step, steps);
     }
 
     /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
@@ -274,7 +274,7 @@
             .filter(|local| !local.borrow().batch.is_settled() && !local.borrow().batch.is_ended())
             .cloned()
             .collect();
-        open.sort_by_key(|local| local.borrow().batch.terms().due_at);
+        open.sort_by_key(|local| local.borrow().batch.policy().due_at);
         open
     }
 }
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -17,7 +17,7 @@
 pub(super) fn retain_reusable_outputs<P: Platform>(node: &Node<P>, local: &mut LocalBatch) {
     let now = clock::now();
     let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
-    let untaken = local.batch.untaken_groups();
+    let untaken = local.batch.unconsumed_groups();
     for group in &untaken {
         reusable_outputs.groups.insert((*group).to_owned(), now);
     }
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -305,7 +305,7 @@
         local.stop_runs();
         texts
     };
-    while local.borrow_mut().batch.chunk_of_all(part_max_bytes(node)).is_some() {
+    while local.borrow_mut().batch.chunk_of_all_results(part_max_bytes(node)).is_some() {
         if !write_chunk(node, local).await {
             return;
         }
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -74,7 +74,7 @@
     if entry.draining {
         return;
     }
-    let life = Life { born_at_unix_ms: entry.born_at_unix_ms, id: entry.id };
+    let life = Life { born_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
     let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
     if is_first {
@@ -104,8 +104,8 @@
         TargetChange::Left(id) if !entry.draining => {
             apply_outcome(node, Fate::Gone { id }, "registry")
         }
-        TargetChange::Reborn(id) => {
-            let born_at_unix_ms = entry.born_at_unix_ms;
+        TargetChange::Restarted(id) => {
+            let born_at_unix_ms = entry.started_at_unix_ms;
             apply_outcome(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -62,7 +62,7 @@
     }
     loop {
         let Some(next) = local.borrow_mut().batch.next_item(now) else { return };
-        if next.progress.whole {
+        if next.progress.complete {
             start_scoring(node, local, next);
             continue;
         }
@@ -105,6 +105,6 @@
     let now = clock::now();
     let ms = now.since_ms(local.accepted_at);
     node.metrics.item_seconds.observe(ms as f64 / 1_000.0);
-    local.batch.finished(now, result);
+    local.batch.record_result(now, result);
     local.finished.notify_one();
 }
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -180,9 +180,10 @@
         let model_picks: Vec<Candidate<'_>> =
             picks.iter().filter(is_model_target).copied().collect();
         // Where all of its own fail or refuse, the others serve rather than none.
-        let all_back_off = model_picks.iter().all(|pick| load.rests(now, pick.id));
+        let all_back_off = model_picks.iter().all(|pick| load.is_backing_off(now, pick.id));
         let from = if all_back_off { picks } else { &model_picks };
         let preferred = preferred.map(String::as_str);
-        load.choose_free(now, from, preferred, run_ms, draw).map(|pick| pick.id.to_owned())
+        load.choose_with_free_slot(now, from, preferred, run_ms, draw)
+            .map(|pick| pick.id.to_owned())
     })
 }
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -71,7 +71,7 @@
         let second = runs.swap_remove(item)?;
         second.task.abort();
         let progress = second.progress.borrow().clone();
-        progress.is_begun().then_some(progress)
+        progress.is_started().then_some(progress)
     }
 
     fn is_running(&self, item: &str) -> bool {
@@ -95,7 +95,7 @@
     let open = node.batches.open();
     for local in &open {
         let local = local.borrow();
-        let taken = local.batch.taken_groups();
+        let taken = local.batch.consumed_groups();
         let is_taken =
             |item: &str| local.batch.item(item).is_some_and(|item| taken.contains(group_of(item)));
         node.batches
@@ -107,7 +107,7 @@
         let model = local.borrow().batch.submission().model.clone();
         let Some(model) = model else { continue };
         let oldest = local.borrow().batch.submission().oldest_version;
-        let next_oldest = node.batches.lookahead.borrow().next_oldest(&model, oldest);
+        let next_oldest = node.batches.lookahead.borrow().next_oldest_version(&model, oldest);
         for index in items_worth_rerunning(&local.borrow(), now, next_oldest) {
             if node.batches.second_runs.running_count() >= SECOND_RUNS_MAX {
                 return;
@@ -122,7 +122,7 @@
         let run = local.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
     };
-    local.batch.worth_redoing(now, next_oldest, text_version)
+    local.batch.rerun_candidates(now, next_oldest, text_version)
 }
 
 fn start<P: Platform>(
@@ -139,7 +139,7 @@
         (item, local.id.clone(), terms, target)
     };
     let progress = node.batches.second_runs.output(&item.id);
-    if node.batches.second_runs.is_running(&item.id) || progress.whole {
+    if node.batches.second_runs.is_running(&item.id) || progress.complete {
         return;
     }
     // Digests of all candidates at every look would cost more than what they guard against.
@@ -183,7 +183,7 @@
             "second_run",
             json!({
                 "request": item.id, "batch": task_batch, "target": chosen.id, "why": why,
-                "whole": output.whole, "versions": output.versions, "last_event": output.last_event_id,
+                "whole": output.complete, "versions": output.versions, "last_event": output.last_event_id,
                 "oldest_version": terms.oldest_version, "ms": clock::now().since_ms(started_at),
             }),
         );
@@ -226,7 +226,7 @@
     let picked = node.pick(service, fits, |load, now, picks| {
         let others: Vec<Candidate<'_>> =
             picks.iter().filter(|pick| Some(pick.id) != first_target).map(reserve_slots).collect();
-        load.choose_free(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
+        load.choose_with_free_slot(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
     });
     picked.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -5,14 +5,14 @@
 //! itself; `UPDATE_GOLDENFILES=1` writes it anew.
 
 use catkinmast_config::{
-    CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, HeadSeen, diff,
-    merge,
+    CallClass, Change, Digest, Document, Follower, FollowerEffect, FollowerEvent, ObservedHead,
+    diff, merge,
 };
 use catkinmast_lease::{HolderRecord, Report, Tenure};
 use catkinmast_model::{Fence, Incarnation, Labels, Name, Revision, Selector, UnixMs};
 use catkinmast_route::{
-    Admission, AdmissionLimits, Begin, Choice, Outcome, RecordedAnswer, Released, RetryBudget,
-    TargetSettings, Targets, Ticket, TicketBook, TicketLimits, WaitId,
+    Admission, AdmissionLimits, Choice, Dequeued, Outcome, RecordedAnswer, RetryBudget,
+    TargetBalancer, TargetSettings, Ticket, TicketDecision, TicketLimits, TicketTable, WaitId,
 };
 use goldenscript::{ArgumentConsumer, Command, Context};
 use indexmap::IndexMap;
@@ -52,9 +52,9 @@
     folder: std::path::PathBuf,
     follower: Follower,
     rng: Pcg64Mcg,
-    targets: Targets,
+    targets: TargetBalancer,
     tenure: Tenure,
-    tickets: TicketBook,
+    tickets: TicketTable,
     waiting: IndexMap<WaitId, String>,
 }
 
@@ -70,7 +70,7 @@
     fn new(folder: std::path::PathBuf) -> Self {
         let limits = AdmissionLimits { in_flight_max: 2, queue_max: 2 };
         let ticket_limits =
-            TicketLimits { answers_max_bytes: 1_000, memory_ms: 10_000, tickets_max: 2 };
+            TicketLimits { answers_max_bytes: 1_000, retention_ms: 10_000, tickets_max: 2 };
         Self {
             admission: Admission::open(limits),
             budget: RetryBudget::open(10),
@@ -78,9 +78,9 @@
             folder,
             follower: Follower::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
-            targets: Targets::open(TargetSettings::default()),
+            targets: TargetBalancer::open(TargetSettings::default()),
             tenure: Tenure::open(holder()),
-            tickets: TicketBook::open(ticket_limits),
+            tickets: TicketTable::open(ticket_limits),
             waiting: IndexMap::new(),
         }
     }
@@ -216,7 +216,7 @@
             "body-missing" => FollowerEvent::BodyMissing,
             "head" | "watch-ended" => {
                 let head = args.take_key("revision").map(str::parse::<u64>).transpose()?;
-                let head = head.map(|revision| HeadSeen {
+                let head = head.map(|revision| ObservedHead {
                     digest: digest(revision),
                     revision: Revision(revision),
                     version: revision * 10,
@@ -264,22 +264,22 @@
         };
         Ok(match event.as_str() {
             "begin" => match self.tickets.begin(now, &ticket) {
-                Begin::Recorded(answer) => format!("recorded {}\n", answer.status),
+                TicketDecision::Recorded(answer) => format!("recorded {}\n", answer.status),
                 other => format!("{other:?}\n"),
             },
             "answered" => {
                 let status = need(args, "status")?;
                 let body = Some(b"answer".to_vec());
                 let answer = RecordedAnswer { body, content_type: None, status };
-                self.tickets.answered(&ticket, answer);
+                self.tickets.record_answer(&ticket, answer);
                 String::new()
             }
             "not-run" => {
-                self.tickets.not_run(&ticket);
+                self.tickets.mark_not_run(&ticket);
                 String::new()
             }
             "unsettled" => {
-                self.tickets.unsettled(&ticket);
+                self.tickets.mark_unsettled(&ticket);
                 String::new()
             }
             other => return Err(format!("unknown event '{other}'").into()),
@@ -291,7 +291,7 @@
         let who = event_of(args)?.to_owned();
         let now = at(args)?;
         let mut output = String::new();
-        let released = match event.as_str() {
+        let dequeued = match event.as_str() {
             "arrive" => {
                 let class = match need::<String>(args, "class")?.as_str() {
                     "lookup" => CallClass::Lookup,
@@ -300,14 +300,16 @@
                     _ => CallClass::Audit,
                 };
                 let deadline = UnixMs(need(args, "deadline")?);
-                let (admitted, released) = self.admission.arrive(now, "workspace", class, deadline);
+                let (admitted, dequeued) = self.admission.arrive(now, "workspace", class, deadline);
                 match admitted {
-                    catkinmast_route::Admitted::Now => writeln!(output, "{who} is served")?,
-                    catkinmast_route::Admitted::Waiting(id) => {
+                    catkinmast_route::AdmissionDecision::Admitted => {
+                        writeln!(output, "{who} is served")?
+                    }
+                    catkinmast_route::AdmissionDecision::Queued(id) => {
                         self.waiting.insert(id, who.clone());
                         writeln!(output, "{who} waits")?;
                     }
-                    catkinmast_route::Admitted::Refused(refusal) => writeln!(
+                    catkinmast_route::AdmissionDecision::Refused(refusal) => writeln!(
                         output,
                         "{who} is refused, {}, come back at {:?}: {}",
                         refusal.verdict,
@@ -315,21 +317,21 @@
                         refusal.message
                     )?,
                 }
-                released
+                dequeued
             }
             "finish" => self.admission.finish(now, "workspace", need(args, "service-us")?),
             "expire" => self.admission.expire(now),
             other => return Err(format!("unknown event '{other}'").into()),
         };
-        self.show_released(&released, &mut output)?;
+        self.show_dequeued(&dequeued, &mut output)?;
         Ok(output)
     }
 
-    fn show_released(&self, released: &Released, output: &mut String) -> std::fmt::Result {
-        for id in &released.admitted {
+    fn show_dequeued(&self, dequeued: &Dequeued, output: &mut String) -> std::fmt::Result {
+        for id in &dequeued.admitted {
             writeln!(output, "{} is served now", self.waiting[id])?;
         }
-        for (id, refusal) in &released.refused {
+        for (id, refusal) in &dequeued.refused {
             let verdict = refusal.verdict;
             writeln!(output, "{} is refused, {verdict}: {}", self.waiting[id], refusal.message)?;
         }
