--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -11,7 +11,7 @@
 use crate::platform::Platform;
 use catkinmast_dispatch::{TargetChange, TargetEntry};
 use catkinmast_model::UnixMs;
-use catkinmast_quarantine::{Fate, Life};
+use catkinmast_quarantine::{TargetIncarnation, TargetOutcome};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -74,23 +74,28 @@
     if entry.draining {
         return;
     }
-    let life = Life { born_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
+    let incarnation =
+        TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
-    let is_first = node.broken_off.borrow_mut().note(now, outgoing.fingerprint(), &life);
+    let is_first = node.broken_off.borrow_mut().record(now, outgoing.fingerprint(), &incarnation);
     if is_first {
-        tokio::task::spawn_local(probe_target(Rc::clone(node), chosen.address, life));
+        tokio::task::spawn_local(probe_target(Rc::clone(node), chosen.address, incarnation));
     }
 }
 
 /// Asks a target's address whether anybody listens there.
-async fn probe_target<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: Life) {
+async fn probe_target<P: Platform>(
+    node: Rc<Node<P>>,
+    address: SocketAddr,
+    incarnation: TargetIncarnation,
+) {
     let mut refuses = node.pool.refuses_connections(address).await;
     if !refuses {
         sleep(PROBE_AGAIN_AFTER).await;
         refuses = node.pool.refuses_connections(address).await;
     }
     if refuses {
-        apply_outcome(&node, Fate::Ended(&life), "refused");
+        apply_outcome(&node, TargetOutcome::Ended(&incarnation), "refused");
     }
 }
 
@@ -102,34 +107,34 @@
 ) {
     match change {
         TargetChange::Left(id) if !entry.draining => {
-            apply_outcome(node, Fate::Gone { id }, "registry")
+            apply_outcome(node, TargetOutcome::Gone { id }, "registry")
         }
         TargetChange::Restarted(id) => {
-            let born_at_unix_ms = entry.started_at_unix_ms;
-            apply_outcome(node, Fate::Reborn { born_at_unix_ms, id }, "registry");
+            let started_at_unix_ms = entry.started_at_unix_ms;
+            apply_outcome(node, TargetOutcome::Restarted { started_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
     }
 }
 
-fn apply_outcome<P: Platform>(node: &Node<P>, fate: Fate<'_>, by: &'static str) {
+fn apply_outcome<P: Platform>(node: &Node<P>, outcome: TargetOutcome<'_>, by: &'static str) {
     if node.broken_off.borrow().is_empty() {
         return;
     }
-    let ended = node.broken_off.borrow_mut().take(UnixMs::from_wall_clock(), fate);
+    let ended = node.broken_off.borrow_mut().resolve(UnixMs::from_wall_clock(), outcome);
     if ended.is_empty() {
         return;
     }
     count(&node.metrics.targets_ended, by);
     let in_flight = ended.len();
-    for (fingerprint, life) in ended {
+    for (fingerprint, incarnation) in ended {
         node.note(
             "target_ended",
             json!({
-                "target": life.id, "born_at_unix_ms": life.born_at_unix_ms, "by": by,
+                "target": incarnation.id, "born_at_unix_ms": incarnation.started_at_unix_ms, "by": by,
                 "fingerprint": fingerprint.to_string(), "under_way": in_flight,
             }),
         );
-        super::ended(node, fingerprint, life);
+        super::ended(node, fingerprint, incarnation);
     }
 }
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -67,7 +67,7 @@
         }
         save_records(&node).await;
         expire_old(&node, is_first).await;
-        let blocked = node.quarantine.borrow().count_barred(UnixMs::from_wall_clock());
+        let blocked = node.quarantine.borrow().count_blocked(UnixMs::from_wall_clock());
         node.metrics.requests_barred.set(blocked as i64);
     }
 }
