--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -107,7 +107,7 @@
 ) {
     match change {
         TargetChange::Left(id) if !entry.draining => {
-            apply_outcome(node, TargetOutcome::Gone { id }, "registry")
+            apply_outcome(node, TargetOutcome::Gone { id }, "registry");
         }
         TargetChange::Restarted(id) => {
             let started_at_unix_ms = entry.started_at_unix_ms;
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -153,7 +153,7 @@
         Ok(Datagram::Changes { changes, subject }) => feed::told(node, subject, changes, from),
         Ok(Datagram::BatchEnded { batch }) => batches::on_batch_ended(node, &batch),
         Ok(Datagram::BatchOrphaned { batch, owner }) => {
-            batches::on_batch_orphaned(node, &batch, owner)
+            batches::on_batch_orphaned(node, &batch, owner);
         }
         Ok(Datagram::BatchOwned { batch, model, owner, work_tokens }) => {
             node.note_demand(model.as_deref(), work_tokens);
