--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting a submission: once, and kept before anyone is told.
+//! Accepting submissions: each id once, and written to the store before it is acknowledged.
 
 use super::keys::{
     Origin, Record, TRANSACTION_MAX_KEYS, encode, part_key, part_max_bytes, record_key,
@@ -22,35 +22,37 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Tries of an acceptance whose outcome is unknown; with the store's longest answer they take less
-/// than a trainer waits.
+/// Attempts at a write whose outcome is unknown. With the store's slowest answers they take less
+/// time than a trainer waits.
 pub(super) const STORE_ATTEMPTS: u32 = 3;
 
-/// How long the owner of a model may take to accept a batch before this node does it.
+/// How long the node that owns a model's batches may take to accept one before this node accepts it
+/// itself.
 pub(super) const PEER_SUBMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Debug)]
 pub(crate) enum Acceptance {
-    /// It is kept.
+    /// It is stored.
     Accepted,
-    /// Its id is that of another workspace's batch.
+    /// Its id belongs to a batch of another workspace.
     IdConflict,
-    /// The store could not be reached; the verdict says whether it may be kept.
+    /// The store could not be reached; the verdict says whether it may have been stored.
     Unknown(StoreRefusal),
 }
 
-/// The terms of a batch under a route.
-pub(super) fn terms(
+/// Returns the policy of a batch under a route. `slack_ms` is added to the time at which its items
+/// are given up.
+pub(super) fn policy(
     route: &Route,
     reward_attempts: u32,
     accepted_at: UnixMs,
     slack_ms: u64,
 ) -> BatchPolicy {
-    // Without a bound of the operator's, a batch is kept running for an hour.
+    // Without a limit set by the operator, a batch runs for up to an hour.
     const UNBOUNDED_MS: u64 = 3_600_000;
-    // An item that is not done after half of the time is one of the long ones: the mean takes a
-    // tenth of it.
+    // An item that is not done after half of the time is a long one: the mean item takes a tenth
+    // of it.
     const LONG_PARTS: u64 = 2;
     let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
@@ -72,10 +74,10 @@
     route.unwrap_or(0)
 }
 
-/// Has a submission accepted by the node that owns the batches of its model, else by this one.
+/// Submits to the node that owns the batches of the model, or accepts here if that node fails to.
 ///
-/// With one owner for a model, its runs share that node's connections and its view of each target's
-/// load, and a group that comes again finds the texts that were begun.
+/// With one owner for each model, its runs share that node's connections and its view of each
+/// target's load, and a group that is submitted again finds its output so far.
 pub(crate) async fn submit<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -94,17 +96,18 @@
         Ok(PeerAnswer::NoBatch) => return Acceptance::IdConflict,
         _ => {}
     }
-    // The batch is created once, whoever does it; so this node may try whatever became of the call.
+    // The store creates a batch only once, so this node may try whatever the outcome of the call.
     let PeerCall::Submit { origin, submission, .. } = call else {
-        unreachable!("it was made above")
+        unreachable!("the call was built as Submit above")
     };
     accept(node, id, origin, *submission).await
 }
 
-/// Accepts a submission: writes it to the store, and owns it.
+/// Accepts a submission: writes it to the store and becomes its owner.
 ///
-/// It goes on when nobody waits for it any more. Left halfway, the store would name this node as the
-/// owner of a batch that it does not run, and every later submission would be told that it is kept.
+/// It runs as a task of its own, which completes after the caller has left. Cancelled halfway, it
+/// would leave a record in the store that names this node as the owner of a batch that it does not
+/// run, and every later submission of it would be acknowledged.
 pub(crate) async fn accept<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -156,7 +159,7 @@
                     record_revision: revision,
                     results: Vec::new(),
                     submission,
-                    texts: Vec::new(),
+                    outputs: Vec::new(),
                 };
                 start_owning(node, id, source, accepted_at, 0, &[]);
                 return Acceptance::Accepted;
@@ -177,7 +180,7 @@
     Acceptance::Unknown(StoreRefusal { message, verdict })
 }
 
-/// The transaction that creates a batch: all of it or nothing, once.
+/// Builds the transaction that creates a batch: all of its keys or none, and only if it is new.
 pub(super) fn creation_transaction<P: Platform>(
     node: &Node<P>,
     id: &str,
@@ -197,7 +200,8 @@
     Ok(StoreCall::Transaction { deletes: Vec::new(), expected, puts })
 }
 
-/// The record is there already: of an earlier submission, or of our own call whose answer was lost.
+/// Handles a record that exists already: from an earlier submission, or from a call of this node
+/// whose answer was lost.
 pub(super) fn resolve_existing_record<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -219,7 +223,7 @@
                 record_revision: item.revision,
                 results: Vec::new(),
                 submission,
-                texts: Vec::new(),
+                outputs: Vec::new(),
             };
             start_owning(node, id, source, accepted_at, 0, &[]);
         } else {
@@ -232,7 +236,7 @@
     Acceptance::Accepted
 }
 
-/// Tells the owner that the store names of its batch: it may not know that its own call was done.
+/// Notifies the owner that the store names: it may not know that its own write was committed.
 fn notify_owner<P: Platform>(node: &Rc<Node<P>>, id: &str, owner: &Owner) {
     if peers::me(node).is_none_or(|me| me == *owner) {
         return;
@@ -247,18 +251,18 @@
     });
 }
 
-/// What a batch is opened from.
+/// What a local batch is built from.
 pub(super) struct BatchSource {
     pub(super) record: Record,
     pub(super) record_revision: u64,
-    /// Results that are not durable yet.
+    /// Results that are not stored yet.
     pub(super) results: Vec<ItemResult>,
     pub(super) submission: Submission,
-    /// What a former owner had of its items' texts.
-    pub(super) texts: Vec<(String, Progress)>,
+    /// The output that a former owner had of its items.
+    pub(super) outputs: Vec<(String, Progress)>,
 }
 
-/// Opens a batch as its owner and starts to run and to write it.
+/// Opens a batch as its owner and starts the tasks that write its results, copies and output.
 pub(super) fn start_owning<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -277,14 +281,14 @@
         node.note("batch_without_route", json!({ "request": id, "host": host }));
         return;
     };
-    let terms = terms(&route, reward_attempts(node, submission), accepted_at, slack_ms);
+    let policy = policy(&route, reward_attempts(node, submission), accepted_at, slack_ms);
     let mut line = json!({
         "request": id, "items": submission.items.len(), "model": submission.model,
         "step": submission.step, "oldest_version": submission.oldest_version,
         "target_groups": submission.target_groups, "chunks": chunks.len(),
         "record_revision": record_revision, "route": route.name,
     });
-    let (mut local, resumed) = build_local_batch(node, id, source, accepted_at, terms, chunks);
+    let (mut local, resumed) = build_local_batch(node, id, source, accepted_at, policy, chunks);
     local.taken_over = slack_ms > 0;
     line["resumed"] = json!(resumed);
     node.note("batch_owned", line);
@@ -308,18 +312,19 @@
     tokio::task::spawn_local(save_partial_outputs(Rc::clone(node), local));
 }
 
-/// Opens a batch with what is known of it; returns how many texts it goes on from.
+/// Builds a batch from what is known of it; returns with it how many items go on from earlier
+/// output.
 pub(super) fn build_local_batch<P: Platform>(
     node: &Node<P>,
     id: &str,
     source: BatchSource,
     accepted_at: UnixMs,
-    terms: BatchPolicy,
+    policy: BatchPolicy,
     chunks: &[Chunk],
 ) -> (LocalBatch, usize) {
-    let BatchSource { record, record_revision, results, submission, texts } = source;
+    let BatchSource { record, record_revision, results, submission, outputs } = source;
     let workspace = record.origin.workspace.as_deref();
-    let (mut batch, resumed) = restore_batch(node, workspace, submission, terms, chunks, texts);
+    let (mut batch, resumed) = restore_batch(node, workspace, submission, policy, chunks, outputs);
     for result in results {
         batch.record_result(clock::now(), result);
     }
@@ -341,28 +346,28 @@
     (local, resumed)
 }
 
-/// Opens a batch with what is durable of it, and with the texts that an earlier batch left of its
-/// items; returns how many of those fit.
+/// Opens a batch with its stored results, and with output that a former owner, a second run or an
+/// earlier batch left of its items; returns with it how many of these fit.
 pub(super) fn restore_batch<P: Platform>(
     node: &Node<P>,
     workspace: Option<&str>,
     submission: Submission,
-    terms: BatchPolicy,
+    policy: BatchPolicy,
     chunks: &[Chunk],
-    texts: Vec<(String, Progress)>,
+    outputs: Vec<(String, Progress)>,
 ) -> (Batch, usize) {
     let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
     let now = clock::now();
-    reusable_outputs.by_item.retain(|_, left| now.since_ms(left.since) < REUSABLE_OUTPUT_TTL_MS);
+    reusable_outputs.by_item.retain(|_, left| now.since_ms(left.ended_at) < REUSABLE_OUTPUT_TTL_MS);
     reusable_outputs.groups.retain(|_, at| now.since_ms(*at) < REUSABLE_OUTPUT_TTL_MS);
     let ids: Vec<String> = submission.items.iter().map(|item| item.id.clone()).collect();
     let mut batch =
-        Batch::open(submission, terms, |group| reusable_outputs.groups.contains_key(group));
+        Batch::open(submission, policy, |group| reusable_outputs.groups.contains_key(group));
     for chunk in chunks {
         batch.merge(chunk);
     }
     let mut resumed = 0;
-    for (id, progress) in texts {
+    for (id, progress) in outputs {
         resumed += usize::from(batch.resume_from(&id, progress));
     }
     for id in ids {
@@ -371,7 +376,9 @@
             let fits = batch.resume_from(&id, progress);
             node.note(
                 "second_run_taken",
-                json!({ "request": id, "last_event": last_event, "versions": versions, "fits": fits }),
+                json!({
+                    "request": id, "last_event": last_event, "versions": versions, "fits": fits,
+                }),
             );
             if fits {
                 reusable_outputs.take(&id, workspace);
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -1,4 +1,4 @@
-//! Ending a batch, and forgetting it when nobody reads it any more.
+//! Ending a batch, and deleting it from the store once its retention is over.
 
 use super::LocalBatch;
 use super::accept::STORE_ATTEMPTS;
@@ -22,13 +22,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long after it was told first an end is told again.
+/// Pause between two broadcasts of the same end.
 pub(super) const END_NOTICE_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How long a settled batch is kept for readers.
+/// How long a settled batch stays readable.
 pub(super) const SETTLED_RETENTION_MS: u64 = 180_000;
 
-/// Ends a batch that this node owns: at once here, then in the store, then confirmed.
+/// Ends a batch that this node owns: stops its runs, then writes the end to the store, and only
+/// then confirms it.
 pub(crate) async fn end_owned<P: Platform>(
     node: &Rc<Node<P>>,
     batch: &str,
@@ -90,7 +91,7 @@
     PeerAnswer::Unavailable
 }
 
-/// Ends any batch.
+/// Ends a batch, whichever node owns it; writes the end itself where the owner cannot be reached.
 pub(crate) async fn end<P: Platform>(node: &Rc<Node<P>>, batch: &str, scope: &Scope) -> Lookup<()> {
     match end_owned(node, batch, scope).await {
         PeerAnswer::Ended => return Lookup::Found(()),
@@ -130,8 +131,9 @@
     }
 }
 
-/// Tells all nodes that a batch is ended: one that owned it may live, cut off from the store or
-/// from us alone, and would run items on that nobody wants. Datagrams are lost at times.
+/// Notifies all nodes that a batch is ended. A former owner may be alive but cut off from the store
+/// or from this node, and would go on running items that are no longer wanted. Sent several times,
+/// because datagrams get lost.
 pub(super) fn broadcast_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     const TIMES: u32 = 3;
     let datagram = Datagram::BatchEnded { batch: batch.to_owned() };
@@ -144,7 +146,7 @@
     });
 }
 
-/// Gives up items whose time is over, and forgets batches that nobody reads any more.
+/// Deletes owned batches that were settled longer ago than [`SETTLED_RETENTION_MS`].
 pub(super) async fn delete_expired<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
     let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
--- a/crates/serve/src/batches/keys.rs
+++ b/crates/serve/src/batches/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of a batch in the store, and what stands under them.
+//! The keys of a batch in the store, and the encoding of their values.
 
 use crate::feed;
 use crate::node::Node;
@@ -10,42 +10,41 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Keys of the records, by batch.
+/// Prefix of the records' keys; the batch's id follows.
 pub(super) const RECORD_PREFIX: &str = "cm/h/";
 
-/// Keys of submissions and results, by batch.
+/// Prefix of the keys of submissions, results and partial output; the batch's id follows.
 pub(super) const DATA_PREFIX: &str = "cm/d/";
 
-/// The part of a value's allowed size that we use; the rest is for its framing.
+/// The part of a value's allowed size that is used; the rest is left for its framing.
 pub(super) const VALUE_FILL_PERCENT: usize = 70;
 
-/// Keys that one transaction may change.
+/// The most keys that one transaction may change.
 pub(super) const TRANSACTION_MAX_KEYS: usize = 30;
 
-/// By which request a batch was submitted, and for whom.
+/// The request that submitted a batch, and its workspace.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Origin {
-    /// The host.
     pub host: String,
-    /// The path.
     pub path: String,
-    /// The workspace; none where the configuration asked for no key.
+    /// The workspace; none where the configuration required no key.
     pub workspace: Option<String>,
 }
 
-/// Whose batches a call may see.
+/// The batches that a call may access.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Scope {
-    /// Everybody's: the configuration asks for no keys.
+    /// All batches: the configuration requires no keys.
     All,
-    /// Those that were submitted without a key.
+    /// Batches that were submitted without a key.
     Public,
-    /// The same, and those of a workspace.
+    /// The same, and the batches of a workspace.
     Workspace(String),
 }
 
 impl Scope {
-    /// Tells whether it covers a batch. One that it does not cover is answered for as if there were none.
+    /// Returns whether it covers a batch. Calls about a batch that it does not cover are answered
+    /// as if the batch did not exist.
     pub(super) fn covers(&self, origin: &Origin) -> bool {
         match (self, &origin.workspace) {
             (Self::All, _) | (_, None) => true,
@@ -55,7 +54,7 @@
     }
 }
 
-/// What the store holds first of a batch.
+/// The record of a batch in the store: its owner, its origin and whether it is ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Record {
     pub(super) accepted_at_unix_ms: u64,
@@ -132,7 +131,7 @@
     }
 }
 
-/// How a write of a record went.
+/// The outcome of writing a record: written at a revision, or found changed to another record.
 pub(super) enum RecordWrite {
     Changed(Record, u64),
     Done(u64),
@@ -167,14 +166,14 @@
     }
 }
 
-/// What the store keeps of a batch.
+/// The stored state of a batch, apart from its record.
 pub(super) struct StoredBatch {
     pub(super) chunks: Vec<Chunk>,
     pub(super) submission: Submission,
-    pub(super) texts: Vec<(String, Progress)>,
+    pub(super) outputs: Vec<(String, Progress)>,
 }
 
-/// Reads a submission, its results and the texts that were begun from the store.
+/// Reads a batch's submission, results and partial output from the store.
 pub(super) async fn read_stored_batch<P: Platform>(
     node: &Node<P>,
     batch: &str,
@@ -183,17 +182,17 @@
     let (chunk_prefix, outputs_key) = (chunk_prefix(batch), outputs_key(batch));
     let (chunks, others): (Vec<StoredItem>, Vec<StoredItem>) =
         items.into_iter().partition(|item| item.key.starts_with(&chunk_prefix));
-    let (texts, parts): (Vec<StoredItem>, Vec<StoredItem>) =
+    let (outputs, parts): (Vec<StoredItem>, Vec<StoredItem>) =
         others.into_iter().partition(|item| item.key == outputs_key);
     let body: Vec<u8> = parts.into_iter().flat_map(|part| part.value).collect();
     let submission = postcard::from_bytes(&body).map_err(|error| StoreRefusal {
         message: format!("batch {batch}: {error}"),
         verdict: Verdict::Ran,
     })?;
-    let texts = texts.first().and_then(|item| {
-        let texts = postcard::from_bytes(&item.value);
-        texts.inspect_err(|error| report_unreadable(node, item, error)).ok()
+    let outputs = outputs.first().and_then(|item| {
+        let outputs = postcard::from_bytes(&item.value);
+        outputs.inspect_err(|error| report_unreadable(node, item, error)).ok()
     });
-    let texts = texts.unwrap_or_default();
-    Ok(StoredBatch { chunks: decode_chunks(node, &chunks), submission, texts })
+    let outputs = outputs.unwrap_or_default();
+    Ok(StoredBatch { chunks: decode_chunks(node, &chunks), submission, outputs })
 }
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -1,8 +1,11 @@
-//! Batch submissions: accepted once, kept in the store, listed, read at every node, ended.
+//! Batches: acceptance, storage, results and end.
 //!
-//! What must outlive every process is written before anyone is told of it: the submission before
-//! its acceptance, results before a reader sees them, the end before it is confirmed. The record of
-//! a batch names its owner; a change of the record is how an owner learns that it is no longer one.
+//! One node, the owner, runs the items of a batch and writes its results to the store; every node
+//! serves reads. State that must survive all processes is written to the store before it is
+//! acknowledged: the submission before it is accepted, results before a reader sees them, the end
+//! before it is confirmed. A result that is stored has a fixed position among the batch's results;
+//! such results are called listed. The batch's record names its owner, and every write of the owner
+//! expects the record's revision, so a former owner learns of its replacement from a conflict.
 
 mod accept;
 mod end;
@@ -35,70 +38,69 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// How long texts of ended batches are kept: a trainer that asks for a group again does so within
-/// a few steps.
+/// How long generated output of ended batches is kept: a trainer that submits a group again does so
+/// within a few steps.
 const REUSABLE_OUTPUT_TTL_MS: u64 = 30_000;
 
-/// How long after it was told of an owner a node takes the batch for one that may be open: more than
-/// two steps of a trainer. Older ones are left to the nodes that search the store.
+/// How long a batch is assumed to be open after its owner was reported: longer than two steps of a
+/// trainer. Older batches are left to the nodes that search the store.
 const ASSUMED_OPEN_MS: u64 = 30_000;
 
-/// A batch that this node owns.
+/// A batch whose items this node runs, as its owner or in the interim until it has one.
 #[derive(Debug)]
 pub(crate) struct LocalBatch {
-    /// When it was accepted, by our clock.
+    /// When it was accepted, by this node's clock.
     pub accepted_at: UnixMs,
     /// The items and results.
     pub batch: Batch,
-    /// Wakes readers.
+    /// Wakes readers that wait for results.
     pub changed: Rc<Notify>,
-    /// Wakes the writer.
+    /// Wakes the task that writes results.
     pub finished: Rc<Notify>,
-    /// The last target of each group.
+    /// The target on which an item of each group ran last.
     pub group_targets: IndexMap<String, String>,
     record: Record,
     record_revision: u64,
-    /// Its id.
     pub id: String,
-    /// Whether another may have taken it meanwhile; until the store was asked, nothing is said of
-    /// it. A paused owner would otherwise show fewer results than its successor has listed.
+    /// Whether ownership has to be verified with the store before reads are answered. An owner that
+    /// was paused and replaced would otherwise show fewer results than its successor has listed.
     unverified: bool,
-    /// Whether this node still owns it.
+    /// Whether this node owns it.
     pub owned: bool,
     /// The runs in progress, by the item's index.
     pub runs: IndexMap<usize, Run>,
     settled_at: Option<UnixMs>,
-    /// Whether it had an owner before, who may live.
+    /// Whether it had another owner before, which may still be alive.
     taken_over: bool,
 }
 
 impl LocalBatch {
-    /// Returns by which request it was submitted, and for whom.
+    /// Returns the request that submitted it and its workspace.
     pub(crate) const fn origin(&self) -> &Origin {
         &self.record.origin
     }
 
-    /// Tells whether this node owns it and has something of it to run.
+    /// Returns whether this node owns it and it has items left to run.
     fn is_running(&self) -> bool {
         self.owned && !self.batch.is_ended() && !self.batch.is_settled()
     }
 
-    /// Returns what runs of at least this age hold of their texts, by item, and the texts of items
-    /// that are finished but not durable.
+    /// Returns the output so far of runs of at least this age, by item, and the output of items
+    /// that are finished but not listed.
     fn partial_outputs(&self, min_age_ms: u64) -> Vec<(String, Progress)> {
         let now = clock::now();
         let items = &self.batch.submission().items;
-        let old = |run: &Run| now.since_ms(run.started_at) >= min_age_ms;
-        let begun = |run: &Run| run.progress.borrow().is_started();
+        let is_old = |run: &Run| now.since_ms(run.started_at) >= min_age_ms;
+        let is_started = |run: &Run| run.progress.borrow().is_started();
         let running = self
             .runs
             .iter()
-            .filter(|(_, run)| old(run) && begun(run))
+            .filter(|(_, run)| is_old(run) && is_started(run))
             .map(|(index, run)| (items[*index].id.clone(), run.progress.borrow().clone()));
         running.chain(self.batch.unlisted_texts()).collect()
     }
 
-    /// Stops all runs; what they hold of their texts stays.
+    /// Stops all runs; their output so far is kept.
     fn stop_runs(&mut self) {
         let indices: Vec<usize> = self.runs.keys().copied().collect();
         for index in indices {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Stops one run; its item waits again, with what is held of its text.
+    /// Stops one run; its item waits again, with its output so far.
     pub(crate) fn stop_run(&mut self, index: usize) {
         let Some(run) = self.runs.swap_remove(&index) else { return };
         run.task.abort();
@@ -118,35 +120,34 @@
 /// A run of an item in progress.
 #[derive(Debug)]
 pub(crate) struct Run {
-    /// When it began.
+    /// When it started.
     pub started_at: UnixMs,
-    /// What is held of the text.
+    /// The output so far.
     pub progress: Rc<RefCell<Progress>>,
-    /// Whether its text is whole and it is being scored.
+    /// Whether its output is complete and it is being scored.
     pub scoring: bool,
-    /// The target.
+    /// The id of the target.
     pub target: String,
-    /// Its task.
     pub task: AbortHandle,
 }
 
-/// What ended batches left of their items' texts.
+/// Generated output of ended batches, which a later batch with the same items goes on from.
 #[derive(Debug, Default)]
 struct ReusableOutputs {
     groups: IndexMap<String, UnixMs>,
     by_item: IndexMap<String, ReusableOutput>,
 }
 
-/// What an ended batch left of an item's text.
+/// Output of one item of an ended batch.
 #[derive(Debug)]
 struct ReusableOutput {
     progress: Progress,
-    since: UnixMs,
+    ended_at: UnixMs,
     workspace: Option<String>,
 }
 
 impl ReusableOutputs {
-    /// Takes what is left of an item's text by a batch of the same workspace.
+    /// Removes and returns an item's output, if a batch of the same workspace left it.
     fn take(&mut self, item: &str, workspace: Option<&str>) -> Option<Progress> {
         let left = self.by_item.get(item)?;
         if left.workspace.as_deref() != workspace {
@@ -156,11 +157,11 @@
     }
 }
 
-/// The owner of a batch, as this node was told.
+/// The owner of a batch, as reported to this node.
 #[derive(Clone, Debug)]
 struct ReportedOwner {
     owner: Owner,
-    /// When it was told first; none once the batch is known to be ended.
+    /// When it was reported first; none once the batch is known to be ended.
     reported_at: Option<UnixMs>,
 }
 
@@ -171,15 +172,16 @@
     pub lookahead: RefCell<Lookahead>,
     owned: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
     owners: RefCell<IndexMap<String, ReportedOwner>>,
-    /// Runs of items for batches to come.
+    /// Runs of items ahead of the batch in which they are expected again.
     pub second_runs: SecondRuns,
     pub standby: Standby,
     takeovers: RefCell<IndexSet<String>>,
-    /// Wakes the search for batches without an owner.
+    /// Wakes the search for orphaned batches.
     pub orphaned: Notify,
     started_at: Cell<UnixMs>,
-    /// Whether the last search could not read the store; it is made up for as soon as the store is
-    /// back, or the batches of a node that died meanwhile stand still for the rest of a sweep.
+    /// Whether the last search could not read the store. It is repeated as soon as the store is
+    /// available again; otherwise batches of a node that died meanwhile would wait for the next
+    /// sweep.
     search_failed: Cell<bool>,
 }
 
@@ -193,48 +195,48 @@
         owners.insert(batch.to_owned(), ReportedOwner { owner, reported_at });
     }
 
-    /// Takes that a batch is ended: nobody needs to run it any more.
+    /// Records that a batch is ended, so that no node has to run it.
     fn note_ended(&self, batch: &str) {
         if let Some(reported) = self.owners.borrow_mut().get_mut(batch) {
             reported.reported_at = None;
         }
     }
 
-    /// Tells whether a batch is known to be ended.
+    /// Returns whether a batch is known to be ended.
     fn is_ended(&self, batch: &str) -> bool {
         self.owners.borrow().get(batch).is_some_and(|reported| reported.reported_at.is_none())
     }
 
-    /// Returns the owner of a batch, as far as this node was told.
+    /// Returns the owner of a batch, if one was reported to this node.
     fn owner_of(&self, batch: &str) -> Option<Owner> {
         self.owners.borrow().get(batch).map(|reported| reported.owner.clone())
     }
 
     /// Returns the batches that may be open, with their owners.
     fn recently_reported_owners(&self, now: UnixMs) -> Vec<(String, Owner)> {
-        let lately = |reported: &ReportedOwner| {
+        let is_recent = |reported: &ReportedOwner| {
             reported
                 .reported_at
                 .is_some_and(|reported_at| now.since_ms(reported_at) < ASSUMED_OPEN_MS)
         };
         let owners = self.owners.borrow();
-        let reported = owners.iter().filter(|(_, reported)| lately(reported));
+        let reported = owners.iter().filter(|(_, reported)| is_recent(reported));
         reported.map(|(id, reported)| (id.clone(), reported.owner.clone())).collect()
     }
 
-    /// Returns where the owners of the batches known are reached.
+    /// Returns the addresses of the owners of all known batches.
     pub(crate) fn owner_addresses(&self) -> IndexSet<SocketAddr> {
         self.owners.borrow().values().map(|reported| reported.owner.address).collect()
     }
 
-    /// Takes the store's return: a search that failed meanwhile is made again.
+    /// Repeats a search that failed while the store was unavailable.
     pub(crate) fn store_returned(&self) {
         if self.search_failed.replace(false) {
             self.orphaned.notify_one();
         }
     }
 
-    /// Takes the opening of a batch: how many steps its trainer has open.
+    /// Records, when a batch opens, which steps of its model are open.
     fn note_opening(&self, submission: &Submission) {
         let (Some(model), Some(step)) = (&submission.model, submission.step) else { return };
         let open = self.open();
@@ -246,7 +248,7 @@
         self.lookahead.borrow_mut().batch_opened(model, step, steps);
     }
 
-    /// Stops all runs at a target; their items go on elsewhere, with what is held of their texts.
+    /// Stops all runs on a target; their items continue elsewhere from their output so far.
     pub(crate) fn stop_runs_at(&self, target: &str) {
         let owned: Vec<Rc<RefCell<LocalBatch>>> = self.owned.borrow().values().cloned().collect();
         for local in owned.into_iter().chain(self.standby.interim()) {
@@ -265,7 +267,7 @@
         self.owned.borrow().get(batch).cloned()
     }
 
-    /// Returns the owned batches that have something left to run, the most urgent first.
+    /// Returns the owned batches that have items left to run, the most urgent first.
     pub(crate) fn open(&self) -> Vec<Rc<RefCell<LocalBatch>>> {
         let mut open: Vec<Rc<RefCell<LocalBatch>>> = self
             .owned
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -1,4 +1,4 @@
-//! How an owner learns that it is one no more, or that its batch is ended.
+//! How an owner learns that it was replaced, or that its batch is ended.
 
 use super::keys::{Record, read_record};
 use super::write::RETRY_PAUSE;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Keeps what an ended batch leaves of its items: a later one may ask for the same ones.
+/// Retains the output of an ended batch for a later batch that contains the same items.
 pub(super) fn retain_reusable_outputs<P: Platform>(node: &Node<P>, local: &mut LocalBatch) {
     let now = clock::now();
     let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
@@ -28,11 +28,12 @@
         .stop_where(|second| second.batch == local.id && !is_untaken(&second.item));
     for (id, progress) in local.batch.take_progress() {
         let workspace = local.record.origin.workspace.clone();
-        reusable_outputs.by_item.insert(id, ReusableOutput { progress, since: now, workspace });
+        reusable_outputs.by_item.insert(id, ReusableOutput { progress, ended_at: now, workspace });
     }
 }
 
-/// Takes a batch's record as it stands in the store.
+/// Applies a batch's record as found in the store: stops the batch if it is ended, and gives it up
+/// if it has another owner.
 pub(super) fn apply_record<P: Platform>(
     node: &Node<P>,
     local: &RefCell<LocalBatch>,
@@ -59,7 +60,8 @@
     local.record = record;
 }
 
-/// Takes the word that a batch has another owner: asks the store whether it is so.
+/// Handles a report that a batch has another owner; verifies it with the store if this node owns
+/// the batch.
 pub(crate) fn on_owner_reported<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     match node.batches.get(batch) {
         Some(local) => verify_ownership(node, &local),
@@ -67,7 +69,7 @@
     }
 }
 
-/// Takes the word that a batch is ended, which is only given once that is durable.
+/// Handles a report that a batch is ended; such reports are sent only after the end is stored.
 pub(crate) fn on_batch_ended<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     node.batches.note_ended(batch);
     node.batches.standby.discard(batch);
@@ -80,7 +82,7 @@
     verify_ownership(node, &local);
 }
 
-/// Stops a batch: nothing of it runs any more, and what it has of its texts is kept.
+/// Ends a batch locally: stops its runs and retains their output.
 pub(super) fn stop_batch<P: Platform>(node: &Node<P>, local: &mut LocalBatch) {
     local.batch.end();
     local.stop_runs();
@@ -89,8 +91,8 @@
     local.changed.notify_waiters();
 }
 
-/// Asks the store whether this node still owns its batches, after a sign that others may have
-/// taken it for dead.
+/// Verifies with the store that this node still owns its batches, after a sign that others may have
+/// considered it dead.
 pub(crate) fn verify_ownership_of_all<P: Platform>(node: &Rc<Node<P>>) {
     let all: Vec<Rc<RefCell<LocalBatch>>> = node.batches.owned.borrow().values().cloned().collect();
     node.note("ownership_doubted", json!({ "batches": all.len() }));
@@ -99,6 +101,7 @@
     }
 }
 
+/// Reads a batch's record in a task, and repeats until the store answers.
 pub(super) fn verify_ownership<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
     if std::mem::replace(&mut local.borrow_mut().unverified, true) {
         return;
--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -1,4 +1,4 @@
-//! Reading results and bodies of any batch at any node.
+//! Reads of results and item bodies, of any batch at any node.
 
 use super::keys::{Record, Scope, chunk_prefix, decode_chunks, read_record, read_stored_batch};
 use crate::clock;
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Most results in one answer.
+/// Most bytes of results in one answer.
 pub(super) const PAGE_MAX_BYTES: usize = 900_000;
 
-/// What a call to an owner may take beyond its wait.
+/// How long a call to an owner may take beyond the wait that it asks for.
 pub(super) const OWNER_CALL_SLACK: Duration = Duration::from_millis(700);
 
-/// Reads results of a batch that this node owns; waits up to `wait_ms` for the first.
+/// Reads results of a batch that this node owns; waits up to `wait_ms` for the first one.
 pub(crate) async fn read_owned<P: Platform>(
     node: &Rc<Node<P>>,
     batch: &str,
@@ -50,23 +50,24 @@
             }
         }
         let left_ms = until.since_ms(clock::now());
-        // Over or not, the page is looked at once more.
+        // After a time-out too, the page is checked once more.
         drop(timeout(Duration::from_millis(left_ms), changed).await);
     }
 }
 
-/// What is known of a batch that a caller asks for.
+/// The answer to a call about a batch.
 #[derive(Clone, Debug)]
 pub(crate) enum Lookup<T> {
-    /// It is there.
+    /// The batch or item exists.
     Found(T),
-    /// No such batch, or item, exists.
+    /// No such batch or item exists.
     Missing,
-    /// That cannot be told now.
+    /// The answer is not available now, for this reason; the call may be repeated.
     Unavailable(String),
 }
 
-/// Reads results of any batch.
+/// Reads results of a batch: from its owner, or from the store where the owner cannot be reached.
+/// Returns the number of its items and a page of results.
 pub(crate) async fn read<P: Platform>(
     node: &Rc<Node<P>>,
     batch: &str,
@@ -116,16 +117,17 @@
         .collect()
 }
 
-/// What came of asking a batch's owner.
+/// The outcome of a call to a batch's owner.
 pub(super) enum OwnerReply {
     Answer(PeerAnswer),
-    /// The owner cannot be asked; this is the batch's record and its revision.
+    /// The owner cannot be reached or is not the owner; this is the batch's record and its
+    /// revision.
     Record(Record, u64),
     Missing,
     Unavailable(String),
 }
 
-/// Asks the owner that this node was told of, else the one that the store names.
+/// Calls the owner that was reported to this node, or else the one that the store names.
 pub(super) async fn ask_owner<P: Platform>(
     node: &Rc<Node<P>>,
     batch: &str,
@@ -153,6 +155,8 @@
     OwnerReply::Record(record, revision)
 }
 
+/// Calls an owner; none if it is this node or dead, does not answer, or says that it is not the
+/// owner.
 pub(super) async fn call_owner<P: Platform>(
     node: &Rc<Node<P>>,
     owner: &Owner,
@@ -179,7 +183,7 @@
     }
 }
 
-/// Reads the body of an item of a batch that this node owns.
+/// Returns the body of an item of a batch that this node owns.
 pub(crate) fn item_body_owned<P: Platform>(
     node: &Node<P>,
     batch: &str,
@@ -197,7 +201,8 @@
     }
 }
 
-/// Reads the body of an item of any batch.
+/// Reads the body of an item of a batch: from its owner, or from the store where the owner cannot
+/// be reached.
 pub(crate) async fn item_body<P: Platform>(
     node: &Rc<Node<P>>,
     batch: &str,
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -1,18 +1,18 @@
-//! Copies of open batches at the node that would follow their owner.
+//! Copies of open batches at the node that would succeed their owner.
 //!
-//! *The death of an owner while the store is away stops its steps.* Nobody may own a batch, or list a
-//! result of it, that the store has not acknowledged; so all its items waited for the store's return,
-//! and it would be noticed as steps that wait for as long as the outage (10.3 s of a step's 12.4 s).
-//! But runs need no owner. The owner sends what was submitted to the node that is first in rank to
-//! follow it, which holds it in memory. When it takes the batch and the store does not answer, it runs
-//! the items meanwhile; what it has of their texts goes on as soon as the batch has an owner. It is also
-//! sent what is new of the texts in progress: without, a step whose longest text was three seconds old
-//! ended two seconds later.
+//! They keep steps going when an owner dies while the store is unavailable. Ownership and results
+//! need the store's acknowledgement, so without copies all items of the batch would wait for the
+//! store to return (10.3 s of a step's 12.4 s). Runs need no owner, though. The owner sends the
+//! submission to the node that is first in rank to succeed it, which keeps it in memory. If the
+//! store does not answer when that node takes the batch over, it runs the items in the interim, and
+//! their output is used as soon as the batch has an owner. The owner also sends updates of the
+//! output of runs in progress: without them, a step whose longest output was 3 s old ended 2 s
+//! later.
 //!
-//! A copy is soft state: it is lost without harm, and nothing of it is listed or shown. An owner that
-//! turns out to live, the end of the batch or another owner stop the runs.
+//! A copy is soft state: losing it does no harm, and none of its results are listed or shown. The
+//! interim runs stop when the owner proves to be alive, the batch is ended or it has another owner.
 
-use super::accept::{BatchSource, build_local_batch, reward_attempts, terms};
+use super::accept::{BatchSource, build_local_batch, policy, reward_attempts};
 use super::keys::Record;
 use super::takeover::SKEW_MAX_MS;
 use super::write::SAVE_MIN_RUN_AGE_MS;
@@ -31,37 +31,37 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long the other node may take to accept a copy of some hundred KB.
+/// How long the other node may take to accept a copy, which has some hundred KB.
 const COPY_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often what is new of the texts is sent. Each byte is sent once, so this is what a text loses with
-/// its owner, and a call each 0.6 s for each open batch.
+/// How often new output is sent. Each byte is sent once, so an output loses at most this time with
+/// its owner, at the price of a call every 0.6 s for each open batch.
 const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
-/// What was submitted, and the record under which it is kept.
+/// A submission, and the batch's record.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct BatchCopy {
     record: Record,
     submission: Submission,
 }
 
-/// A copy, and when it came.
+/// A copy as received.
 #[derive(Debug)]
 struct ReceivedCopy {
     copy: BatchCopy,
-    since: UnixMs,
-    texts: CopiedTexts,
+    received_at: UnixMs,
+    outputs: CopiedTexts,
 }
 
-/// What came of a batch's items while it had no owner.
+/// What interim runs produced while a batch had no owner.
 #[derive(Debug, Default)]
 pub(super) struct InterimProgress {
-    /// Results with their scores; asked for again, they cost the step another 0.2 to 0.8 s.
+    /// Results with their scores; scoring them again would cost the step another 0.2 to 0.8 s.
     pub(super) results: Vec<ItemResult>,
-    /// The texts of the others, as far as they are.
-    pub(super) texts: Vec<(String, Progress)>,
+    /// The output so far of the other items.
+    pub(super) outputs: Vec<(String, Progress)>,
 }
 
-/// The copies that this node holds, and the batches of which it runs items without owning them.
+/// The copies that this node holds, and the batches whose items it runs without owning them.
 #[derive(Debug, Default)]
 pub(crate) struct Standby {
     copies: RefCell<IndexMap<String, ReceivedCopy>>,
@@ -69,28 +69,28 @@
 }
 
 impl Standby {
-    /// Returns the batches of which items run here until they have an owner.
+    /// Returns the batches whose items run here until the batch has an owner.
     pub(crate) fn interim(&self) -> Vec<Rc<RefCell<LocalBatch>>> {
         self.interim.borrow().values().cloned().collect()
     }
 
-    /// Returns the ids of these batches.
+    /// Returns the ids of the batches in [`Self::interim`].
     pub(super) fn interim_ids(&self) -> Vec<String> {
         self.interim.borrow().keys().cloned().collect()
     }
 
-    /// Stops the interim runs of a batch and returns what came of them.
+    /// Stops the interim runs of a batch and returns what they produced.
     pub(super) fn stop_interim(&self, batch: &str) -> InterimProgress {
-        let Some(held) = self.interim.borrow_mut().swap_remove(batch) else {
+        let Some(local) = self.interim.borrow_mut().swap_remove(batch) else {
             return InterimProgress::default();
         };
-        let mut held = held.borrow_mut();
-        held.stop_runs();
-        let results = held.batch.take_completed();
-        InterimProgress { results, texts: held.batch.take_progress() }
+        let mut local = local.borrow_mut();
+        local.stop_runs();
+        let results = local.batch.take_completed();
+        InterimProgress { results, outputs: local.batch.take_progress() }
     }
 
-    /// Forgets a batch: it is ended, or has an owner that lives.
+    /// Drops the copy and the interim runs of a batch that is ended or has a live owner.
     pub(super) fn discard(&self, batch: &str) {
         self.copies.borrow_mut().swap_remove(batch);
         drop(self.stop_interim(batch));
@@ -98,57 +98,61 @@
 
     fn insert_copy(&self, now: UnixMs, batch: String, copy: BatchCopy) {
         let mut copies = self.copies.borrow_mut();
-        copies.retain(|_, held| now.since_ms(held.since) < ASSUMED_OPEN_MS);
-        copies.insert(batch, ReceivedCopy { copy, since: now, texts: CopiedTexts::default() });
+        copies.retain(|_, copy| now.since_ms(copy.received_at) < ASSUMED_OPEN_MS);
+        copies.insert(
+            batch,
+            ReceivedCopy { copy, received_at: now, outputs: CopiedTexts::default() },
+        );
     }
 }
 
-/// Sends a copy of a batch to the node that would follow this one as its owner, and what is new of its
-/// texts for as long as it is open.
-pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, held: Rc<RefCell<LocalBatch>>) {
-    let id = held.borrow().id.clone();
+/// Sends a copy of a batch to the node that would succeed this one as its owner, and then its new
+/// output for as long as it is open.
+pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, local: Rc<RefCell<LocalBatch>>) {
+    let id = local.borrow().id.clone();
     let mut sent = SentTexts::default();
     let mut sent_to = None;
     loop {
-        if !held.borrow().is_running() {
+        if !local.borrow().is_running() {
             return;
         }
         let Some(successor) = peers::successor_for(&node, &id) else { return };
         if sent_to.as_ref() != Some(&successor) {
             sent.forget();
-            let sent = send_copy(&node, &held, &successor).await;
-            sent_to = sent.then_some(successor);
-        } else if !send_outputs(&node, &held, &successor, &mut sent).await {
+            let accepted = send_copy(&node, &local, &successor).await;
+            sent_to = accepted.then_some(successor);
+        } else if !send_outputs(&node, &local, &successor, &mut sent).await {
             sent_to = None;
         }
         sleep(COPY_INTERVAL).await;
     }
 }
 
-async fn send_copy<P: Platform>(node: &Node<P>, held: &RefCell<LocalBatch>, to: &Owner) -> bool {
+async fn send_copy<P: Platform>(node: &Node<P>, local: &RefCell<LocalBatch>, to: &Owner) -> bool {
     let (batch, copy) = {
-        let held = held.borrow();
-        let submission = held.batch.submission().clone();
-        (held.id.clone(), Box::new(BatchCopy { record: held.record.clone(), submission }))
+        let local = local.borrow();
+        let submission = local.batch.submission().clone();
+        (local.id.clone(), Box::new(BatchCopy { record: local.record.clone(), submission }))
     };
     send_to_standby(node, to, &batch, &PeerCall::KeepCopy { batch: batch.clone(), copy }).await
 }
 
 async fn send_outputs<P: Platform>(
     node: &Node<P>,
-    held: &RefCell<LocalBatch>,
+    local: &RefCell<LocalBatch>,
     to: &Owner,
     sent: &mut SentTexts,
 ) -> bool {
-    let texts = sent.updates(&held.borrow().partial_outputs(SAVE_MIN_RUN_AGE_MS));
-    if texts.is_empty() {
+    let outputs = sent.updates(&local.borrow().partial_outputs(SAVE_MIN_RUN_AGE_MS));
+    if outputs.is_empty() {
         return true;
     }
-    let batch = held.borrow().id.clone();
-    send_to_standby(node, to, &batch, &PeerCall::KeepTexts { batch: batch.clone(), texts }).await
+    let batch = local.borrow().id.clone();
+    send_to_standby(node, to, &batch, &PeerCall::KeepTexts { batch: batch.clone(), texts: outputs })
+        .await
 }
 
-/// Asks the other node to keep something; returns whether it does.
+/// Calls the other node; returns whether it accepted.
 async fn send_to_standby<P: Platform>(
     node: &Node<P>,
     to: &Owner,
@@ -165,7 +169,7 @@
     }
 }
 
-/// Keeps a copy for the owner of a batch, unless the word of its end came first.
+/// Stores the copy that an owner sent, unless the batch is known to be ended.
 pub(crate) fn accept_copy<P: Platform>(node: &Node<P>, batch: String, copy: BatchCopy) {
     if node.batches.is_ended(&batch) {
         return;
@@ -174,17 +178,17 @@
     node.batches.standby.insert_copy(clock::now(), batch, copy);
 }
 
-/// Keeps what is new of the texts of a copied batch; returns false when something before is missing.
+/// Adds new output to a copy; returns false if an earlier part is missing.
 pub(crate) fn accept_copied_outputs<P: Platform>(
     node: &Node<P>,
     batch: &str,
-    texts: Vec<TextUpdate>,
+    outputs: Vec<TextUpdate>,
 ) -> bool {
     let mut copies = node.batches.standby.copies.borrow_mut();
-    copies.get_mut(batch).is_some_and(|held| held.texts.apply(texts))
+    copies.get_mut(batch).is_some_and(|copy| copy.outputs.apply(outputs))
 }
 
-/// Tells the node that holds the copy of a batch that it is ended.
+/// Notifies the node that holds the copy of a batch that the batch is ended.
 pub(super) fn notify_standby<P: Platform>(node: &Node<P>, batch: &str) {
     if let Some(successor) = peers::successor_for(node, batch) {
         let datagram = Datagram::BatchEnded { batch: batch.to_owned() };
@@ -192,10 +196,10 @@
     }
 }
 
-/// Runs the items of a batch whose owner is dead until the store names another, if there is a copy.
+/// Runs the items of a batch whose owner is dead until it has another one, if it has a copy.
 pub(super) fn start_interim<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     let copy = node.batches.standby.copies.borrow_mut().swap_remove(batch);
-    let Some(ReceivedCopy { copy: BatchCopy { record, submission }, texts, .. }) = copy else {
+    let Some(ReceivedCopy { copy: BatchCopy { record, submission }, outputs, .. }) = copy else {
         return;
     };
     let document = node.document();
@@ -205,34 +209,35 @@
     let Some(route) = route else { return };
     let age_ms = UnixMs::from_wall_clock().since_ms(UnixMs(record.accepted_at_unix_ms));
     let accepted_at = UnixMs(clock::now().0.saturating_sub(age_ms));
-    let terms = terms(route, reward_attempts(node, &submission), accepted_at, SKEW_MAX_MS);
-    let texts = texts.into_texts();
-    let source = BatchSource { record, record_revision: 0, results: Vec::new(), submission, texts };
-    let (mut held, resumed) = build_local_batch(node, batch, source, accepted_at, terms, &[]);
+    let policy = policy(route, reward_attempts(node, &submission), accepted_at, SKEW_MAX_MS);
+    let outputs = outputs.into_texts();
+    let source =
+        BatchSource { record, record_revision: 0, results: Vec::new(), submission, outputs };
+    let (mut local, resumed) = build_local_batch(node, batch, source, accepted_at, policy, &[]);
     node.note(
         "batch_run_in_interim",
         json!({
-            "request": batch, "owner": held.record.owner.node, "resumed": resumed,
-            "items": held.batch.submission().items.len(), "age_ms": age_ms,
+            "request": batch, "owner": local.record.owner.node, "resumed": resumed,
+            "items": local.batch.submission().items.len(), "age_ms": age_ms,
         }),
     );
-    held.owned = false;
-    let held = Rc::new(RefCell::new(held));
-    node.batches.standby.interim.borrow_mut().insert(batch.to_owned(), held);
+    local.owned = false;
+    let local = Rc::new(RefCell::new(local));
+    node.batches.standby.interim.borrow_mut().insert(batch.to_owned(), local);
     node.work.notify_one();
 }
 
-/// Returns for each item the longer of two texts.
+/// Returns for each item the longer of its outputs.
 pub(super) fn longer_outputs(
-    texts: Vec<(String, Progress)>,
+    outputs: Vec<(String, Progress)>,
     others: Vec<(String, Progress)>,
 ) -> Vec<(String, Progress)> {
     let mut longest: IndexMap<String, Progress> = IndexMap::new();
-    for (item, progress) in texts.into_iter().chain(others) {
+    for (item, progress) in outputs.into_iter().chain(others) {
         let reach = |progress: &Progress| (progress.complete, progress.last_event_id);
         match longest.get_mut(&item) {
-            Some(held) if reach(held) >= reach(&progress) => {}
-            Some(held) => *held = progress,
+            Some(current) if reach(current) >= reach(&progress) => {}
+            Some(current) => *current = progress,
             None => {
                 longest.insert(item, progress);
             }
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -1,4 +1,4 @@
-//! Batches whose owner died or leaves: who takes them, and when.
+//! Takeover of batches whose owner died or is leaving: which node becomes the owner, and when.
 
 use super::LocalBatch;
 use super::accept::{BatchSource, model_duty, start_owning};
@@ -25,43 +25,44 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Nodes that look through the store for batches that nobody runs; two, so that the death of one
-/// delays nothing. When all nodes did, their reads were three fifths of all calls of the store on a
-/// day of 165 nodes (4,393 of 7,560), and each death cost as many calls as there are nodes.
+/// Number of nodes that search the store for orphaned batches: two, so that the death of one causes
+/// no delay. With all nodes searching, their reads were three fifths of all store calls on a day
+/// with 165 nodes (4,393 of 7,560), and each death cost as many calls as there are nodes.
 const SEARCHER_COUNT: usize = 2;
 
-/// How often old records are looked through for batches that nobody runs.
+/// How often all records are searched for orphaned batches.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Deaths that come within this time cost one search. Batches that a node was told of do not wait for
-/// it, see [`take_over_known`].
+/// Deaths within this time cause one search. Batches whose owner was reported do not wait for it,
+/// see [`take_over_known`].
 const COALESCE_DEATHS: Duration = Duration::from_millis(200);
 
-/// How long a takeover may take before the batch's items run without an owner: its three calls take
-/// some milliseconds each, and a slow store's a quarter of a second.
+/// How long a takeover may take before the batch's items run in the interim without an owner: its
+/// three calls to the store take some milliseconds each, and 250 ms each when the store is slow.
 const INTERIM_AFTER: Duration = Duration::from_millis(200);
 
-/// Pause before a batch is taken again after the store did not answer.
+/// Pause before a takeover is repeated after the store did not answer.
 const TAKEOVER_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// The duty of searching.
+/// The duty of searching the store for orphaned batches.
 const SEARCH_DUTY: &str = "orphans";
 
-/// How long a node that nothing was heard of is given before its batches are taken.
+/// How long after this node's start an owner unknown to it is assumed to be alive.
 pub(super) const UNKNOWN_OWNER_GRACE_MS: u64 = 3_000;
 
-/// How much later than the operator allows an item is given up by an owner that did not accept
-/// the batch itself: the acceptance was timed by another machine's wall clock.
+/// How much later than the operator's limit an owner that did not accept the batch itself gives up
+/// an item: the time of acceptance was read from another machine's wall clock.
 pub(super) const SKEW_MAX_MS: u64 = 6_000;
 
-/// Looks for batches that nobody runs, and takes those that fall to this node.
+/// Searches for orphaned batches, and takes over those for which this node is responsible.
 ///
-/// Those of this node's former life are taken at once: that life is over for certain, while of
-/// others that is known only after some probes. After a restart of the whole fleet its steps go on
-/// 0.7 s sooner.
+/// Batches of this node's earlier incarnations are taken over at once: those incarnations have
+/// certainly ended, whereas the death of another node is known only after some probes. After a
+/// restart of all nodes, steps continue 0.7 s sooner because of this.
 ///
-/// All nodes are told of batches and their owners, so most deaths need no look at the store: the
-/// first in rank takes what it was told of. [`SEARCHER_COUNT`] look for the rest, and tell whom it falls to.
+/// Owners are reported to all nodes, so most deaths need no search of the store: the node that is
+/// first in rank takes over the batches that it knows of. [`SEARCHER_COUNT`] nodes search the store
+/// for the rest, and notify the node that is responsible for each.
 pub(crate) async fn take_over_orphans<P: Platform>(node: Rc<Node<P>>) {
     node.batches.started_at.set(clock::now());
     sweep(&node, Search::FormerIncarnation).await;
@@ -77,7 +78,7 @@
     }
 }
 
-/// Looks through the store, where this is one of the nodes that do.
+/// Searches the store, if this is one of the searching nodes.
 async fn search<P: Platform>(node: &Rc<Node<P>>, at_once: bool) {
     let is_searcher = peers::rank_for(node, SEARCH_DUTY).is_some_and(|rank| rank < SEARCHER_COUNT);
     if !is_searcher {
@@ -92,35 +93,36 @@
     }
 }
 
-/// Takes the batches that this node was told of and that fall to it.
+/// Takes over the batches that this node knows of and is responsible for.
 fn take_over_known<P: Platform>(node: &Rc<Node<P>>) {
     let Some(me) = peers::me(node) else { return };
     stop_obsolete_interim(node);
     for (id, owner) in node.batches.recently_reported_owners(clock::now()) {
         let of_former_incarnation = owner.node == me.node && owner.incarnation < me.incarnation;
-        let falls_here =
+        let is_responsible =
             of_former_incarnation || (is_dead(node, &owner) && peers::is_first_for(node, &id));
-        if falls_here && node.batches.get(&id).is_none() {
+        if is_responsible && node.batches.get(&id).is_none() {
             start_takeover(node, &id);
         }
     }
 }
 
-/// Stops interim runs of batches that do not fall to this node any more: their owner lives, or
-/// another node follows it.
+/// Stops interim runs of batches for which this node is no longer responsible: their owner is
+/// alive, or another node succeeds it.
 fn stop_obsolete_interim<P: Platform>(node: &Rc<Node<P>>) {
     for id in node.batches.standby.interim_ids() {
         let owner = node.batches.owner_of(&id);
-        let falls_here = owner.is_some_and(|owner| is_dead(node, &owner))
+        let is_responsible = owner.is_some_and(|owner| is_dead(node, &owner))
             && peers::is_first_for(node, &id)
             && !node.leaving.get();
-        if !falls_here {
+        if !is_responsible {
             node.batches.standby.discard(&id);
         }
     }
 }
 
-/// Takes the word of a searching node that a batch's owner is dead and that it falls to this node.
+/// Handles a notice by a searching node that a batch's owner is dead and that this node is
+/// responsible for the batch.
 pub(crate) fn on_batch_orphaned<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     let is_dead = is_dead(node, &owner);
     node.batches.note_owner(batch, owner);
@@ -129,22 +131,22 @@
     }
 }
 
-/// What a search looks for.
+/// The batches that a search covers.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Search {
-    /// Batches of this node's former lives.
+    /// Batches of this node's earlier incarnations.
     FormerIncarnation,
-    /// The same, and those of nodes that are dead as far as this one knows.
+    /// The same, and batches of nodes that this node considers dead.
     Orphans {
-        /// Whether records that are some seconds old will do.
+        /// Whether records that are some seconds old are acceptable.
         may_be_old: bool,
     },
 }
 
-/// Looks through all records; returns false when they could not be read.
+/// Examines all records; returns false if they could not be read.
 pub(super) async fn sweep<P: Platform>(node: &Rc<Node<P>>, search: Search) -> bool {
-    // A node reads all records at its start, and a record is read again before it is changed: one
-    // that is seconds old only delays what the searching nodes find.
+    // Every node reads all records when it starts, and a record is read again before it is
+    // changed, so an old copy only delays what the searching nodes find.
     let may_be_old = !matches!(search, Search::Orphans { may_be_old: false });
     let mut after = String::new();
     loop {
@@ -179,7 +181,7 @@
     if peers::me(node).is_some_and(|me| is_own_incarnation(&me, &record.owner)) {
         return start_takeover(node, id);
     }
-    // A node that has just started knows nobody, and would come first in rank for everything.
+    // A node that has just started knows no other nodes, and would rank first for every batch.
     let may_be_dead = matches!(search, Search::Orphans { .. });
     if !may_be_dead || !is_dead(node, &record.owner) {
         return;
@@ -210,7 +212,8 @@
     });
 }
 
-/// Takes a batch over; where the store does not answer soon, its items run meanwhile.
+/// Takes over a batch; runs its items in the interim if the store does not answer within
+/// [`INTERIM_AFTER`].
 async fn take_over_or_run_interim<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -226,14 +229,14 @@
     takeover.await
 }
 
-/// Tells whether a node's life is the owner, or one that came after it.
+/// Returns whether the owner is this incarnation of the node or an earlier one.
 fn is_own_incarnation(me: &Owner, owner: &Owner) -> bool {
     me.node == owner.node && me.incarnation >= owner.incarnation
 }
 
-/// Tells whether an owner is dead. One that nothing was heard of is not, until this node has been
-/// there long enough to have heard of all: after a restart of the whole fleet each node's view is
-/// partial for a moment, and owners that live would lose their batches over and over.
+/// Returns whether an owner is dead. An owner unknown to this node counts as alive until this node
+/// has run long enough to know of all nodes: after a restart of all nodes each one's view is
+/// partial for a moment, and live owners would lose their batches again and again.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
     match peers::life_of(node, owner) {
         Life::Over => true,
@@ -244,7 +247,8 @@
     }
 }
 
-/// Becomes the owner of a batch, by its record as it stands now.
+/// Becomes the owner of a batch, unless its record in the store shows that it is ended or has a
+/// live owner. `handed_over_outputs` are used in place of the stored output, if there are any.
 pub(super) async fn take_over<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -270,25 +274,28 @@
             return Ok(());
         }
     };
-    let StoredBatch { chunks, submission, texts } = read_stored_batch(node, id).await?;
+    let StoredBatch { chunks, submission, outputs } = read_stored_batch(node, id).await?;
     let age_ms = UnixMs::from_wall_clock().since_ms(UnixMs(record.accepted_at_unix_ms));
     let now = clock::now();
     let accepted_at = UnixMs(now.0.saturating_sub(age_ms));
     node.note(
         "batch_taken_over",
-        json!({ "request": id, "from": former_owner.node, "from_incarnation": former_owner.incarnation.0,
-                "age_ms": age_ms, "record_revision": revision }),
+        json!({
+            "request": id, "from": former_owner.node,
+            "from_incarnation": former_owner.incarnation.0, "age_ms": age_ms,
+            "record_revision": revision,
+        }),
     );
-    let texts = if handed_over_outputs.is_empty() { texts } else { handed_over_outputs };
-    let InterimProgress { results, texts: meanwhile } = node.batches.standby.stop_interim(id);
-    let texts = longer_outputs(texts, meanwhile);
-    let source = BatchSource { record, record_revision: revision, results, submission, texts };
+    let outputs = if handed_over_outputs.is_empty() { outputs } else { handed_over_outputs };
+    let InterimProgress { results, outputs: meanwhile } = node.batches.standby.stop_interim(id);
+    let outputs = longer_outputs(outputs, meanwhile);
+    let source = BatchSource { record, record_revision: revision, results, submission, outputs };
     start_owning(node, id, source, accepted_at, SKEW_MAX_MS, &chunks);
     Ok(())
 }
 
-/// Gives all batches with work left to live peers, with the texts that were begun; for a planned
-/// stop.
+/// Hands over all batches with items left to run to live peers, with their output so far; for a
+/// planned stop.
 pub(crate) async fn hand_over_all<P: Platform>(node: Rc<Node<P>>) {
     for id in node.batches.standby.interim_ids() {
         node.batches.standby.discard(&id);
@@ -299,11 +306,11 @@
 }
 
 pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
-    let texts = {
+    let outputs = {
         let mut local = local.borrow_mut();
-        let texts = local.partial_outputs(0);
+        let outputs = local.partial_outputs(0);
         local.stop_runs();
-        texts
+        outputs
     };
     while local.borrow_mut().batch.chunk_of_all_results(part_max_bytes(node)).is_some() {
         if !write_chunk(node, local).await {
@@ -325,8 +332,8 @@
         Ok(RecordWrite::Done(revision) | RecordWrite::Changed(_, revision)) => {
             apply_record(node, local, record, revision);
             node.note("batch_handed_over", json!({ "request": id, "to": successor.node }));
-            let call = PeerCall::Adopt { batch: id, texts };
-            // A lost call is made good by the successor's own search.
+            let call = PeerCall::Adopt { batch: id, texts: outputs };
+            // If this call is lost, the successor finds the batch by its own search.
             drop(node.ask_peer(successor.address, &call, OWNER_CALL_SLACK).await);
         }
         Err(refusal) => {
@@ -335,11 +342,11 @@
     }
 }
 
-/// Takes a batch that its owner gives to this node.
+/// Accepts a batch that its owner hands over to this node.
 pub(crate) fn accept_handover<P: Platform>(
     node: &Rc<Node<P>>,
     batch: String,
-    texts: Vec<(String, Progress)>,
+    outputs: Vec<(String, Progress)>,
 ) {
     if node.batches.get(&batch).is_some()
         || !node.batches.takeovers.borrow_mut().insert(batch.clone())
@@ -348,7 +355,7 @@
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        if let Err(refusal) = take_over(&node, &batch, texts).await {
+        if let Err(refusal) = take_over(&node, &batch, outputs).await {
             node.note("batch_untaken", json!({ "request": batch, "why": refusal.message }));
         }
         node.batches.takeovers.borrow_mut().swap_remove(&batch);
--- a/crates/serve/src/batches/write.rs
+++ b/crates/serve/src/batches/write.rs
@@ -1,4 +1,4 @@
-//! Writing results and begun texts to the store.
+//! Writes results and partial output to the store.
 
 use super::LocalBatch;
 use super::keys::{
@@ -18,27 +18,27 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// Results that come within this time are written with one call. Readers ask twice a second; one that
-/// is given a part of what ends a step misses the rest for half a second.
+/// Results that finish within this time are written with one call. Readers poll twice a second, so
+/// a reader that gets only a part of the results that complete a step sees the rest 0.5 s later.
 pub(super) const COALESCE_MS: u64 = 200;
 
-/// Pause before a write is tried again.
+/// Pause before a call to the store is repeated.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// How often the texts of runs in progress are saved. A long item takes seven seconds, and a step
-/// whose owner dies waits for it again from the start: with texts saved the fleet's restart costs
-/// a step about this time instead. A call for it costs a thousandth of what the step is worth.
+/// How often the output of runs in progress is saved. A long item takes 7 s, and after the owner's
+/// death it would run again from the start; with saved output a restart of all nodes delays a step
+/// by about this interval instead. The cost of a save is a thousandth of the value of a step.
 pub(super) const SAVE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Only texts of runs this old are saved; shorter ones are run again as quickly.
+/// Output is saved only of runs at least this old; younger ones are repeated as quickly.
 pub(super) const SAVE_MIN_RUN_AGE_MS: u64 = 1_000;
 
-/// Saves the texts of runs in progress from time to time, for an owner that follows.
+/// Saves the output of runs in progress at intervals, for a later owner.
 ///
 /// The write expects the batch's record as this node knows it. An owner may have been replaced, or
-/// its batch ended, without a word reaching it: its datagrams are lost or it has no processor time
-/// to read them. Items would then reach targets long after the end was confirmed, until the next
-/// result is written. So it learns of it here, [`SAVE_INTERVAL`] after the change at the latest.
+/// its batch ended, without being notified: datagrams get lost, or it has no processor time to read
+/// them. It would then send items to targets long after the end was confirmed, until it writes its
+/// next result. The conflict on this write stops it within about [`SAVE_INTERVAL`].
 pub(super) async fn save_partial_outputs<P: Platform>(
     node: Rc<Node<P>>,
     local: Rc<RefCell<LocalBatch>>,
@@ -46,14 +46,14 @@
     let mut saved = 0;
     loop {
         sleep(SAVE_INTERVAL).await;
-        let (id, texts) = {
+        let (id, outputs) = {
             let local = local.borrow();
             if !local.is_running() {
                 return;
             }
             (local.id.clone(), local.partial_outputs(SAVE_MIN_RUN_AGE_MS))
         };
-        let size_bytes: usize = texts.iter().map(|(_, progress)| progress.text.len()).sum();
+        let size_bytes: usize = outputs.iter().map(|(_, progress)| progress.text.len()).sum();
         if size_bytes == saved {
             continue;
         }
@@ -62,7 +62,7 @@
             let revision = local.borrow().record_revision;
             vec![Expectation { key: record_key(&id), revision }]
         };
-        let Ok(value) = encode(&texts) else { return };
+        let Ok(value) = encode(&outputs) else { return };
         if value.len() > part_max_bytes(&node) {
             continue;
         }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Writes the results of a batch as they come, until it is settled or another owns it.
+/// Writes the results of a batch as they finish, until it is settled or has another owner.
 pub(super) async fn write_results<P: Platform>(node: Rc<Node<P>>, local: Rc<RefCell<LocalBatch>>) {
     let finished = Rc::clone(&local.borrow().finished);
     loop {
@@ -112,7 +112,8 @@
     }
 }
 
-/// Waits for more results to write with the first, unless the trainer waits for just what is there.
+/// Waits up to [`COALESCE_MS`] for more results to write with the first; returns at once if the
+/// results at hand complete the batch or no item is left to run.
 async fn coalesce(local: &RefCell<LocalBatch>, finished: &Notify) {
     let until = clock::now().plus(COALESCE_MS);
     loop {
@@ -121,12 +122,12 @@
         if left_ms == 0 || local.borrow().batch.is_complete() || waiting + running == 0 {
             return;
         }
-        // Whatever came, the batch is looked at again.
+        // After a time-out too, the batch is checked again.
         drop(timeout(Duration::from_millis(left_ms), finished.notified()).await);
     }
 }
 
-/// Writes the next chunk; returns false when it must be tried again.
+/// Writes the next chunk of results; returns false if the write has to be repeated.
 pub(super) async fn write_chunk<P: Platform>(
     node: &Rc<Node<P>>,
     local: &Rc<RefCell<LocalBatch>>,
@@ -191,7 +192,8 @@
     local.changed.notify_waiters();
 }
 
-/// Another has written the chunk or changed the record: takes what is there.
+/// Applies the stored chunk or record that conflicted with a write: another node has written the
+/// chunk or changed the record.
 pub(super) fn resolve_conflict<P: Platform>(
     node: &Node<P>,
     local: &RefCell<LocalBatch>,
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -3,7 +3,7 @@
 //! A second run is no part of its batch: it only keeps a text under newer weights, and goes on when
 //! the batch ends. The batch in which its item comes again takes the text and goes on from there.
 
-use super::stream::{RunEnd, RunTerms, fingerprint, run};
+use super::stream::{RunEnd, RunSpec, fingerprint, run};
 use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes;
@@ -131,24 +131,24 @@
     index: usize,
     next_oldest: u64,
 ) {
-    let (item, batch, terms, first_target) = {
+    let (item, batch, spec, first_target) = {
         let local = local.borrow();
         let item = local.batch.submission().items[index].clone();
-        let terms = RunTerms { oldest_version: next_oldest, ..RunTerms::of(&local) };
+        let spec = RunSpec { oldest_version: next_oldest, ..RunSpec::of(&local) };
         let target = local.runs.get(&index).map(|run| run.target.clone());
-        (item, local.id.clone(), terms, target)
+        (item, local.id.clone(), spec, target)
     };
     let progress = node.batches.second_runs.output(&item.id);
     if node.batches.second_runs.is_running(&item.id) || progress.complete {
         return;
     }
     // Digests of all candidates at every look would cost more than what they guard against.
-    if crashes::has_evidence(node) && !crashes::is_clear(node, fingerprint(&item, &terms.host)) {
+    if crashes::has_evidence(node) && !crashes::is_clear(node, fingerprint(&item, &spec.host)) {
         return;
     }
     let run_ms = node.expected_run_ms(&item, progress.last_event_id);
     let first_target = first_target.as_deref();
-    let Some(chosen) = choose(node, &terms, &item.path, &item.id, run_ms, first_target) else {
+    let Some(chosen) = choose(node, &spec, &item.path, &item.id, run_ms, first_target) else {
         return;
     };
     node.note(
@@ -159,7 +159,7 @@
         }),
     );
     let stop_by = clock::now().plus(SECOND_RUN_MAX_MS);
-    let terms = RunTerms { give_up_at: stop_by, ..terms };
+    let spec = RunSpec { give_up_at: stop_by, ..spec };
     let progress = Rc::new(RefCell::new(progress));
     let running = Rc::new(Cell::new(true));
     let in_flight = InFlight::begin_run(node, &chosen.id, clock::now().plus(run_ms));
@@ -170,7 +170,7 @@
     let task = tokio::task::spawn_local(async move {
         let started_at = clock::now();
         let gap = Cell::new(0);
-        let end = run(&task_node, &terms, &item, &task_progress, &chosen, &gap).await;
+        let end = run(&task_node, &spec, &item, &task_progress, &chosen, &gap).await;
         let (outcome, why) = match &end {
             RunEnd::Broken { outcome, why } => (*outcome, why.as_str()),
             _ => (CallOutcome::Cancelled, ""),
@@ -183,8 +183,9 @@
             "second_run",
             json!({
                 "request": item.id, "batch": task_batch, "target": chosen.id, "why": why,
-                "whole": output.complete, "versions": output.versions, "last_event": output.last_event_id,
-                "oldest_version": terms.oldest_version, "ms": clock::now().since_ms(started_at),
+                "whole": output.complete, "versions": output.versions,
+                "last_event": output.last_event_id,
+                "oldest_version": spec.oldest_version, "ms": clock::now().since_ms(started_at),
             }),
         );
     });
@@ -209,18 +210,18 @@
 /// Chooses a free target whose weights the next batch accepts, other than the first run's.
 fn choose<P: Platform>(
     node: &Rc<Node<P>>,
-    terms: &RunTerms,
+    spec: &RunSpec,
     path: &str,
     item: &str,
     run_ms: u64,
     first_target: Option<&str>,
 ) -> Option<ChosenTarget> {
     let document = node.document()?;
-    let route = document.route(&terms.host, path)?;
+    let route = document.route(&spec.host, path)?;
     let service = route.service(xxhash_rust::xxh3::xxh3_64(item.as_bytes()))?;
-    let model = terms.model.as_deref()?;
+    let model = spec.model.as_deref()?;
     let fits = |entry: &TargetEntry| {
-        entry.version(model).is_some_and(|version| version >= terms.oldest_version)
+        entry.version(model).is_some_and(|version| version >= spec.oldest_version)
     };
     let draw = node.draw();
     let picked = node.pick(service, fits, |load, now, picks| {
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -37,7 +37,7 @@
 
 /// What a run is made under.
 #[derive(Clone, Debug)]
-pub(super) struct RunTerms {
+pub(super) struct RunSpec {
     pub give_up_at: UnixMs,
     pub host: String,
     pub model: Option<String>,
@@ -47,7 +47,7 @@
     pub workspace: Option<String>,
 }
 
-impl RunTerms {
+impl RunSpec {
     /// Returns those of a batch's own runs.
     pub(super) fn of(local: &LocalBatch) -> Self {
         let submission = local.batch.submission();
@@ -87,9 +87,9 @@
     let started_at = clock::now();
     let resumed_after = progress.borrow().last_event_id;
     let item = local.borrow().batch.submission().items[index].clone();
-    let terms = RunTerms::of(&local.borrow());
+    let spec = RunSpec::of(&local.borrow());
     let longest_gap_ms = Cell::new(0);
-    let end = run(&node, &terms, &item, &progress, &chosen, &longest_gap_ms).await;
+    let end = run(&node, &spec, &item, &progress, &chosen, &longest_gap_ms).await;
     let text = progress.borrow().clone();
     let outcome = match &end {
         RunEnd::Blocked { .. } | RunEnd::Complete | RunEnd::Failed | RunEnd::Unprocessable => {
@@ -107,7 +107,7 @@
     };
     count(&node.metrics.item_runs, label);
     let fingerprint =
-        ["barred", "broken"].contains(&label).then(|| fingerprint(&item, &terms.host).to_string());
+        ["barred", "broken"].contains(&label).then(|| fingerprint(&item, &spec.host).to_string());
     node.note(
         "item_run",
         json!({
@@ -160,7 +160,7 @@
     Fingerprint::of(Method::POST.as_str(), host, &item.path, &item.body)
 }
 
-fn outgoing(item: &Item, terms: &RunTerms, after: Option<u64>) -> OutgoingRequest {
+fn outgoing(item: &Item, spec: &RunSpec, after: Option<u64>) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -169,34 +169,34 @@
             headers.append(name, value);
         }
     }
-    if let Ok(host) = HeaderValue::from_str(&terms.host) {
+    if let Ok(host) = HeaderValue::from_str(&spec.host) {
         headers.insert(HOST, host);
     }
     forward::strip_hop_by_hop(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
     OutgoingRequest {
         body: item.body.clone().into(),
-        deadline_at: terms.give_up_at.min(clock::now().plus(UNBOUNDED_RUN_MS)),
+        deadline_at: spec.give_up_at.min(clock::now().plus(UNBOUNDED_RUN_MS)),
         headers,
         last_event_id: after,
         method: Method::POST,
         path: item.path.clone(),
         priority: 0,
         request_id: Some(item.id.clone()),
-        workspace: terms.workspace.clone(),
+        workspace: spec.workspace.clone(),
     }
 }
 
 pub(super) async fn run<P: Platform>(
     node: &Rc<Node<P>>,
-    terms: &RunTerms,
+    spec: &RunSpec,
     item: &Item,
     progress: &Rc<RefCell<Progress>>,
     chosen: &ChosenTarget,
     longest_gap_ms: &Cell<u64>,
 ) -> RunEnd {
     let after = progress.borrow().last_event_id;
-    let mut request = outgoing(item, terms, after);
+    let mut request = outgoing(item, spec, after);
     if node.document().is_some_and(|document| document.workspaces.is_some()) {
         request.headers.remove(AUTHORIZATION);
     }
@@ -242,8 +242,8 @@
     let mut stream = TokenStream {
         body,
         longest_gap_ms: 0,
-        model: terms.model.clone(),
-        oldest_version: terms.oldest_version,
+        model: spec.model.clone(),
+        oldest_version: spec.oldest_version,
         progress,
         version: marks.version,
     };
