--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::feed;
 use crate::node::Node;
-use crate::peers::{self, Life, Owner, PeerAnswer, PeerCall};
+use crate::peers::{self, Owner, OwnerStatus, PeerAnswer, PeerCall};
 use crate::platform::Platform;
 use crate::store::StoredItem;
 use catkinmast_dispatch::ItemResult;
@@ -166,7 +166,7 @@
     if peers::me(node).as_ref() == Some(owner) {
         return None;
     }
-    if peers::life_of(node, owner) == Life::Over {
+    if peers::owner_status(node, owner) == OwnerStatus::Ended {
         return None;
     }
     match node.ask_peer(owner.address, call, max).await {
@@ -176,7 +176,7 @@
             node.note(
                 "owner_unreachable",
                 json!({ "owner": owner.node, "why": error.message,
-                        "reached": !peers::never_reached(&error) }),
+                        "reached": !peers::cannot_have_run(&error) }),
             );
             None
         }
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -148,8 +148,13 @@
         return true;
     }
     let batch = local.borrow().id.clone();
-    send_to_standby(node, to, &batch, &PeerCall::KeepTexts { batch: batch.clone(), texts: outputs })
-        .await
+    send_to_standby(
+        node,
+        to,
+        &batch,
+        &PeerCall::KeepOutputs { batch: batch.clone(), texts: outputs },
+    )
+    .await
 }
 
 /// Calls the other node; returns whether it accepted.
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -13,7 +13,7 @@
 use super::write::write_chunk;
 use crate::clock;
 use crate::node::Node;
-use crate::peers::{self, Datagram, Life, Owner, PeerCall};
+use crate::peers::{self, Datagram, Owner, OwnerStatus, PeerCall};
 use crate::platform::Platform;
 use crate::store::{StoreAnswer, StoreCall, StoreRefusal, StoredItem};
 use catkinmast_dispatch::Progress;
@@ -238,10 +238,10 @@
 /// has run long enough to know of all nodes: after a restart of all nodes each one's view is
 /// partial for a moment, and live owners would lose their batches again and again.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
-    match peers::life_of(node, owner) {
-        Life::Over => true,
-        Life::GoesOn => false,
-        Life::Unheard => {
+    match peers::owner_status(node, owner) {
+        OwnerStatus::Ended => true,
+        OwnerStatus::Running => false,
+        OwnerStatus::Unknown => {
             clock::now().since_ms(node.batches.started_at.get()) > UNKNOWN_OWNER_GRACE_MS
         }
     }
--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -1,9 +1,9 @@
 //! What changes of a feed mean: a configuration, a version, a target that comes or goes.
 
-use super::known::Teller;
+use super::state::Source;
 use crate::clock;
 use crate::node::Node;
-use crate::platform::{OperatorNotice, Platform};
+use crate::platform::{OperatorUpdate, Platform};
 use crate::store::{StoreEvent, StoredItem};
 use catkinmast_dispatch::Document;
 use serde_json::json;
@@ -11,14 +11,14 @@
 
 /// When more than one target in this many vanishes at once, the registry forgot them; targets
 /// that leave do so one by one.
-const VANISHED_PART: usize = 3;
+const LOSS_DIVISOR: usize = 3;
 
-pub(super) fn take_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, teller: Teller) {
-    match P::operator_notice(&item.key, &item.value) {
-        Ok(Some(OperatorNotice::Document(document))) => {
-            install(node, document, item.revision, teller);
+pub(super) fn apply_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
+    match P::operator_update(&item.key, &item.value) {
+        Ok(Some(OperatorUpdate::Document(document))) => {
+            install(node, document, item.revision, source);
         }
-        Ok(Some(OperatorNotice::Version { model, version })) => {
+        Ok(Some(OperatorUpdate::Version { model, version })) => {
             let mut versions = node.versions.borrow_mut();
             let held = versions.entry(model.clone()).or_insert(0);
             if version > *held {
@@ -28,13 +28,13 @@
                     "version_named",
                     json!({
                         "model": model, "version": version, "revision": item.revision,
-                        "by": teller.to_string(),
+                        "by": source.to_string(),
                     }),
                 );
             }
         }
-        Ok(Some(OperatorNotice::Vacate { node: machine })) => {
-            let asked = node.vacating.borrow_mut().insert(machine.clone(), item.revision);
+        Ok(Some(OperatorUpdate::Drain { node: machine })) => {
+            let asked = node.draining.borrow_mut().insert(machine.clone(), item.revision);
             if asked != Some(item.revision) {
                 let why = json!({ "machine": machine, "revision": item.revision });
                 node.note("vacate_asked", why);
@@ -52,7 +52,7 @@
 
 /// Puts a configuration in force if it is newer than the one held: a late answer must not bring
 /// an old one back.
-fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, teller: Teller) {
+fn install<P: Platform>(node: &Node<P>, document: Document, revision: u64, source: Source) {
     let held = node.document().map_or(0, |held| held.version);
     if node.document().is_some() && document.version <= held {
         return;
@@ -61,7 +61,7 @@
         "document_in_force",
         json!({
             "version": document.version, "was": held, "routes": document.routes.len(),
-            "revision": revision, "by": teller.to_string(),
+            "revision": revision, "by": source.to_string(),
         }),
     );
     node.metrics.document_version.set(document.version as i64);
@@ -69,19 +69,19 @@
     node.work.notify_one();
 }
 
-pub(super) fn take_target_events<P: Platform>(
+pub(super) fn apply_target_events<P: Platform>(
     node: &Node<P>,
     events: &[StoreEvent],
     after_outage: bool,
 ) {
     let now = clock::now();
     let gone = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
-    let forgotten = gone > 1 && gone * VANISHED_PART > node.targets.borrow().count();
+    let registry_lost = gone > 1 && gone * LOSS_DIVISOR > node.targets.borrow().count();
     for event in events {
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
                 let id = P::target_id(key);
-                node.targets.borrow_mut().apply_removal(now, id, after_outage || forgotten)
+                node.targets.borrow_mut().apply_removal(now, id, after_outage || registry_lost)
             }
             StoreEvent::Written(item) => match decode_target(node, item) {
                 Some(entry) => node.targets.borrow_mut().apply_entry(entry),
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -5,8 +5,8 @@
 
 pub(crate) use messages::{Datagram, Owner, PeerAnswer, PeerCall};
 pub(crate) use ranks::{
-    comes_before, first_for, followers, holder_of, is_first_for, rank_for, successor_for,
-    tell_holder, tellers,
+    announce_holder, duty_candidates, first_for, holder_of, is_first_for, rank_for, ranks_before,
+    successor_for, tellers,
 };
 
 use crate::batches::{self, Acceptance};
@@ -43,7 +43,7 @@
 /// How often membership does what is due.
 const TICK: Duration = Duration::from_millis(100);
 /// A tick that comes this late tells of a pause in which others may have suspected this node.
-const PAUSED_MS: u64 = 700;
+const PAUSE_MIN_MS: u64 = 700;
 /// How long after joining a node knows whom else there is: several probes. Before that it takes on
 /// no duty that falls to the first in rank.
 pub(crate) const SETTLE_MS: u64 = 700;
@@ -51,7 +51,7 @@
 const PEER_CALL_MAX_BYTES: usize = 4 << 20;
 
 /// Makes a name of a text; what our names do not allow is replaced.
-pub(crate) fn name_of(text: &str) -> Name {
+pub(crate) fn to_node_name(text: &str) -> Name {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
     let cleaned: String = text
         .to_ascii_lowercase()
@@ -73,29 +73,29 @@
     let me = NodeFact {
         capacity_millicores: settings.capacity_millicores,
         control: settings.peer,
-        data_centre: name_of(&settings.data_centre),
+        data_centre: to_node_name(&settings.data_centre),
         has_data_folder: false,
         http: settings.callers.unwrap_or(settings.peer),
         incarnation,
-        name: name_of(&settings.node),
+        name: to_node_name(&settings.node),
         refutation: 0,
         state: NodeState::Live,
     };
-    let rng = Pcg64Mcg::seed_from_u64(node.draw());
+    let rng = Pcg64Mcg::seed_from_u64(node.random_u64());
     node.joined_at.set(Some(clock::now()));
     *node.members.borrow_mut() = Some(Membership::open(me, seeds, MEMBERSHIP, rng));
 }
 
 /// Returns how long it takes until this node knows whom else there is; none before it has joined.
-pub(crate) fn settles_in_ms<P: Platform>(node: &Node<P>) -> Option<u64> {
+pub(crate) fn settles_after_ms<P: Platform>(node: &Node<P>) -> Option<u64> {
     let joined_at = node.joined_at.get()?;
     Some(joined_at.plus(SETTLE_MS).since_ms(clock::now()))
 }
 
 /// Returns after how long a node that does not know its duties yet has to look at them again; one that
 /// knows them hears of changes.
-pub(crate) fn settles_within_ms<P: Platform>(node: &Node<P>) -> u64 {
-    match settles_in_ms(node) {
+pub(crate) fn next_settle_check_ms<P: Platform>(node: &Node<P>) -> u64 {
+    match settles_after_ms(node) {
         None => SETTLE_MS,
         Some(0) => u64::MAX,
         Some(left_ms) => left_ms,
@@ -107,14 +107,14 @@
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut buffer = vec![0; wire::DATAGRAM_MAX_BYTES + 64];
-    let mut doubts = Doubts { refutation: 0, ticked_at: clock::now() };
+    let mut signs = SuspicionSigns { refutation: 0, ticked_at: clock::now() };
     with_members(&node, |members, _| members.announce_to_seeds());
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 with_members(&node, Membership::tick);
-                node.usage.clock_shows(node.settings().peer, UnixMs::from_wall_clock());
-                if doubts.arise(&node) {
+                node.usage.record_clock(node.settings().peer, UnixMs::from_wall_clock());
+                if signs.observed(&node) {
                     batches::verify_ownership_of_all(&node);
                 }
             }
@@ -128,15 +128,15 @@
 }
 
 /// Signs that others may take this node for dead, and may have taken its batches.
-struct Doubts {
+struct SuspicionSigns {
     refutation: u32,
     ticked_at: UnixMs,
 }
 
-impl Doubts {
-    fn arise<P: Platform>(&mut self, node: &Node<P>) -> bool {
+impl SuspicionSigns {
+    fn observed<P: Platform>(&mut self, node: &Node<P>) -> bool {
         let now = clock::now();
-        let paused = now.since_ms(std::mem::replace(&mut self.ticked_at, now)) > PAUSED_MS;
+        let paused = now.since_ms(std::mem::replace(&mut self.ticked_at, now)) > PAUSE_MIN_MS;
         let refutation =
             node.members.borrow().as_ref().map_or(0, |members| members.me().refutation);
         let suspected = std::mem::replace(&mut self.refutation, refutation) != refutation;
@@ -147,10 +147,12 @@
 fn receive<P: Platform>(node: &Rc<Node<P>>, frame: &[u8], from: SocketAddr) {
     match wire::open::<Datagram>(&node.key, frame, wire::DATAGRAM_MAX_BYTES) {
         Ok(Datagram::Member { message, wall }) => {
-            node.usage.clock_shows(from, wall);
+            node.usage.record_clock(from, wall);
             with_members(node, |members, now| members.receive(now, from, message));
         }
-        Ok(Datagram::Changes { changes, subject }) => feed::told(node, subject, changes, from),
+        Ok(Datagram::Changes { changes, subject }) => {
+            feed::receive_changes(node, subject, changes, from);
+        }
         Ok(Datagram::BatchEnded { batch }) => batches::on_batch_ended(node, &batch),
         Ok(Datagram::BatchOrphaned { batch, owner }) => {
             batches::on_batch_orphaned(node, &batch, owner);
@@ -159,7 +161,7 @@
             node.note_demand(model.as_deref(), work_tokens);
             batches::on_owner_reported(node, &batch, owner);
         }
-        Ok(Datagram::StoreReturned) => outage::told_over(node),
+        Ok(Datagram::StoreReturned) => outage::receive_store_returned(node),
         Ok(Datagram::TargetLoads { born_at_unix_ms, for_ms, target }) => {
             let (of_this_life, change) =
                 node.targets.borrow_mut().apply_start_time(&target, born_at_unix_ms);
@@ -238,7 +240,7 @@
 }
 
 /// Sends a datagram to all nodes that were ever heard of: one that is taken for dead may live.
-pub(crate) fn tell_all<P: Platform>(node: &Node<P>, datagram: &Datagram) {
+pub(crate) fn broadcast<P: Platform>(node: &Node<P>, datagram: &Datagram) {
     let all: Vec<SocketAddr> = {
         let members = node.members.borrow();
         let Some(members) = members.as_ref() else { return };
@@ -251,7 +253,7 @@
 }
 
 /// Tells the owners of batches, who alone start items, that a target loads.
-pub(crate) fn tell_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
+pub(crate) fn announce_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     target_loads(node, target, for_ms);
     let born_at_unix_ms =
         node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
@@ -273,29 +275,29 @@
 
 /// What is known of a node's life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Life {
+pub(crate) enum OwnerStatus {
     /// It is over.
-    Over,
+    Ended,
     /// It goes on.
-    GoesOn,
+    Running,
     /// Nothing was heard of it yet.
-    Unheard,
+    Unknown,
 }
 
 /// Returns what is known of an owner's life.
-pub(crate) fn life_of<P: Platform>(node: &Node<P>, owner: &Owner) -> Life {
+pub(crate) fn owner_status<P: Platform>(node: &Node<P>, owner: &Owner) -> OwnerStatus {
     let registered = node.registered.borrow().get(&owner.node).copied();
     if registered.is_some_and(|incarnation| incarnation > owner.incarnation) {
-        return Life::Over;
+        return OwnerStatus::Ended;
     }
     let members = node.members.borrow();
-    let Some(members) = members.as_ref() else { return Life::Unheard };
+    let Some(members) = members.as_ref() else { return OwnerStatus::Unknown };
     match members.nodes().find(|peer| peer.name == owner.node) {
-        None => Life::Unheard,
-        Some(peer) if peer.incarnation > owner.incarnation => Life::Over,
-        Some(peer) if peer.incarnation < owner.incarnation => Life::Unheard,
-        Some(peer) if peer.state == NodeState::Gone => Life::Over,
-        Some(_) => Life::GoesOn,
+        None => OwnerStatus::Unknown,
+        Some(peer) if peer.incarnation > owner.incarnation => OwnerStatus::Ended,
+        Some(peer) if peer.incarnation < owner.incarnation => OwnerStatus::Unknown,
+        Some(peer) if peer.state == NodeState::Gone => OwnerStatus::Ended,
+        Some(_) => OwnerStatus::Running,
     }
 }
 
@@ -313,7 +315,7 @@
         return Ok(response);
     };
     let answer = match call {
-        PeerCall::Store(call) => PeerAnswer::Store(node.store_here(&call).await),
+        PeerCall::Store(call) => PeerAnswer::Store(node.store_direct(&call).await),
         PeerCall::Submit { batch, origin, submission } => {
             match batches::accept(&node, &batch, origin, *submission).await {
                 Acceptance::Accepted => PeerAnswer::Accepted,
@@ -332,7 +334,7 @@
             batches::accept_copy(&node, batch, *copy);
             PeerAnswer::Accepted
         }
-        PeerCall::KeepTexts { batch, texts } => {
+        PeerCall::KeepOutputs { batch, texts } => {
             if batches::accept_copied_outputs(&node, &batch, texts) {
                 PeerAnswer::Accepted
             } else {
@@ -342,7 +344,7 @@
         PeerCall::Changes { after, subject } => feed::changes_since(&node, subject, after)
             .map_or(PeerAnswer::Unavailable, PeerAnswer::Changes),
         PeerCall::Usage { tables, teller } => {
-            usage::told(&node, &teller, tables);
+            usage::record_counts(&node, &teller, tables);
             PeerAnswer::Accepted
         }
         PeerCall::End { batch, scope } => batches::end_owned(&node, &batch, &scope).await,
@@ -361,6 +363,6 @@
 }
 
 /// Tells whether a failed call of a peer cannot have been carried out there.
-pub(crate) const fn never_reached(error: &CallError) -> bool {
+pub(crate) const fn cannot_have_run(error: &CallError) -> bool {
     matches!(error.verdict, Verdict::NotRun)
 }
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::pool::{Connection, read_body};
-use crate::usage::Counted;
+use crate::usage::CountedRequest;
 use bytes::Bytes;
 use catkinmast_dispatch::{CallOutcome, Route};
 use catkinmast_model::Verdict;
@@ -32,7 +32,7 @@
     body: Incoming,
     connection: Option<Connection>,
     /// Its use, until its first event: only then has it begun.
-    counted: Option<Counted<P>>,
+    counted: Option<CountedRequest<P>>,
     head: HeaderMap,
     in_flight: Option<InFlight<P>>,
     latency_ms: u64,
@@ -101,7 +101,7 @@
     let id = outgoing.request_id.clone();
     let mut tried = Vec::new();
     loop {
-        let service = route.service(node.draw()).unwrap_or_default();
+        let service = route.service(node.random_u64()).unwrap_or_default();
         let Some(chosen) = caller::choose(node, service, &tried) else {
             let failure = not_run(format!("service {service} has no target"));
             return caller::end_with_failure(node, id.as_deref(), route, &failure);
@@ -164,7 +164,7 @@
         let relay = Relay {
             body,
             connection: Some(connection),
-            counted: Counted::sent(node, outgoing.workspace.as_deref()),
+            counted: CountedRequest::sent(node, outgoing.workspace.as_deref()),
             head: answer_headers,
             in_flight: Some(in_flight),
             latency_ms,
