--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -77,7 +77,7 @@
     let incarnation =
         TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
-    let is_first = node.broken_off.borrow_mut().record(now, outgoing.fingerprint(), &incarnation);
+    let is_first = node.interrupted.borrow_mut().record(now, outgoing.fingerprint(), &incarnation);
     if is_first {
         tokio::task::spawn_local(probe_target(Rc::clone(node), chosen.address, incarnation));
     }
@@ -118,10 +118,10 @@
 }
 
 fn apply_outcome<P: Platform>(node: &Node<P>, outcome: TargetOutcome<'_>, by: &'static str) {
-    if node.broken_off.borrow().is_empty() {
+    if node.interrupted.borrow().is_empty() {
         return;
     }
-    let ended = node.broken_off.borrow_mut().resolve(UnixMs::from_wall_clock(), outcome);
+    let ended = node.interrupted.borrow_mut().resolve(UnixMs::from_wall_clock(), outcome);
     if ended.is_empty() {
         return;
     }
