--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -1,15 +1,15 @@
-//! Batches whose owner died or leaves: who takes them, and when.
+//! Takeover of batches whose owner died or is leaving: which node becomes the owner, and when.
 
 use super::LocalBatch;
-use super::accept::{Source, duty_of, own};
-use super::end::forget_old;
+use super::accept::{BatchSource, model_duty, start_owning};
+use super::end::delete_expired;
 use super::keys::{
-    Kept, RECORDS, Record, RecordWrite, part_max_bytes, read_record, read_submission, unreadable,
-    write_record,
+    RECORD_PREFIX, Record, RecordWrite, StoredBatch, part_max_bytes, read_record,
+    read_stored_batch, report_unreadable, write_record,
 };
-use super::ownership::take_record;
-use super::read::OWNER_SLACK;
-use super::standby::{Meanwhile, longer_texts, start_interim};
+use super::ownership::apply_record;
+use super::read::OWNER_CALL_SLACK;
+use super::standby::{InterimProgress, longer_outputs, start_interim};
 use super::write::write_chunk;
 use crate::clock;
 use crate::node::Node;
@@ -25,66 +25,67 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Nodes that look through the store for batches that nobody runs; two, so that the death of one
-/// delays nothing. When all nodes did, their reads were three fifths of all calls of the store on a
-/// day of 165 nodes (4,393 of 7,560), and each death cost as many calls as there are nodes.
-const SEARCHERS: usize = 2;
+/// Number of nodes that search the store for orphaned batches: two, so that the death of one causes
+/// no delay. With all nodes searching, their reads were three fifths of all store calls on a day
+/// with 165 nodes (4,393 of 7,560), and each death cost as many calls as there are nodes.
+const SEARCHER_COUNT: usize = 2;
 
-/// How often old records are looked through for batches that nobody runs.
-pub(super) const SWEEP: Duration = Duration::from_secs(4);
+/// How often all records are searched for orphaned batches.
+pub(super) const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Deaths that come within this time cost one search. Batches that a node was told of do not wait for
-/// it, see [`take_known`].
-const GATHER_DEATHS: Duration = Duration::from_millis(200);
+/// Deaths within this time cause one search. Batches whose owner was reported do not wait for it,
+/// see [`take_over_known`].
+const COALESCE_DEATHS: Duration = Duration::from_millis(200);
 
-/// How long a takeover may take before the batch's items run without an owner: its three calls take
-/// some milliseconds each, and a slow store's a quarter of a second.
+/// How long a takeover may take before the batch's items run in the interim without an owner: its
+/// three calls to the store take some milliseconds each, and 250 ms each when the store is slow.
 const INTERIM_AFTER: Duration = Duration::from_millis(200);
 
-/// Pause before a batch is taken again after the store did not answer.
-const TAKE_AGAIN: Duration = Duration::from_millis(500);
+/// Pause before a takeover is repeated after the store did not answer.
+const TAKEOVER_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// The duty of searching.
+/// The duty of searching the store for orphaned batches.
 const SEARCH_DUTY: &str = "orphans";
 
-/// How long a node that nothing was heard of is given before its batches are taken.
-pub(super) const UNHEARD_MAX_MS: u64 = 3_000;
+/// How long after this node's start an owner unknown to it is assumed to be alive.
+pub(super) const UNKNOWN_OWNER_GRACE_MS: u64 = 3_000;
 
-/// How much later than the operator allows an item is given up by an owner that did not accept
-/// the batch itself: the acceptance was timed by another machine's wall clock.
+/// How much later than the operator's limit an owner that did not accept the batch itself gives up
+/// an item: the time of acceptance was read from another machine's wall clock.
 pub(super) const SKEW_MAX_MS: u64 = 6_000;
 
-/// Looks for batches that nobody runs, and takes those that fall to this node.
+/// Searches for orphaned batches, and takes over those for which this node is responsible.
 ///
-/// Those of this node's former life are taken at once: that life is over for certain, while of
-/// others that is known only after some probes. After a restart of the whole fleet its steps go on
-/// 0.7 s sooner.
+/// Batches of this node's earlier incarnations are taken over at once: those incarnations have
+/// certainly ended, whereas the death of another node is known only after some probes. After a
+/// restart of all nodes, steps continue 0.7 s sooner because of this.
 ///
-/// All nodes are told of batches and their owners, so most deaths need no look at the store: the
-/// first in rank takes what it was told of. [`SEARCHERS`] look for the rest, and tell whom it falls to.
+/// Owners are reported to all nodes, so most deaths need no search of the store: the node that is
+/// first in rank takes over the batches that it knows of. [`SEARCHER_COUNT`] nodes search the store
+/// for the rest, and notify the node that is responsible for each.
 pub(crate) async fn take_over_orphans<P: Platform>(node: Rc<Node<P>>) {
     node.batches.started_at.set(clock::now());
-    sweep(&node, Search::FormerLife).await;
+    sweep(&node, Search::FormerIncarnation).await;
     sleep(Duration::from_millis(peers::SETTLE_MS)).await;
     let mut at_once = true;
     loop {
         if !node.leaving.get() {
-            take_known(&node);
+            take_over_known(&node);
             search(&node, at_once).await;
         }
-        forget_old(&node).await;
-        at_once = timeout(SWEEP, node.batches.orphaned.notified()).await.is_ok();
+        delete_expired(&node).await;
+        at_once = timeout(SWEEP_INTERVAL, node.batches.orphaned.notified()).await.is_ok();
     }
 }
 
-/// Looks through the store, where this is one of the nodes that do.
+/// Searches the store, if this is one of the searching nodes.
 async fn search<P: Platform>(node: &Rc<Node<P>>, at_once: bool) {
-    let is_searcher = peers::rank_for(node, SEARCH_DUTY).is_some_and(|rank| rank < SEARCHERS);
+    let is_searcher = peers::rank_for(node, SEARCH_DUTY).is_some_and(|rank| rank < SEARCHER_COUNT);
     if !is_searcher {
         return;
     }
     if at_once {
-        sleep(GATHER_DEATHS).await;
+        sleep(COALESCE_DEATHS).await;
     }
     node.batches.search_failed.set(false);
     if !sweep(node, Search::Orphans { may_be_old: !at_once }).await {
@@ -92,69 +93,70 @@
     }
 }
 
-/// Takes the batches that this node was told of and that fall to it.
-fn take_known<P: Platform>(node: &Rc<Node<P>>) {
+/// Takes over the batches that this node knows of and is responsible for.
+fn take_over_known<P: Platform>(node: &Rc<Node<P>>) {
     let Some(me) = peers::me(node) else { return };
-    stop_needless_runs(node);
-    for (id, owner) in node.batches.owners_told_lately(clock::now()) {
-        let of_former_life = owner.node == me.node && owner.incarnation < me.incarnation;
-        let falls_here =
-            of_former_life || (is_dead(node, &owner) && peers::is_first_for(node, &id));
-        if falls_here && node.batches.get(&id).is_none() {
-            start_taking(node, &id);
+    stop_obsolete_interim(node);
+    for (id, owner) in node.batches.recently_reported_owners(clock::now()) {
+        let of_former_incarnation = owner.node == me.node && owner.incarnation < me.incarnation;
+        let is_responsible =
+            of_former_incarnation || (is_dead(node, &owner) && peers::is_first_for(node, &id));
+        if is_responsible && node.batches.get(&id).is_none() {
+            start_takeover(node, &id);
         }
     }
 }
 
-/// Stops interim runs of batches that do not fall to this node any more: their owner lives, or
-/// another node follows it.
-fn stop_needless_runs<P: Platform>(node: &Rc<Node<P>>) {
+/// Stops interim runs of batches for which this node is no longer responsible: their owner is
+/// alive, or another node succeeds it.
+fn stop_obsolete_interim<P: Platform>(node: &Rc<Node<P>>) {
     for id in node.batches.standby.interim_ids() {
         let owner = node.batches.owner_of(&id);
-        let falls_here = owner.is_some_and(|owner| is_dead(node, &owner))
+        let is_responsible = owner.is_some_and(|owner| is_dead(node, &owner))
             && peers::is_first_for(node, &id)
             && !node.leaving.get();
-        if !falls_here {
-            node.batches.standby.forget(&id);
+        if !is_responsible {
+            node.batches.standby.discard(&id);
         }
     }
 }
 
-/// Takes the word of a searching node that a batch's owner is dead and that it falls to this node.
+/// Handles a notice by a searching node that a batch's owner is dead and that this node is
+/// responsible for the batch.
 pub(crate) fn on_batch_orphaned<P: Platform>(node: &Rc<Node<P>>, batch: &str, owner: Owner) {
     let is_dead = is_dead(node, &owner);
     node.batches.note_owner(batch, owner);
     if is_dead && node.batches.get(batch).is_none() {
-        start_taking(node, batch);
+        start_takeover(node, batch);
     }
 }
 
-/// What a search looks for.
+/// The batches that a search covers.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Search {
-    /// Batches of this node's former lives.
-    FormerLife,
-    /// The same, and those of nodes that are dead as far as this one knows.
+    /// Batches of this node's earlier incarnations.
+    FormerIncarnation,
+    /// The same, and batches of nodes that this node considers dead.
     Orphans {
-        /// Whether records that are some seconds old will do.
+        /// Whether records that are some seconds old are acceptable.
         may_be_old: bool,
     },
 }
 
-/// Looks through all records; returns false when they could not be read.
+/// Examines all records; returns false if they could not be read.
 pub(super) async fn sweep<P: Platform>(node: &Rc<Node<P>>, search: Search) -> bool {
-    // A node reads all records at its start, and a record is read again before it is changed: one
-    // that is seconds old only delays what the searching nodes find.
+    // Every node reads all records when it starts, and a record is read again before it is
+    // changed, so an old copy only delays what the searching nodes find.
     let may_be_old = !matches!(search, Search::Orphans { may_be_old: false });
     let mut after = String::new();
     loop {
-        let prefix = RECORDS.to_owned();
+        let prefix = RECORD_PREFIX.to_owned();
         let call = StoreCall::Range { after: after.clone(), may_be_old, prefix };
         let Ok(StoreAnswer::Items { items, truncated, .. }) = node.store(&call).await else {
             return false;
         };
         for item in &items {
-            consider(node, item, search);
+            examine_record(node, item, search);
         }
         match items.last() {
             Some(last) if truncated => after.clone_from(&last.key),
@@ -163,11 +165,11 @@
     }
 }
 
-pub(super) fn consider<P: Platform>(node: &Rc<Node<P>>, item: &StoredItem, search: Search) {
-    let Some(id) = item.key.strip_prefix(RECORDS) else { return };
+pub(super) fn examine_record<P: Platform>(node: &Rc<Node<P>>, item: &StoredItem, search: Search) {
+    let Some(id) = item.key.strip_prefix(RECORD_PREFIX) else { return };
     let record: Record = match postcard::from_bytes(&item.value) {
         Ok(record) => record,
-        Err(error) => return unreadable(node, item, &error),
+        Err(error) => return report_unreadable(node, item, &error),
     };
     if node.batches.get(id).is_some() {
         return;
@@ -176,16 +178,16 @@
     if record.ended {
         return;
     }
-    if peers::me(node).is_some_and(|me| is_or_was(&me, &record.owner)) {
-        return start_taking(node, id);
+    if peers::me(node).is_some_and(|me| is_own_incarnation(&me, &record.owner)) {
+        return start_takeover(node, id);
     }
-    // A node that has just started knows nobody, and would come first in rank for everything.
+    // A node that has just started knows no other nodes, and would rank first for every batch.
     let may_be_dead = matches!(search, Search::Orphans { .. });
     if !may_be_dead || !is_dead(node, &record.owner) {
         return;
     }
     match peers::first_for(node, id) {
-        None => start_taking(node, id),
+        None => start_takeover(node, id),
         Some(first) => {
             let datagram = Datagram::BatchOrphaned { batch: id.to_owned(), owner: record.owner };
             peers::send(node, &datagram, first);
@@ -193,59 +195,64 @@
     }
 }
 
-fn start_taking<P: Platform>(node: &Rc<Node<P>>, id: &str) {
-    if !node.batches.taking.borrow_mut().insert(id.to_owned()) {
+fn start_takeover<P: Platform>(node: &Rc<Node<P>>, id: &str) {
+    if !node.batches.takeovers.borrow_mut().insert(id.to_owned()) {
         return;
     }
     let (node, id) = (Rc::clone(node), id.to_owned());
     tokio::task::spawn_local(async move {
-        if let Err(refusal) = take_or_run(&node, &id).await {
+        if let Err(refusal) = take_over_or_run_interim(&node, &id).await {
             node.note("batch_untaken", json!({ "request": id, "why": refusal.message }));
-            sleep(TAKE_AGAIN).await;
+            sleep(TAKEOVER_RETRY_PAUSE).await;
             node.batches.orphaned.notify_one();
         } else {
-            node.batches.standby.forget(&id);
+            node.batches.standby.discard(&id);
         }
-        node.batches.taking.borrow_mut().swap_remove(&id);
+        node.batches.takeovers.borrow_mut().swap_remove(&id);
     });
 }
 
-/// Takes a batch over; where the store does not answer soon, its items run meanwhile.
-async fn take_or_run<P: Platform>(node: &Rc<Node<P>>, id: &str) -> Result<(), StoreRefusal> {
-    let mut taking = pin!(take_over(node, id, Vec::new()));
-    if let Ok(taken) = timeout(INTERIM_AFTER, &mut taking).await {
+/// Takes over a batch; runs its items in the interim if the store does not answer within
+/// [`INTERIM_AFTER`].
+async fn take_over_or_run_interim<P: Platform>(
+    node: &Rc<Node<P>>,
+    id: &str,
+) -> Result<(), StoreRefusal> {
+    let mut takeover = pin!(take_over(node, id, Vec::new()));
+    if let Ok(taken) = timeout(INTERIM_AFTER, &mut takeover).await {
         if taken.is_err() {
             start_interim(node, id);
         }
         return taken;
     }
     start_interim(node, id);
-    taking.await
+    takeover.await
 }
 
-/// Tells whether a node's life is the owner, or one that came after it.
-fn is_or_was(me: &Owner, owner: &Owner) -> bool {
+/// Returns whether the owner is this incarnation of the node or an earlier one.
+fn is_own_incarnation(me: &Owner, owner: &Owner) -> bool {
     me.node == owner.node && me.incarnation >= owner.incarnation
 }
 
-/// Tells whether an owner is dead. One that nothing was heard of is not, until this node has been
-/// there long enough to have heard of all: after a restart of the whole fleet each node's view is
-/// partial for a moment, and owners that live would lose their batches over and over.
+/// Returns whether an owner is dead. An owner unknown to this node counts as alive until this node
+/// has run long enough to know of all nodes: after a restart of all nodes each one's view is
+/// partial for a moment, and live owners would lose their batches again and again.
 pub(super) fn is_dead<P: Platform>(node: &Node<P>, owner: &Owner) -> bool {
     match peers::owner_status(node, owner) {
         OwnerStatus::Ended => true,
         OwnerStatus::Running => false,
         OwnerStatus::Unknown => {
-            clock::now().since_ms(node.batches.started_at.get()) > UNHEARD_MAX_MS
+            clock::now().since_ms(node.batches.started_at.get()) > UNKNOWN_OWNER_GRACE_MS
         }
     }
 }
 
-/// Becomes the owner of a batch, by its record as it stands now.
+/// Becomes the owner of a batch, unless its record in the store shows that it is ended or has a
+/// live owner. `handed_over_outputs` are used in place of the stored output, if there are any.
 pub(super) async fn take_over<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
-    texts_given: Vec<(String, Progress)>,
+    handed_over_outputs: Vec<(String, Progress)>,
 ) -> Result<(), StoreRefusal> {
     let Some(me) = peers::me(node) else { return Ok(()) };
     let Some((record, revision)) = read_record(node, id).await? else { return Ok(()) };
@@ -253,11 +260,11 @@
         node.batches.note_ended(id);
         return Ok(());
     }
-    if !is_or_was(&me, &record.owner) && !is_dead(node, &record.owner) {
+    if !is_own_incarnation(&me, &record.owner) && !is_dead(node, &record.owner) {
         node.batches.note_owner(id, record.owner);
         return Ok(());
     }
-    let was = record.owner.clone();
+    let former_owner = record.owner.clone();
     let record = Record { owner: me, ..record };
     let revision = match write_record(node, id, &record, revision).await? {
         RecordWrite::Done(revision) => revision,
@@ -267,64 +274,67 @@
             return Ok(());
         }
     };
-    let Kept { chunks, submission, texts } = read_submission(node, id).await?;
+    let StoredBatch { chunks, submission, outputs } = read_stored_batch(node, id).await?;
     let age_ms = UnixMs::from_wall_clock().since_ms(UnixMs(record.accepted_at_unix_ms));
     let now = clock::now();
     let accepted_at = UnixMs(now.0.saturating_sub(age_ms));
     node.note(
         "batch_taken_over",
-        json!({ "request": id, "from": was.node, "from_incarnation": was.incarnation.0,
-                "age_ms": age_ms, "record_revision": revision }),
+        json!({
+            "request": id, "from": former_owner.node,
+            "from_incarnation": former_owner.incarnation.0, "age_ms": age_ms,
+            "record_revision": revision,
+        }),
     );
-    let texts = if texts_given.is_empty() { texts } else { texts_given };
-    let Meanwhile { results, texts: meanwhile } = node.batches.standby.take(id);
-    let texts = longer_texts(texts, meanwhile);
-    let source = Source { record, record_revision: revision, results, submission, texts };
-    own(node, id, source, accepted_at, SKEW_MAX_MS, &chunks);
+    let outputs = if handed_over_outputs.is_empty() { outputs } else { handed_over_outputs };
+    let InterimProgress { results, outputs: meanwhile } = node.batches.standby.stop_interim(id);
+    let outputs = longer_outputs(outputs, meanwhile);
+    let source = BatchSource { record, record_revision: revision, results, submission, outputs };
+    start_owning(node, id, source, accepted_at, SKEW_MAX_MS, &chunks);
     Ok(())
 }
 
-/// Gives all batches with work left to live peers, with the texts that were begun; for a planned
-/// stop.
+/// Hands over all batches with items left to run to live peers, with their output so far; for a
+/// planned stop.
 pub(crate) async fn hand_over_all<P: Platform>(node: Rc<Node<P>>) {
     for id in node.batches.standby.interim_ids() {
-        node.batches.standby.forget(&id);
+        node.batches.standby.discard(&id);
     }
-    for held in node.batches.open() {
-        hand_over(&node, &held).await;
+    for local in node.batches.open() {
+        hand_over(&node, &local).await;
     }
 }
 
-pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, held: &Rc<RefCell<LocalBatch>>) {
-    let texts = {
-        let mut held = held.borrow_mut();
-        let texts = held.texts(0);
-        held.stop_runs();
-        texts
+pub(super) async fn hand_over<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
+    let outputs = {
+        let mut local = local.borrow_mut();
+        let outputs = local.partial_outputs(0);
+        local.stop_runs();
+        outputs
     };
-    while held.borrow_mut().batch.chunk_of_all_results(part_max_bytes(node)).is_some() {
-        if !write_chunk(node, held).await {
+    while local.borrow_mut().batch.chunk_of_all_results(part_max_bytes(node)).is_some() {
+        if !write_chunk(node, local).await {
             return;
         }
     }
     let (id, model, record, revision) = {
-        let held = held.borrow();
-        if !held.owned {
+        let local = local.borrow();
+        if !local.owned {
             return;
         }
-        let model = held.batch.submission().model.clone();
-        (held.id.clone(), model, held.record.clone(), held.record_revision)
+        let model = local.batch.submission().model.clone();
+        (local.id.clone(), model, local.record.clone(), local.record_revision)
     };
-    let duty = duty_of(model.as_deref().unwrap_or(&record.origin.path));
+    let duty = model_duty(model.as_deref().unwrap_or(&record.origin.path));
     let Some(successor) = peers::successor_for(node, &duty) else { return };
     let record = Record { owner: successor.clone(), ..record };
     match write_record(node, &id, &record, revision).await {
         Ok(RecordWrite::Done(revision) | RecordWrite::Changed(_, revision)) => {
-            take_record(node, held, record, revision);
+            apply_record(node, local, record, revision);
             node.note("batch_handed_over", json!({ "request": id, "to": successor.node }));
-            let call = PeerCall::Adopt { batch: id, texts };
-            // A lost call is made good by the successor's own search.
-            drop(node.ask_peer(successor.address, &call, OWNER_SLACK).await);
+            let call = PeerCall::Adopt { batch: id, texts: outputs };
+            // If this call is lost, the successor finds the batch by its own search.
+            drop(node.ask_peer(successor.address, &call, OWNER_CALL_SLACK).await);
         }
         Err(refusal) => {
             node.note("batch_not_handed_over", json!({ "request": id, "why": refusal.message }));
@@ -332,21 +342,22 @@
     }
 }
 
-/// Takes a batch that its owner gives to this node.
+/// Accepts a batch that its owner hands over to this node.
 pub(crate) fn accept_handover<P: Platform>(
     node: &Rc<Node<P>>,
     batch: String,
-    texts: Vec<(String, Progress)>,
+    outputs: Vec<(String, Progress)>,
 ) {
-    if node.batches.get(&batch).is_some() || !node.batches.taking.borrow_mut().insert(batch.clone())
+    if node.batches.get(&batch).is_some()
+        || !node.batches.takeovers.borrow_mut().insert(batch.clone())
     {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        if let Err(refusal) = take_over(&node, &batch, texts).await {
+        if let Err(refusal) = take_over(&node, &batch, outputs).await {
             node.note("batch_untaken", json!({ "request": batch, "why": refusal.message }));
         }
-        node.batches.taking.borrow_mut().swap_remove(&batch);
+        node.batches.takeovers.borrow_mut().swap_remove(&batch);
     });
 }
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -21,7 +21,7 @@
 
 /// Pause before an address that still took a connection is asked once more: a process that ends may
 /// close its connections some milliseconds before its listener.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
+const PROBE_AGAIN_AFTER: Duration = Duration::from_millis(200);
 /// A stream that has brought events for so long shows that its target survives it. Engines end with all
 /// their streams, which last for seconds; held against each, every one of them would soon have three.
 const SURVIVED_AFTER_MS: u64 = 1_000;
@@ -74,23 +74,28 @@
     if entry.draining {
         return;
     }
-    let life = TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
+    let incarnation =
+        TargetIncarnation { started_at_unix_ms: entry.started_at_unix_ms, id: entry.id };
     let now = UnixMs::from_wall_clock();
-    let is_first = node.interrupted.borrow_mut().record(now, outgoing.fingerprint(), &life);
+    let is_first = node.interrupted.borrow_mut().record(now, outgoing.fingerprint(), &incarnation);
     if is_first {
-        tokio::task::spawn_local(ask(Rc::clone(node), chosen.address, life));
+        tokio::task::spawn_local(probe_target(Rc::clone(node), chosen.address, incarnation));
     }
 }
 
 /// Asks a target's address whether anybody listens there.
-async fn ask<P: Platform>(node: Rc<Node<P>>, address: SocketAddr, life: TargetIncarnation) {
-    let mut is_closed = node.pool.refuses_connections(address).await;
-    if !is_closed {
-        sleep(ASK_AGAIN_AFTER).await;
-        is_closed = node.pool.refuses_connections(address).await;
+async fn probe_target<P: Platform>(
+    node: Rc<Node<P>>,
+    address: SocketAddr,
+    incarnation: TargetIncarnation,
+) {
+    let mut refuses = node.pool.refuses_connections(address).await;
+    if !refuses {
+        sleep(PROBE_AGAIN_AFTER).await;
+        refuses = node.pool.refuses_connections(address).await;
     }
-    if is_closed {
-        take(&node, TargetOutcome::Ended(&life), "refused");
+    if refuses {
+        apply_outcome(&node, TargetOutcome::Ended(&incarnation), "refused");
     }
 }
 
@@ -102,34 +107,34 @@
 ) {
     match change {
         TargetChange::Left(id) if !entry.draining => {
-            take(node, TargetOutcome::Gone { id }, "registry");
+            apply_outcome(node, TargetOutcome::Gone { id }, "registry");
         }
         TargetChange::Restarted(id) => {
             let started_at_unix_ms = entry.started_at_unix_ms;
-            take(node, TargetOutcome::Restarted { started_at_unix_ms, id }, "registry");
+            apply_outcome(node, TargetOutcome::Restarted { started_at_unix_ms, id }, "registry");
         }
         TargetChange::Left(_) | TargetChange::Joined(_) | TargetChange::None => {}
     }
 }
 
-fn take<P: Platform>(node: &Node<P>, fate: TargetOutcome<'_>, by: &'static str) {
+fn apply_outcome<P: Platform>(node: &Node<P>, outcome: TargetOutcome<'_>, by: &'static str) {
     if node.interrupted.borrow().is_empty() {
         return;
     }
-    let ended = node.interrupted.borrow_mut().resolve(UnixMs::from_wall_clock(), fate);
+    let ended = node.interrupted.borrow_mut().resolve(UnixMs::from_wall_clock(), outcome);
     if ended.is_empty() {
         return;
     }
     count(&node.metrics.targets_ended, by);
-    let under_way = ended.len();
-    for (fingerprint, life) in ended {
+    let in_flight = ended.len();
+    for (fingerprint, incarnation) in ended {
         node.note(
             "target_ended",
             json!({
-                "target": life.id, "born_at_unix_ms": life.started_at_unix_ms, "by": by,
-                "fingerprint": fingerprint.to_string(), "under_way": under_way,
+                "target": incarnation.id, "born_at_unix_ms": incarnation.started_at_unix_ms, "by": by,
+                "fingerprint": fingerprint.to_string(), "under_way": in_flight,
             }),
         );
-        super::ended(node, fingerprint, life);
+        super::ended(node, fingerprint, incarnation);
     }
 }
