--- a/tests/all/site/batches.rs
+++ b/tests/all/site/batches.rs
@@ -1,7 +1,7 @@
 //! Batch submissions: accepted once, whole texts, fixed positions, whatever dies meanwhile.
 
 use super::harness::{Site, complete_output, submission, until};
-use super::store::Door;
+use super::store::StoreMode;
 use super::worker::{Behaviour, Worker};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -53,11 +53,11 @@
 async fn a_submission_whose_write_went_unanswered_is_accepted_once() {
     let site = Site::start(1, 2, 1).await;
     let door = site.nodes[0].store_endpoint;
-    site.store.set_door(door, Door::LosesAnswers);
+    site.store.set_mode(door, StoreMode::LosesWriteAnswers);
     let batch = submission("b1", ITEMS, 3, 1);
     let opened = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        site.store.set_door(door, Door::Open);
+        site.store.set_mode(door, StoreMode::Normal);
     };
 
     let (status, ()) = tokio::join!(site.submit(&site.nodes[0], "b1", &batch), opened);
@@ -277,9 +277,9 @@
     let owner = site.owner_of("b1").await;
     let others: Vec<usize> = (0..3).filter(|number| *number != owner).collect();
     let set_doors =
-        |door| site.nodes.iter().for_each(|node| site.store.set_door(node.store_endpoint, door));
+        |door| site.nodes.iter().for_each(|node| site.store.set_mode(node.store_endpoint, door));
 
-    set_doors(Door::Refuses);
+    set_doors(StoreMode::Refuses);
     site.nodes[owner].signal("KILL");
     for other in &others {
         until("the owner is seen gone", || async {
@@ -292,7 +292,7 @@
     // Not the first line that tells of the store's return: a watch that was made before the outage may
     // be answered after it has begun, which is a return of its own.
     let opened_ms = UnixMs::from_wall_clock().0;
-    set_doors(Door::Open);
+    set_doors(StoreMode::Normal);
 
     let taken = until("another takes the batch", || async {
         let taken = |number: &usize| site.nodes[*number].lines("batch_taken_over").pop();
@@ -344,14 +344,14 @@
 // Sequence: the store turns one node away, with a refusal or with silence.
 // Cause: the node gives up instead of asking a peer to make its calls.
 #[yare::parameterized(
-    refused = { Door::Refuses },
-    silent = { Door::Silent },
+    refused = { StoreMode::Refuses },
+    silent = { StoreMode::Unresponsive },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn a_node_that_the_store_turns_away_works_by_way_of_its_peers(door: Door) {
+async fn a_node_that_the_store_turns_away_works_by_way_of_its_peers(door: StoreMode) {
     let site = Site::start(3, 2, 1).await;
     for index in 0..2 {
-        site.store.set_door(site.nodes[index].store_endpoint, door);
+        site.store.set_mode(site.nodes[index].store_endpoint, door);
     }
 
     let status = site.submit(&site.nodes[0], "b1", &submission("b1", ITEMS, 3, 1)).await;
@@ -500,10 +500,10 @@
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", 2, 2, 1)).await, 202);
     let owner = site.owner_of("b1").await;
     let other = (owner + 1) % site.nodes.len();
-    site.store.set_door(site.nodes[owner].store_endpoint, Door::MutesWrites);
+    site.store.set_mode(site.nodes[owner].store_endpoint, StoreMode::LeavesWritesUnanswered);
 
     let accepted = site.submit(&site.nodes[other], "b2", &submission("b2", 4, 2, 1)).await;
-    site.store.set_door(site.nodes[owner].store_endpoint, Door::Open);
+    site.store.set_mode(site.nodes[owner].store_endpoint, StoreMode::Normal);
 
     assert_eq!(accepted, 202);
     assert_eq!(site.read_all(&site.nodes[other], "b2", 4).await.len(), 4);
--- a/tests/all/site/configuration.rs
+++ b/tests/all/site/configuration.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration: in force everywhere within seconds, never reverting.
 
 use super::harness::{CHANGE_BOUND_MS, Node, Site, document, until};
-use super::store::Door;
+use super::store::StoreMode;
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::json;
 use std::time::Duration;
@@ -150,7 +150,7 @@
     // The watchers wait for changes again by then.
     tokio::time::sleep(Duration::from_millis(200)).await;
     for index in cut {
-        site.store.set_door(site.nodes[*index].store_endpoint, Door::Silent);
+        site.store.set_mode(site.nodes[*index].store_endpoint, StoreMode::Unresponsive);
     }
 }
 
--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -10,7 +10,7 @@
 
 use super::harness::{HOST, Site, submission, until};
 use super::proxy::{Link, Proxy};
-use super::store::Door;
+use super::store::StoreMode;
 use super::worker::{Behaviour, CRASHING_BODY, CRASHING_LATE_BODY, Worker};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -259,7 +259,7 @@
 async fn what_is_barred_while_the_store_is_away_is_known_to_all_and_kept_later() {
     let site = site_of_three(0, 6).await;
     for node in &site.nodes {
-        site.store.set_door(node.store_endpoint, Door::Refuses);
+        site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
     }
 
     bar_a_lookup(&site).await;
@@ -267,7 +267,7 @@
     is_refused(&site, 1, "again").await;
     is_refused(&site, 2, "and again").await;
     for node in &site.nodes {
-        site.store.set_door(node.store_endpoint, Door::Open);
+        site.store.set_mode(node.store_endpoint, StoreMode::Normal);
     }
     until("the record is kept", || async {
         (kept_ends(&site) == ENDED_BEFORE as usize).then_some(())
--- a/tests/all/site/harness.rs
+++ b/tests/all/site/harness.rs
@@ -210,7 +210,7 @@
 
 impl Node {
     async fn start(store: &Store, provider: &Provider, name: &str, options: SiteOptions) -> Self {
-        let (store_endpoint, store_server) = store.door().await;
+        let (store_endpoint, store_server) = store.open_endpoint().await;
         let store_link = Proxy::start(store_server.address).await;
         let store_at =
             if options.behind_proxies { store_link.address } else { store_server.address };
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -1,7 +1,7 @@
 //! Weight versions: one node gives the orders, and an order that comes late does no harm.
 
 use super::harness::{Site, until};
-use super::store::Door;
+use super::store::StoreMode;
 use super::worker::Behaviour;
 use serde_json::json;
 use std::time::Duration;
@@ -101,7 +101,7 @@
         (!node.duty_lines("duty_gained", "orders").is_empty()).then_some(())
     })
     .await;
-    site.store.set_door(node.store_endpoint, Door::Refuses);
+    site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
     until("the lapse", || async {
         (!node.duty_lines("duty_lost", "orders").is_empty()).then_some(())
     })
@@ -119,7 +119,7 @@
     let node = &site.nodes[0];
     site.store.hold_leases();
 
-    site.store.set_door(node.store_endpoint, Door::Open);
+    site.store.set_mode(node.store_endpoint, StoreMode::Normal);
 
     until("the lease again", || async {
         (node.duty_lines("duty_gained", "orders").len() == 2).then_some(())
@@ -140,10 +140,10 @@
     };
     let asked_before = asks();
     site.store.hold_leases();
-    site.store.set_door(node.store_endpoint, Door::DropsWrites);
+    site.store.set_mode(node.store_endpoint, StoreMode::DropsWrites);
     until("the key is read", || async { (asks() > asked_before).then_some(()) }).await;
 
-    site.store.set_door(node.store_endpoint, Door::Open);
+    site.store.set_mode(node.store_endpoint, StoreMode::Normal);
 
     until("the lease again", || async {
         (node.duty_lines("duty_gained", "orders").len() > 1).then_some(())
--- a/tests/all/site/requests.rs
+++ b/tests/all/site/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of callers: answers whole and their own, refusals true, at most once.
 
 use super::harness::{HOST, Site, until};
-use super::store::Door;
+use super::store::StoreMode;
 use super::worker::Behaviour;
 use std::time::Duration;
 
@@ -237,7 +237,7 @@
 async fn a_target_leaves_while_the_store_turns_nodes_away() {
     let site = Site::start(4, 0, 2).await;
     for node in &site.nodes[1..] {
-        site.store.set_door(node.store_endpoint, Door::Refuses);
+        site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
 
@@ -260,14 +260,14 @@
 async fn targets_whose_entries_lapsed_with_the_store_serve_on() {
     let mut site = Site::start(2, 0, 2).await;
     for node in &site.nodes {
-        site.store.set_door(node.store_endpoint, Door::Refuses);
+        site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     for worker in &site.plain {
         worker.deregister();
     }
     for node in &site.nodes {
-        site.store.set_door(node.store_endpoint, Door::Open);
+        site.store.set_mode(node.store_endpoint, StoreMode::Normal);
     }
 
     for number in 0..10 {
--- a/tests/all/site/standby.rs
+++ b/tests/all/site/standby.rs
@@ -2,7 +2,7 @@
 //! they run on during an outage of the store.
 
 use super::harness::{Site, complete_output, submission, until};
-use super::store::Door;
+use super::store::StoreMode;
 use std::time::Duration;
 
 /// Time in which long generated outputs are copied: those older than a second, every 0.6 s.
@@ -10,8 +10,8 @@
 /// Time in which a copy arrives, with a large margin.
 const COPY_TIME: Duration = Duration::from_millis(500);
 
-fn set_store_endpoints(site: &Site, door: Door) {
-    site.nodes.iter().for_each(|node| site.store.set_door(node.store_endpoint, door));
+fn set_store_endpoints(site: &Site, door: StoreMode) {
+    site.nodes.iter().for_each(|node| site.store.set_mode(node.store_endpoint, door));
 }
 
 /// Starts three nodes with a batch of six items; returns its owner and the other nodes.
@@ -39,11 +39,11 @@
 // Guards against a step that stalls when its owner dies during an outage of the store. No node can
 // take over the batch until the store returns, but its items can run without an owner.
 #[yare::parameterized(
-    refusing = { Door::Refuses },
-    silent = { Door::Silent },
+    refusing = { StoreMode::Refuses },
+    silent = { StoreMode::Unresponsive },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn items_of_a_dead_owner_run_on_during_a_store_outage(outage: Door) {
+async fn items_of_a_dead_owner_run_on_during_a_store_outage(outage: StoreMode) {
     let (site, owner, others) = site_with_batch(50, 120).await;
     tokio::time::sleep(OUTPUT_COPY_TIME).await;
 
@@ -63,7 +63,7 @@
         );
         assert!(site.nodes[*other].lines("results_listed").is_empty(), "no results are listed");
     }
-    set_store_endpoints(&site, Door::Open);
+    set_store_endpoints(&site, StoreMode::Normal);
     let results = site.read_all(&site.nodes[others[0]], "b1", 6).await;
     for result in results {
         let item = result["id"].as_str().expect("an id");
@@ -88,7 +88,7 @@
     assert_eq!(site.end(&site.nodes[0], "b1").await, 200);
     let ran = site.runs.all().len();
 
-    set_store_endpoints(&site, Door::Refuses);
+    set_store_endpoints(&site, StoreMode::Refuses);
     site.nodes[owner].signal("KILL");
     until_gone_to_all(&site, &others).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -107,7 +107,7 @@
     let site = Site::start(3, 3, 1).await;
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", 6, 100, 1)).await, 202);
     let owner = &site.nodes[site.owner_of("b1").await];
-    set_store_endpoints(&site, Door::Silent);
+    set_store_endpoints(&site, StoreMode::Unresponsive);
     until("the outage is noticed", || async {
         site.nodes.iter().all(|node| !node.lines("store_lost").is_empty()).then_some(())
     })
@@ -117,7 +117,7 @@
     })
     .await;
 
-    set_store_endpoints(&site, Door::Open);
+    set_store_endpoints(&site, StoreMode::Normal);
 
     // The owner or a peer that makes the call for it repeats the call.
     until("a waiting call is repeated", || async {
@@ -136,7 +136,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_report_that_the_store_is_back_is_not_taken_as_its_answer() {
     let site = Site::start(4, 0, 1).await;
-    set_store_endpoints(&site, Door::Silent);
+    set_store_endpoints(&site, StoreMode::Unresponsive);
     until("the outage is noticed", || async {
         site.nodes.iter().all(|node| !node.lines("store_lost").is_empty()).then_some(())
     })
@@ -144,7 +144,7 @@
 
     let (cut_off, others) = site.nodes.split_last().expect("nodes");
     for node in others {
-        site.store.set_door(node.store_endpoint, Door::Open);
+        site.store.set_mode(node.store_endpoint, StoreMode::Normal);
     }
 
     until("the others regain the store", || async {
@@ -164,7 +164,7 @@
     let (site, owner, others) = site_with_batch(50, 40).await;
     tokio::time::sleep(COPY_TIME).await;
 
-    set_store_endpoints(&site, Door::Refuses);
+    set_store_endpoints(&site, StoreMode::Refuses);
     site.nodes[owner].signal("KILL");
     let rewards: Vec<String> = (0..6).map(|item| format!("b1r{item}")).collect();
     until("all items are scored", || async {
@@ -172,7 +172,7 @@
     })
     .await;
     tokio::time::sleep(COPY_TIME).await;
-    set_store_endpoints(&site, Door::Open);
+    set_store_endpoints(&site, StoreMode::Normal);
 
     assert_eq!(site.read_all(&site.nodes[others[0]], "b1", 6).await.len(), 6);
     for reward in rewards {
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -16,19 +16,19 @@
 
 /// How a door answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Door {
+pub(crate) enum StoreMode {
     /// Writes are neither done nor answered.
     DropsWrites,
     /// Writes are done, and their answers are lost.
-    LosesAnswers,
+    LosesWriteAnswers,
     /// Writes are done, and their callers wait for an answer in vain.
-    MutesWrites,
+    LeavesWritesUnanswered,
     /// As it should.
-    Open,
+    Normal,
     /// Refuses with 503.
     Refuses,
     /// Takes calls and answers none.
-    Silent,
+    Unresponsive,
 }
 
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     /// All calls with their queries, by door.
     calls_at: BTreeMap<usize, Vec<String>>,
     compacted: u64,
-    doors: Vec<Option<Door>>,
+    modes: Vec<Option<StoreMode>>,
     history: Vec<(u64, String, Option<Item>)>,
     items: BTreeMap<String, Item>,
     leases: BTreeMap<u64, (Duration, Instant)>,
@@ -116,11 +116,11 @@
     }
 
     /// Opens a door; its server closes with the returned handle.
-    pub(crate) async fn door(&self) -> (usize, Server) {
+    pub(crate) async fn open_endpoint(&self) -> (usize, Server) {
         let index = {
             let mut state = self.state();
-            state.doors.push(Some(Door::Open));
-            state.doors.len() - 1
+            state.modes.push(Some(StoreMode::Normal));
+            state.modes.len() - 1
         };
         let store = self.clone();
         let server = Server::bind(move |request| {
@@ -131,8 +131,8 @@
     }
 
     /// Changes how a door answers.
-    pub(crate) fn set_door(&self, index: usize, door: Door) {
-        self.state().doors[index] = Some(door);
+    pub(crate) fn set_mode(&self, index: usize, mode: StoreMode) {
+        self.state().modes[index] = Some(mode);
     }
 
     /// Writes a key as the operator or a worker does.
@@ -199,8 +199,8 @@
     }
 
     /// Returns the calls that came through a door so far, each with its query.
-    pub(crate) fn calls_at(&self, door: usize) -> Vec<String> {
-        self.state().calls_at.get(&door).cloned().unwrap_or_default()
+    pub(crate) fn calls_at(&self, endpoint: usize) -> Vec<String> {
+        self.state().calls_at.get(&endpoint).cloned().unwrap_or_default()
     }
 
     /// Lets no lease lapse for a minute, as a store that pauses leases while it is away.
@@ -223,7 +223,7 @@
         self.changed.notify_waiters();
     }
 
-    async fn serve(&self, door: usize, request: http::Request<Incoming>) -> Answer {
+    async fn serve(&self, endpoint: usize, request: http::Request<Incoming>) -> Answer {
         let (head, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         let name = head.uri.path().rsplit('/').find(|part| part.starts_with("kv-"))?.to_owned();
@@ -231,15 +231,18 @@
             let mut state = self.state();
             *state.calls.entry(name.clone()).or_insert(0) += 1;
             let call = format!("{name} {}", head.uri.query().unwrap_or_default());
-            state.calls_at.entry(door).or_default().push(call);
+            state.calls_at.entry(endpoint).or_default().push(call);
             state.expire_leases();
-            state.doors[door].unwrap_or(Door::Open)
+            state.modes[endpoint].unwrap_or(StoreMode::Normal)
         };
         match mode {
-            Door::Refuses => return Some(answer(503, "")),
-            Door::Silent => std::future::pending().await,
-            Door::DropsWrites if name == "kv-txn" => return None,
-            Door::Open | Door::LosesAnswers | Door::DropsWrites | Door::MutesWrites => {}
+            StoreMode::Refuses => return Some(answer(503, "")),
+            StoreMode::Unresponsive => std::future::pending().await,
+            StoreMode::DropsWrites if name == "kv-txn" => return None,
+            StoreMode::Normal
+            | StoreMode::LosesWriteAnswers
+            | StoreMode::DropsWrites
+            | StoreMode::LeavesWritesUnanswered => {}
         }
         let query = head.uri.query().unwrap_or_default().to_owned();
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
@@ -248,7 +251,7 @@
             "kv-watch" => {
                 let told = self.watch(&query).await?;
                 // A wait that was under way as the path was cut is not answered either.
-                if self.state().doors[door] == Some(Door::Silent) {
+                if self.state().modes[endpoint] == Some(StoreMode::Unresponsive) {
                     std::future::pending::<()>().await;
                 }
                 told
@@ -258,10 +261,10 @@
             "kv-txn" => self.transaction(&body),
             _ => self.lease(&name, id, &body),
         };
-        if mode == Door::LosesAnswers && name == "kv-txn" {
+        if mode == StoreMode::LosesWriteAnswers && name == "kv-txn" {
             return None;
         }
-        if mode == Door::MutesWrites && name == "kv-txn" {
+        if mode == StoreMode::LeavesWritesUnanswered && name == "kv-txn" {
             std::future::pending::<()>().await;
         }
         Some(answer(status, value.to_string()))
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -1,7 +1,7 @@
 //! Workspaces and keys: who is served, what targets are told, and what nobody is told.
 
 use super::harness::{CHANGE_BOUND_MS, HOST, Node, Site, document, submission, until};
-use super::store::Door;
+use super::store::StoreMode;
 use reqwest::RequestBuilder;
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -162,7 +162,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_keys_is_in_force_in_time_at_a_node_that_the_store_turns_away() {
     let site = site_with_keys(3, 0).await;
-    site.store.set_door(site.nodes[0].store_endpoint, Door::Refuses);
+    site.store.set_mode(site.nodes[0].store_endpoint, StoreMode::Refuses);
 
     site.store.put("op/config", &with_keys(9, &[("a", &["newkey012345"]), ("b", &[KEY_B])]));
     tokio::time::sleep(Duration::from_millis(CHANGE_BOUND_MS)).await;
@@ -180,7 +180,7 @@
 async fn without_the_store_known_keys_are_served_and_unknown_ones_asked_to_come_back() {
     let site = site_with_keys(2, 0).await;
     for node in &site.nodes {
-        site.store.set_door(node.store_endpoint, Door::Refuses);
+        site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
     }
     let node = &site.nodes[0];
 
@@ -260,7 +260,7 @@
 async fn no_key_is_in_the_memory_of_a_node_that_heard_of_the_configuration() {
     let site = site_with_keys(3, 0).await;
     let node = &site.nodes[2];
-    site.store.set_door(node.store_endpoint, Door::Refuses);
+    site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
     // A watch that it had made before is answered within half of the bound.
     tokio::time::sleep(Duration::from_millis(CHANGE_BOUND_MS)).await;
 
