--- a/tests/all/site/configuration.rs
+++ b/tests/all/site/configuration.rs
@@ -62,7 +62,7 @@
 // watches; it tells of the lost history only with the next change or when a watch's time is up.
 // Cause: the cut watch is asked again from its revision, instead of reading the whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_behind_a_lost_history_is_seen_at_once() {
+async fn a_change_in_a_lost_history_is_applied_at_once() {
     let site = Site::start(3, 0, 1).await;
     let before = site.store.calls("kv-range");
 
@@ -82,7 +82,7 @@
 // Sequence: targets' entries change while all nodes are calm.
 // Cause: each node watches for itself.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_nodes_watch_for_all() {
+async fn only_two_nodes_watch_the_store() {
     let mut site = Site::start(6, 1, 0).await;
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
     let before = site.store.calls("kv-watch");
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_before_any_configuration_is_refused_as_not_run() {
+async fn a_request_without_a_route_is_refused_and_not_run() {
     let site = Site::start(1, 0, 1).await;
     let missing = site.call(&site.nodes[0], "/none/", "q1").await.expect("an answer");
 
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_wait_for_a_store_they_have_lost_hear_the_one_that_reaches_it() {
+async fn nodes_cut_off_from_the_store_receive_changes_from_the_one_that_reaches_it() {
     // Calls of the store that wait for an answer by then.
     const CALLS_WAIT: Duration = Duration::from_millis(2_500);
     let site = Site::start(6, 0, 1).await;
@@ -227,7 +227,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_cannot_tell_how_old_its_configuration_is_denies_no_route() {
+async fn a_node_with_an_old_configuration_does_not_answer_404_for_an_unknown_route() {
     let site = Site::start(3, 0, 1).await;
     let all: Vec<usize> = (0..site.nodes.len()).collect();
     cut_off_after_version(&site, &all, 7).await;
--- a/tests/all/site/duties.rs
+++ b/tests/all/site/duties.rs
@@ -70,7 +70,7 @@
 // Symptom: requests that no target ran are billed.
 // Sequence: all targets refuse for load, or the key is unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_no_target_began_is_not_reported() {
+async fn requests_that_no_target_began_are_not_reported() {
     let site = site(1).await;
     assert_eq!(call(&site, 0, "unknown", "q1").await, 401);
     for worker in &site.plain {
@@ -91,7 +91,7 @@
 // Symptom: requests are missing in a report.
 // Sequence: a node serves callers, tells of it, and is killed before the window ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_dies_leaves_what_it_has_counted() {
+async fn counts_of_a_killed_node_are_reported() {
     let site = site(4).await;
     let holder = holder(&site).await;
     let node = (holder + 1) % 4;
@@ -110,7 +110,7 @@
 // Sequence: the holder writes a report, the provider takes it without an answer, and the holder dies; its
 // successor has heard of other requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_that_dies_between_writing_and_sending_leaves_its_very_report() {
+async fn the_report_of_a_killed_holder_is_sent_unchanged_by_its_successor() {
     let site = site(3).await;
     let holder = holder(&site).await;
     site.provider.set_mode(holder, ProviderMode::Unresponsive);
@@ -135,7 +135,7 @@
 // Sequence: the provider cannot be reached from the holder alone, whose way to the store is open.
 // Cause: the holder keeps its lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_that_the_provider_does_not_answer_gives_the_duty_up() {
+async fn a_holder_without_answers_from_the_provider_steps_down() {
     let site = site(3).await;
     let first = holder(&site).await;
 
@@ -154,7 +154,7 @@
 // Symptom: the platform's limit is exceeded over and over, or a report is lost.
 // Sequence: the provider refuses for load for a while.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_report_that_is_refused_for_load_is_made_again_by_the_same_holder() {
+async fn a_report_refused_for_overload_is_retried_by_the_same_holder() {
     let site = site(2).await;
     let holder = holder(&site).await;
     site.provider.set_mode(holder, ProviderMode::Busy);
@@ -173,7 +173,7 @@
 // Symptom: a service has fewer targets for good.
 // Sequence: a target goes away, and none comes in its place; the holder of the duty is killed meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn targets_that_went_away_are_ordered_again_also_by_the_next_holder() {
+async fn lost_targets_are_ordered_again_also_by_the_next_holder() {
     let mut site = Site::start_with_duties(3, 1).await;
     for number in 0..3 {
         site.add_engine(&format!("engine-{number}")).await;
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn named_versions_reach_the_engines_under_one_holder_and_a_rising_fence() {
+async fn published_versions_reach_the_engines_under_one_holder_per_fencing_number() {
     // Two models share four engines, so each is kept current at two of them.
     let site = Site::start(3, 4, 0).await;
     name_version(&site, 2);
@@ -54,7 +54,7 @@
 // Sequence: an order gets no answer and is carried out seconds later, after it was sent again.
 // Cause: the second order does not name how many orders came before it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_is_carried_out_late_does_nothing_more() {
+async fn an_order_that_is_carried_out_late_has_no_effect() {
     let site = Site::start(1, 1, 0).await;
     site.engines[0].set_behaviour(Behaviour::CarriesOutOrdersLate);
 
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_machine_that_is_to_be_emptied_is_reported_empty() {
+async fn a_store_instance_to_be_drained_is_reported_drained() {
     let site = Site::start(2, 0, 0).await;
 
     site.store.put("op/retire/store-1", &json!({ "durationS": 10 }));
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_machine_that_is_to_be_emptied_a_second_time_is_reported_again() {
+async fn a_store_instance_to_be_drained_again_is_reported_again() {
     let site = Site::start(2, 0, 0).await;
     let report = || async {
         site.store.get("status/retire/store-1").map(|_| site.store.remove("status/retire/store-1"))
@@ -114,7 +114,7 @@
 // its lease; the holder finds its own key and waits for its lapse, then for another's orders.
 // Cause: its own key of the same life is taken for another holder's.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_holder_takes_its_own_key_back_after_the_store_was_away() {
+async fn the_holder_retakes_its_own_lease_key_after_an_outage_of_the_store() {
     let site = site_whose_holder_lost_the_store().await;
     let node = &site.nodes[0];
     site.store.hold_leases();
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_whose_key_hangs_on_a_lease_that_it_does_not_renew_is_no_holder() {
+async fn a_holder_whose_key_is_bound_to_an_unrenewed_lease_takes_it_again() {
     let site = site_whose_holder_lost_the_store().await;
     let node = &site.nodes[0];
     let asks = || {
@@ -157,7 +157,7 @@
 // Sequence: it says that it leaves, ends, and is back under its id with counts that start anew.
 // Cause: what is known of its earlier life is held against it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_starts_again_under_its_id_gets_orders_by_its_new_count() {
+async fn an_engine_that_restarts_under_its_id_gets_orders_with_its_new_count() {
     let mut site = Site::start(1, 1, 0).await;
     site.engines[0].report_start_time(1_000);
     name_version(&site, 2);
@@ -182,7 +182,7 @@
 // which a field is missing or that cannot be read.
 // Cause: what is not there is given a value of ours, and what cannot be read is passed over.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_other_writers_name_no_worker_and_the_others_hold() {
+async fn invalid_registry_entries_add_no_target_and_leave_the_others_in_use() {
     let mut site = Site::start(1, 0, 2).await;
     let foreign = json!({ "service": "plain", "address": "127.0.0.1:9", "state": "ready" });
     site.store.put("servers/foreign-1", &foreign);
--- a/tests/all/site/requests.rs
+++ b/tests/all/site/requests.rs
@@ -26,7 +26,9 @@
     of_another = { Behaviour::WrongId },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn an_answer_that_is_not_the_targets_is_asked_for_elsewhere(conduct: Behaviour) {
+async fn a_request_with_an_unsigned_or_foreign_answer_is_sent_to_another_target(
+    conduct: Behaviour,
+) {
     let site = Site::start(1, 0, 2).await;
     site.plain[0].set_behaviour(conduct);
 
@@ -43,7 +45,7 @@
 // Sequence: a target runs a call that may not be repeated and closes the connection.
 // Cause: the call is sent again, or refused as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_answer_is_lost_is_not_repeated_and_not_called_unrun() {
+async fn a_call_whose_answer_is_lost_is_not_repeated_and_not_reported_as_not_run() {
     let site = Site::start(1, 0, 2).await;
     for worker in &site.plain {
         worker.set_behaviour(Behaviour::LosesAnswers);
@@ -72,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_all_targets_refuse_is_refused_as_not_run_with_a_time_to_come_back() {
+async fn a_call_that_all_targets_refuse_is_refused_as_not_run_with_retry_after() {
     let site = Site::start(1, 0, 2).await;
     for worker in &site.plain {
         worker.set_behaviour(Behaviour::Full);
@@ -114,7 +116,7 @@
 // Sequence: a caller closes its connection while a target works.
 // Cause: the handler is not dropped with the connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_takes_its_run_with_it() {
+async fn a_run_is_cancelled_when_its_caller_disconnects() {
     let site = Site::start(1, 0, 1).await;
     site.plain[0].set_pace(10, 30_000);
     let url = format!("http://{}/lookup/a", site.nodes[0].callers);
@@ -133,7 +135,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_ends_when_its_route_says_so() {
+async fn a_request_ends_at_its_routes_timeout() {
     let site = Site::start(1, 0, 1).await;
     site.plain[0].set_pace(10, 30_000);
 
@@ -146,7 +148,7 @@
 // Sequence: its entry says that it drains, or is removed; a late heartbeat shows it as ready again.
 // Cause: the last message counts, whatever its age.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_leaves_gets_no_more_work_whatever_comes_late() {
+async fn a_draining_target_gets_no_more_work_after_a_late_ready_entry() {
     let mut site = Site::start(2, 0, 2).await;
     site.plain[0].register("draining");
     for node in &site.nodes {
@@ -190,7 +192,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_is_passed_on_whole() {
+async fn a_stream_is_forwarded_completely() {
     let site = Site::start(1, 1, 0).await;
     let request = site
         .client
@@ -211,7 +213,7 @@
 // Sequence: the target falls silent in the middle and its connection breaks.
 // Cause: the answer to the caller is ended as if it were complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_breaks_off_does_not_look_whole() {
+async fn a_broken_stream_does_not_look_complete() {
     let site = Site::start(1, 1, 0).await;
     site.engines[0].set_behaviour(Behaviour::SilentAfter(2));
     let request = site
@@ -234,7 +236,7 @@
 // Cause: the nodes take the one node's trouble for an outage of the registry, after which entries
 // that vanished may come back, over and over.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_leaves_while_the_store_turns_nodes_away() {
+async fn a_removed_target_leaves_while_the_store_refuses_some_nodes() {
     let site = Site::start(4, 0, 2).await;
     for node in &site.nodes[1..] {
         site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
@@ -257,7 +259,7 @@
 // targets write them again within two seconds.
 // Cause: an entry that vanished while the store was away is taken for a target that left.
 #[tokio::test(flavor = "multi_thread")]
-async fn targets_whose_entries_lapsed_with_the_store_serve_on() {
+async fn targets_whose_entries_lapsed_in_an_outage_keep_serving() {
     let mut site = Site::start(2, 0, 2).await;
     for node in &site.nodes {
         site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
--- a/tests/all/site/starts.rs
+++ b/tests/all/site/starts.rs
@@ -66,7 +66,7 @@
 // Sequence: a node dies; all others hear of it within a second.
 // Cause: each looks through the store for the dead node's batches.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_death_is_followed_by_the_search_of_two_nodes() {
+async fn after_a_death_two_nodes_read_all_records() {
     let site = Site::start(7, 1, 1).await;
     let node = idle_node(&site).await;
     let seen: Vec<usize> =
@@ -95,7 +95,7 @@
 // Cause: it waits for the rest of the time until it has settled, which is none. It woke up 520 times
 // a second.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_at_rest_wakes_up_rarely() {
+async fn an_idle_node_wakes_up_rarely() {
     const WAITS_MAX: u64 = 600;
     let site = Site::start(4, 1, 1).await;
     let node = idle_node(&site).await;
--- a/tests/all/site/stops.rs
+++ b/tests/all/site/stops.rs
@@ -6,7 +6,7 @@
 // Sequence: SIGTERM comes while a request is at a target.
 // Cause: the process ends, or closes the connection, before the answer is passed on.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_is_told_to_stop_answers_what_it_has_and_leaves_the_directory() {
+async fn a_stopping_node_answers_its_requests_and_leaves_the_directory() {
     let mut site = Site::start(3, 0, 1).await;
     site.plain[0].set_pace(10, 1_500);
     let leaving = site.nodes.remove(0);
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_is_told_to_stop_hands_its_batches_over() {
+async fn a_stopping_owner_hands_its_batches_over() {
     let site = Site::start(3, 3, 1).await;
     for engine in &site.engines {
         engine.set_pace(60, 5);
@@ -58,7 +58,7 @@
 // in that moment, and its request is passed on to a target.
 // Cause: the node still accepts requests between its decision to end and its end.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_comes_as_a_node_ends_is_answered_or_not_taken() {
+async fn a_request_during_a_nodes_exit_is_answered_or_not_forwarded() {
     let site = Site::start(2, 0, 1).await;
     site.plain[0].set_pace(10, 40);
     let leaving = &site.nodes[0];
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_is_told_the_workspace_and_never_the_key() {
+async fn a_target_receives_the_workspace_and_never_the_key() {
     let site = site_with_keys(2, 0).await;
     let forged = lookup(&site, &site.nodes[0], "q1")
         .header("X-Catkinmast-Tenant", "b")
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_public_route_needs_no_key_and_passes_none_on() {
+async fn a_public_route_needs_no_key_and_forwards_none() {
     let site = site_with_keys(1, 0).await;
     let request = |id: &str| {
         site.client
@@ -148,7 +148,7 @@
 // Symptom: a target is given a key that does not concern it, or a key is no longer given to one that checks it.
 // Cause: where no workspaces are configured the header is the caller's own business with the target.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_workspaces_a_callers_authorization_is_passed_on() {
+async fn without_workspaces_a_callers_authorization_is_forwarded() {
     let site = Site::start(1, 0, 1).await;
 
     let answered = status(with_key(lookup(&site, &site.nodes[0], "q1"), KEY_A)).await;
@@ -160,7 +160,7 @@
 // Symptom: a key that was taken away is served for longer than the bound, or one that was added is denied.
 // Sequence: the operator changes the keys while a node has lost the store; it learns of it from the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_of_keys_is_in_force_in_time_at_a_node_that_the_store_turns_away() {
+async fn a_change_of_keys_is_in_force_in_time_at_a_node_that_the_store_refuses() {
     let site = site_with_keys(3, 0).await;
     site.store.set_mode(site.nodes[0].store_endpoint, StoreMode::Refuses);
 
@@ -177,7 +177,7 @@
 // Symptom: callers with new keys are turned away for good by a node that knows nothing of them.
 // Sequence: no node reaches the store any more, and their views grow old.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_store_known_keys_are_served_and_unknown_ones_asked_to_come_back() {
+async fn without_the_store_known_keys_are_served_and_unknown_ones_told_to_retry() {
     let site = site_with_keys(2, 0).await;
     for node in &site.nodes {
         site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
@@ -257,7 +257,7 @@
 // Sequence: a node that has lost the store has its calls made by a peer, the configuration among them.
 // Cause: the store's answer is passed on as it came.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_key_is_in_the_memory_of_a_node_that_heard_of_the_configuration() {
+async fn no_key_is_in_the_memory_of_a_node_that_got_the_configuration_from_a_peer() {
     let site = site_with_keys(3, 0).await;
     let node = &site.nodes[2];
     site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
