--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -15,7 +15,7 @@
 use catkinmast_model::{Revision, UnixMs};
 
 /// Interval between attempts to learn the first revision.
-const BOOT_RETRY_MS: u64 = 500;
+const FIRST_REVISION_RETRY_MS: u64 = 500;
 /// Interval between attempts to fetch a document.
 const BODY_RETRY_MS: u64 = 200;
 /// Pause after a failed watch, so that an outage does not cause a storm of calls.
@@ -185,13 +185,13 @@
                 self.head_read = CallState::NotBefore(now);
                 let found = head.map_or_else(Revision::default, |head| head.revision);
                 self.min_revision.get_or_insert(found);
-                self.head_seen(now, head);
+                self.apply_head(now, head);
             }
             FollowerEvent::HeadUnavailable if self.peers > 0 => {
                 return vec![FollowerEffect::AskPeers];
             }
             FollowerEvent::HeadUnavailable => {
-                self.head_read = CallState::NotBefore(now.plus(BOOT_RETRY_MS));
+                self.head_read = CallState::NotBefore(now.plus(FIRST_REVISION_RETRY_MS));
             }
             FollowerEvent::PeersAnswered { answers, newest } => {
                 self.peers_answered(now, answers, newest);
@@ -200,7 +200,7 @@
             FollowerEvent::WatchEnded { head, succeeded } => {
                 let pause_ms = if succeeded { 0 } else { WATCH_PAUSE_MS };
                 self.watch = CallState::NotBefore(now.plus(pause_ms));
-                self.head_seen(now, head);
+                self.apply_head(now, head);
             }
         }
         Vec::new()
@@ -233,7 +233,7 @@
         }
     }
 
-    fn head_seen(&mut self, now: UnixMs, head: Option<ObservedHead>) {
+    fn apply_head(&mut self, now: UnixMs, head: Option<ObservedHead>) {
         if let Some(head) = head {
             self.head_version = self.head_version.max(head.version);
             self.set_pending(now, head.revision, head.digest);
@@ -241,7 +241,7 @@
     }
 
     fn peers_answered(&mut self, now: UnixMs, answers: usize, newest: Option<(Revision, Digest)>) {
-        self.head_read = CallState::NotBefore(now.plus(BOOT_RETRY_MS));
+        self.head_read = CallState::NotBefore(now.plus(FIRST_REVISION_RETRY_MS));
         let Some((revision, digest)) = newest else { return };
         if answers >= PEERS_ASKED.min(self.peers) {
             self.min_revision.get_or_insert(revision);
--- a/crates/route/src/targets.rs
+++ b/crates/route/src/targets.rs
@@ -5,9 +5,8 @@
 //! Within the subset the target with the fewest calls in flight from this node is chosen, weighted
 //! by recent latency. Choosing the better of two random targets gives a p99 latency of 46.5 ms
 //! instead of 38.5 ms at 320 nodes, and of 91 ms instead of 40 ms with six nodes and three slow
-//! targets out of nine, because a slow target is still preferred to another slow one. Load
-//! reports lag and are not used: choosing by reports half a second old sends entire bursts to one
-//! target.
+//! targets out of nine, because one of two slow candidates is still chosen. Load reports lag and
+//! are not used: choosing by reports half a second old sends entire bursts to one target.
 //!
 //! A target that fails several times in a row is ejected for a while, but the share of ejected
 //! targets is bounded so that the rest are not overloaded
--- a/tests/all/site/standby.rs
+++ b/tests/all/site/standby.rs
@@ -5,13 +5,13 @@
 use super::store::StoreMode;
 use std::time::Duration;
 
-/// Time in which long generated outputs are copied: those older than a second, every 0.6 s.
+/// Time within which outputs that take long are copied: those older than a second, every 0.6 s.
 const OUTPUT_COPY_TIME: Duration = Duration::from_secs(2);
-/// Time in which a copy arrives, with a large margin.
+/// Time within which a copy arrives, with a large margin.
 const COPY_TIME: Duration = Duration::from_millis(500);
 
-fn set_store_endpoints(site: &Site, door: StoreMode) {
-    site.nodes.iter().for_each(|node| site.store.set_mode(node.store_endpoint, door));
+fn set_store_mode(site: &Site, mode: StoreMode) {
+    site.nodes.iter().for_each(|node| site.store.set_mode(node.store_endpoint, mode));
 }
 
 /// Starts three nodes with a batch of six items; returns its owner and the other nodes.
@@ -26,7 +26,7 @@
     (site, owner, others)
 }
 
-async fn until_gone_to_all(site: &Site, by: &[usize]) {
+async fn until_reported_gone(site: &Site, by: &[usize]) {
     for other in by {
         until("the owner is gone to the other nodes", || async {
             let seen = site.nodes[*other].lines("node_seen");
@@ -47,9 +47,9 @@
     let (site, owner, others) = site_with_batch(50, 120).await;
     tokio::time::sleep(OUTPUT_COPY_TIME).await;
 
-    set_store_endpoints(&site, outage);
+    set_store_mode(&site, outage);
     site.nodes[owner].signal("KILL");
-    until_gone_to_all(&site, &others).await;
+    until_reported_gone(&site, &others).await;
 
     until("all items run again while the store is away", || async {
         (0..6).all(|item| site.runs.of(&format!("b1i{item}")).len() >= 2).then_some(())
@@ -63,7 +63,7 @@
         );
         assert!(site.nodes[*other].lines("results_listed").is_empty(), "no results are listed");
     }
-    set_store_endpoints(&site, StoreMode::Normal);
+    set_store_mode(&site, StoreMode::Normal);
     let results = site.read_all(&site.nodes[others[0]], "b1", 6).await;
     for result in results {
         let item = result["id"].as_str().expect("an id");
@@ -88,9 +88,9 @@
     assert_eq!(site.end(&site.nodes[0], "b1").await, 200);
     let ran = site.runs.all().len();
 
-    set_store_endpoints(&site, StoreMode::Refuses);
+    set_store_mode(&site, StoreMode::Refuses);
     site.nodes[owner].signal("KILL");
-    until_gone_to_all(&site, &others).await;
+    until_reported_gone(&site, &others).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     assert_eq!(site.runs.all().len(), ran);
@@ -107,7 +107,7 @@
     let site = Site::start(3, 3, 1).await;
     assert_eq!(site.submit(&site.nodes[0], "b1", &submission("b1", 6, 100, 1)).await, 202);
     let owner = &site.nodes[site.owner_of("b1").await];
-    set_store_endpoints(&site, StoreMode::Unresponsive);
+    set_store_mode(&site, StoreMode::Unresponsive);
     until("the outage is noticed", || async {
         site.nodes.iter().all(|node| !node.lines("store_lost").is_empty()).then_some(())
     })
@@ -117,7 +117,7 @@
     })
     .await;
 
-    set_store_endpoints(&site, StoreMode::Normal);
+    set_store_mode(&site, StoreMode::Normal);
 
     // The owner or a peer that makes the call for it repeats the call.
     until("a waiting call is repeated", || async {
@@ -133,10 +133,12 @@
     }
 }
 
+// Guards against a node that takes a peer's report that the store is back for an answer of the
+// store: a node that is still cut off must not report the store as regained.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_report_that_the_store_is_back_is_not_taken_as_its_answer() {
     let site = Site::start(4, 0, 1).await;
-    set_store_endpoints(&site, StoreMode::Unresponsive);
+    set_store_mode(&site, StoreMode::Unresponsive);
     until("the outage is noticed", || async {
         site.nodes.iter().all(|node| !node.lines("store_lost").is_empty()).then_some(())
     })
@@ -164,7 +166,7 @@
     let (site, owner, others) = site_with_batch(50, 40).await;
     tokio::time::sleep(COPY_TIME).await;
 
-    set_store_endpoints(&site, StoreMode::Refuses);
+    set_store_mode(&site, StoreMode::Refuses);
     site.nodes[owner].signal("KILL");
     let rewards: Vec<String> = (0..6).map(|item| format!("b1r{item}")).collect();
     until("all items are scored", || async {
@@ -172,7 +174,7 @@
     })
     .await;
     tokio::time::sleep(COPY_TIME).await;
-    set_store_endpoints(&site, StoreMode::Normal);
+    set_store_mode(&site, StoreMode::Normal);
 
     assert_eq!(site.read_all(&site.nodes[others[0]], "b1", 6).await.len(), 6);
     for reward in rewards {
