--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -1,4 +1,4 @@
-//! Keys of callers: read strictly, kept as digests, never quoted.
+//! Keys of callers: parsed strictly, stored as digests, never printed.
 
 use catkinmast_access::{
     Admission, CredentialError, KeyDigest, ViewAge, WorkspaceConfig, WorkspaceError, Workspaces,
@@ -12,21 +12,21 @@
 const KEY: &str = "42q492cqf75rjvz48wua";
 const BOUND_MS: u64 = 3_000;
 
-fn terms(name: &str, keys: &[&str]) -> WorkspaceConfig {
+fn config(name: &str, keys: &[&str]) -> WorkspaceConfig {
     let keys = keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect();
     WorkspaceConfig { keys, name: name.to_owned(), priority: None }
 }
 
 fn workspaces() -> Workspaces {
-    Workspaces::open([terms("hule930", &[KEY]), terms("fida11", &["another"])]).expect("they fit")
+    Workspaces::open([config("hule930", &[KEY]), config("fida11", &["another"])]).expect("they fit")
 }
 
 const fn view(age_ms: Option<u64>) -> ViewAge {
     ViewAge { age_ms, bound_ms: BOUND_MS, fail_closed_after_ms: None }
 }
 
-/// A document with these tenants, as the store answers it.
-fn stored(tenants: &Value) -> Vec<u8> {
+/// Returns a document with these tenants as the store answers it.
+fn store_answer(tenants: &Value) -> Vec<u8> {
     let document = json!({
         "version": 7, "routes": [], "services": [], "tenants": tenants,
         "limits": { "maxHeaderBytes": 16_384, "maxBodyBytes": 1_048_576, "headerTimeoutMs": 3_000,
@@ -41,11 +41,11 @@
         .into_bytes()
 }
 
-/// What a node keeps of a document that it reads from the store.
-fn kept(tenants: &Value) -> Vec<u8> {
+/// Returns what a node stores of a document that it reads from the store.
+fn stored_by_node(tenants: &Value) -> Vec<u8> {
     let call =
         StoreCall::Range { after: String::new(), may_be_old: false, prefix: "op/".to_owned() };
-    let answer = UsersPlatform::store_answer(&call, 200, &stored(tenants)).expect("a page");
+    let answer = UsersPlatform::store_answer(&call, 200, &store_answer(tenants)).expect("a page");
     let StoreAnswer::Items { mut items, .. } = answer else { panic!("a page of keys") };
     items.remove(0).value
 }
@@ -72,14 +72,14 @@
     tab_for_a_space = { &["Bearer\ta"], CredentialError::Scheme },
     empty = { &[""], CredentialError::Scheme },
 )]
-fn what_is_no_single_key_is_an_error(values: &[&str], expected: CredentialError) {
+fn anything_but_a_single_key_is_an_error(values: &[&str], expected: CredentialError) {
     let read = credential(values.iter().map(|value| value.as_bytes()));
 
     assert_eq!(read, Err(expected));
 }
 
 #[test]
-fn a_key_of_64_kilobytes_is_an_unknown_one() {
+fn a_key_of_64_kilobytes_is_denied_as_unknown() {
     let value = format!("Bearer {}", "k".repeat(65_536));
 
     let read = credential([value.as_bytes()]);
@@ -92,7 +92,7 @@
 
 proptest! {
     #[test]
-    fn no_header_makes_a_panic_or_an_error_that_quotes_it(
+    fn no_header_causes_a_panic_or_an_error_that_quotes_it(
         values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..4),
         secret in "[a-z0-9]{16,24}",
     ) {
@@ -103,12 +103,12 @@
 
         let workspaces = workspaces();
         let admission = admit(Some(&workspaces), false, read, view(Some(0)));
-        let said = format!("{admission:?}");
-        prop_assert!(!said.contains(&secret), "{}", said);
+        let printed = format!("{admission:?}");
+        prop_assert!(!printed.contains(&secret), "{}", printed);
     }
 
     #[test]
-    fn a_stored_document_keeps_no_key_whatever_its_tenants_are(
+    fn a_stored_document_contains_no_key_whatever_its_tenants_are(
         shape in 0_usize..8,
         secret in "[a-z0-9]{16,24}",
     ) {
@@ -123,7 +123,7 @@
             json!([{ "name": "a", "apiKeys": [secret], "priority": secret }]),
         ];
 
-        let value = kept(&tenants[shape]);
+        let value = stored_by_node(&tenants[shape]);
 
         let notice = UsersPlatform::operator_update("op/config", &value);
         let found = format!("{} {notice:?}", String::from_utf8_lossy(&value));
@@ -132,14 +132,14 @@
     }
 
     #[test]
-    fn a_digest_is_read_as_it_was_written(key in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn a_digest_is_parsed_as_it_was_printed(key in prop::collection::vec(any::<u8>(), 0..64)) {
         let digest = KeyDigest::of(&key);
 
         prop_assert_eq!(digest.to_string().parse(), Ok(digest));
     }
 
     #[test]
-    fn no_text_makes_a_digest_by_a_panic(text in "\\PC{0,40}") {
+    fn parsing_a_digest_never_panics(text in "\\PC{0,40}") {
         let read = text.parse::<KeyDigest>();
         prop_assert!(read.is_err() || text.len() == 32);
     }
@@ -152,7 +152,8 @@
         { "name": "without", "apiKeys": [] },
     ]);
 
-    let notice = UsersPlatform::operator_update("op/config", &kept(&tenants)).expect("a document");
+    let notice =
+        UsersPlatform::operator_update("op/config", &stored_by_node(&tenants)).expect("a document");
 
     let Some(OperatorUpdate::Document(document)) = notice else { panic!("{notice:?}") };
     let workspaces = document.workspaces.expect("workspaces");
@@ -174,28 +175,29 @@
     },
     no_list = { json!("hule930"), "tenants cannot be read" },
 )]
-fn unfit_workspaces_are_an_error_that_names_what_is_wrong(tenants: Value, expected: &str) {
-    let error = UsersPlatform::operator_update("op/config", &kept(&tenants)).expect_err("unfit");
+fn invalid_workspaces_are_an_error_that_names_the_fault(tenants: Value, expected: &str) {
+    let error =
+        UsersPlatform::operator_update("op/config", &stored_by_node(&tenants)).expect_err("unfit");
 
     assert!(error.to_string().contains(expected), "{error}");
 }
 
 #[test]
 fn a_key_may_stand_twice_in_one_workspace() {
-    let workspaces = Workspaces::open([terms("a", &["k", "k"])]);
+    let workspaces = Workspaces::open([config("a", &["k", "k"])]);
 
     assert_eq!(workspaces.map(|workspaces| workspaces.key_count()), Ok(1));
 }
 
 #[test]
 fn two_workspaces_with_one_name_are_an_error() {
-    let opened = Workspaces::open([terms("a", &[]), terms("a", &[])]);
+    let opened = Workspaces::open([config("a", &[]), config("a", &[])]);
 
     assert_eq!(opened, Err(WorkspaceError::DuplicateName { name: "a".to_owned() }));
 }
 
 #[test]
-fn a_known_key_is_of_its_workspace_however_old_the_configuration_is() {
+fn a_known_key_is_accepted_at_any_age_of_the_configuration() {
     for age_ms in [None, Some(0), Some(BOUND_MS), Some(1_000_000)] {
         let workspaces = workspaces();
         let key = Ok(KeyDigest::of(KEY.as_bytes()));
@@ -207,9 +209,9 @@
     }
 }
 
-// Symptom: a caller with a key that was just added is turned away for good.
-// Sequence: the operator adds the key; a node has lost the store and all who tell it of it.
-// Cause: the node denies by a view of unknown age.
+// Guards against refusing a caller for good whose key was just added. The operator adds the key
+// while a node has lost the store and every peer that would report the change; it must not deny the
+// key by a view of unknown age.
 #[yare::parameterized(
     current = { Some(0), true },
     at_the_bound = { Some(BOUND_MS), true },
@@ -227,7 +229,7 @@
 }
 
 #[test]
-fn where_known_keys_close_with_the_view_an_old_view_serves_none() {
+fn with_fail_closed_an_old_view_accepts_no_key() {
     let workspaces = workspaces();
     let key = || Ok(KeyDigest::of(KEY.as_bytes()));
     let at = |age_ms| ViewAge { fail_closed_after_ms: Some(5_000), ..view(age_ms) };
@@ -242,7 +244,7 @@
 }
 
 #[test]
-fn no_key_is_asked_for_on_public_routes_and_without_workspaces() {
+fn no_key_is_required_on_public_routes_and_without_workspaces() {
     let workspaces = workspaces();
     let missing = || Err(CredentialError::Missing);
 
--- a/tests/all/dispatch/batch.rs
+++ b/tests/all/dispatch/batch.rs
@@ -1,4 +1,4 @@
-//! Items, texts and positions of a batch.
+//! Items, texts and result positions of a batch.
 
 use catkinmast_dispatch::{
     Batch, BatchPolicy, Chunk, Item, ItemResult, ItemState, Merge, Progress, Submission,
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-/// By then no result waits for the rest of its group any more.
+/// By this time no result waits for the rest of its group.
 const LATE: UnixMs = UnixMs(10_000);
 
 fn item(id: &str, group: &str, hint: u64) -> Item {
@@ -48,7 +48,7 @@
     Batch::open(submission(items, 9), terms(), |_| false)
 }
 
-/// Items of groups of two.
+/// Returns items in groups of two.
 fn items(groups: usize) -> Vec<Item> {
     (0..groups * 2).map(|n| item(&format!("i{n}"), &format!("g{}", n / 2), 10)).collect()
 }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_longest_items_start_first_in_whichever_group() {
+fn the_longest_items_start_first_across_groups() {
     let items = vec![
         item("short", "a", 10),
         item("long", "a", 90),
@@ -96,19 +96,18 @@
 }
 
 #[test]
-fn groups_that_come_again_start_by_their_lengths_like_all_others() {
+fn resubmitted_groups_start_by_length_like_all_others() {
     let items = vec![item("long", "a", 90), item("again", "b", 20), item("short", "a", 10)];
     let mut batch = Batch::open(submission(items, 1), terms(), |group| group == "b");
 
     assert_eq!(order(&mut batch), ["long", "again", "short"]);
 }
 
-// Symptom: a result stands at two positions, or moves.
-// Sequence: two nodes own a batch for a moment; both have results for the same chunk, and the
-// other's is created first.
-// Cause: the loser lists its own results anyway, or lists those of the winner twice.
+// Guards against a result at two positions, or one that moves. Two nodes own a batch for a moment
+// and both have results for the same chunk, and the other's is created first. The loser must take
+// over the other's chunk, neither listing its own instead nor the other's twice.
 #[test]
-fn a_chunk_that_another_owner_created_first_is_taken_as_it_is() {
+fn a_chunk_that_another_owner_created_first_is_merged_unchanged() {
     let mut batch = batch(4);
     for id in ["i0", "i1"] {
         batch.next_item(UnixMs(0));
@@ -138,13 +137,11 @@
     assert_eq!(batch.chunk_to_write(LATE, usize::MAX).cloned(), first);
 }
 
-// Symptom: a step ends half a second after its last group is complete, and a step of 128 items
-// takes 34 writes of the store.
-// Sequence: the reader is given one result of a group, comes back half a second later, and the rest
-// of the group is listed in between.
-// Cause: results are listed as they come, though a trainer can use whole groups only.
+// Guards against a step that ends half a second after its last group is complete, and against 34
+// store writes for a step of 128 items. Both happen if results are listed as they arrive: a reader
+// that gets part of a group returns half a second later and misses the rest meanwhile.
 #[test]
-fn a_result_is_listed_with_its_whole_group() {
+fn a_result_is_listed_with_its_complete_group() {
     let mut batch = batch(4);
     batch.record_result(UnixMs(0), result("i0"));
     batch.record_result(UnixMs(0), result("i2"));
@@ -157,7 +154,7 @@
 }
 
 #[test]
-fn a_result_waits_for_its_group_until_two_seconds_from_when_all_are_due_and_no_longer() {
+fn a_result_waits_for_its_group_until_two_seconds_after_the_due_time_limit() {
     let mut batch = batch(4);
     batch.record_result(UnixMs(100), result("i0"));
     batch.record_result(UnixMs(1_900), result("i2"));
@@ -168,11 +165,9 @@
     assert_eq!(chunk.results, [result("i0"), result("i2")], "one write for all that is there");
 }
 
-// Symptom: a step whose last groups are whole within half a second of each other ends half a second
-// after the last of them.
-// Sequence: a reader is given the last group but one, comes back half a second later, and the last
-// one is listed in between.
-// Cause: each group is listed as soon as it is whole, though the trainer needs all of them.
+// Guards against a step that ends half a second after its last group, although the last groups
+// completed within half a second. If each group is listed as soon as it is complete, a reader that
+// gets the last but one returns half a second later and misses the last one meanwhile.
 #[test]
 fn the_last_groups_that_a_trainer_waits_for_are_listed_together() {
     let mut batch = batch_of_groups(10, 9);
@@ -190,7 +185,7 @@
 }
 
 #[test]
-fn whole_groups_are_listed_before_all_are_due_though_others_are_missing() {
+fn complete_groups_are_listed_before_the_due_time_though_others_are_missing() {
     let mut batch = batch_of_groups(10, 9);
     finish_groups(&mut batch, UnixMs(1_000), 0..8);
 
@@ -205,7 +200,7 @@
     when_all_are_due = { 7_500, 7_900 },
     when_they_are_overdue = { 8_000, 9_000 },
 )]
-fn a_late_group_waits_for_the_last_one_no_longer_than_its_worth_allows(at_ms: u64, listed_ms: u64) {
+fn a_late_group_waits_for_the_last_one_for_a_limited_time(at_ms: u64, listed_ms: u64) {
     let mut batch = batch_of_groups(10, 9);
     finish_groups(&mut batch, UnixMs(1_000), 0..7);
     let first = batch.chunk_to_write(UnixMs(1_000), usize::MAX).cloned().expect("a chunk");
@@ -216,12 +211,11 @@
     assert_eq!(batch.next_listing_at(), Some(UnixMs(listed_ms)));
 }
 
-// Symptom: a group that was whole as its step ended is generated anew in a later step.
-// Sequence: the trainer has all groups that it waits for and ends the step; one more had become
-// whole after them.
-// Cause: a group was taken for one that the trainer has because all of its results are listed.
+// Guards against generating a group again that was complete when its step ended. The trainer has
+// all groups that it waits for and ends the step; a group that completed after them is listed but
+// was not consumed, so its texts must be kept.
 #[test]
-fn texts_of_groups_that_were_whole_after_the_last_one_taken_are_left() {
+fn texts_of_groups_that_completed_after_the_last_consumed_one_are_kept() {
     let mut batch = batch_of_groups(3, 2);
     finish_groups(&mut batch, UnixMs(0), 0..3);
     let chunk = batch.chunk_to_write(UnixMs(0), usize::MAX).cloned().expect("a chunk");
@@ -235,7 +229,7 @@
 }
 
 #[test]
-fn a_group_that_came_again_is_waited_for_whichever_others_are_whole() {
+fn a_resubmitted_group_is_waited_for_whichever_others_are_complete() {
     let mut batch = Batch::open(submission(items(3), 2), terms(), |group| group == "g2");
     finish_groups(&mut batch, UnixMs(0), 0..2);
     assert!(!batch.is_complete());
@@ -246,13 +240,12 @@
     assert_eq!(batch.consumed_groups().len(), 3);
 }
 
-// Symptom: a step takes as long as its longest item, and that item's group is one that the step
-// before the last had left.
-// Sequence: the trainer leaves the groups whose items take longest, and waits for each of them when
-// they come again; their texts were begun under weights that the later step does not accept.
-// Cause: nothing of them is generated under newer weights until the later step is asked for.
+// Guards against a step as long as its longest item because that item's group was left by an
+// earlier step. The trainer leaves the groups with the longest items, and waits for each when they
+// come again, under weights that do not accept their texts. Without second runs, nothing is
+// generated under newer weights before the later step is submitted.
 #[test]
-fn the_longest_unfinished_items_are_worth_a_second_run_once_half_of_the_time_is_over() {
+fn the_longest_unfinished_items_are_run_again_after_half_of_the_time() {
     let items = vec![
         item("a", "g0", 200),
         item("b", "g1", 150),
@@ -277,7 +270,7 @@
 }
 
 #[test]
-fn nothing_is_run_twice_where_the_trainer_leaves_no_group() {
+fn nothing_is_run_twice_if_the_trainer_leaves_no_group() {
     let mut batch = batch_of_groups(4, 4);
     while batch.next_item(UnixMs(0)).is_some() {}
 
@@ -285,7 +278,7 @@
 }
 
 #[test]
-fn an_owner_that_leaves_lists_what_it_has() {
+fn an_owner_that_shuts_down_lists_all_its_results() {
     let mut batch = batch(4);
     batch.record_result(UnixMs(0), result("i0"));
 
@@ -294,12 +287,11 @@
     assert_eq!(chunk.results, [result("i0")]);
 }
 
-// Symptom: groups that come again are generated from the start though most of their items had been
-// finished.
-// Sequence: a step ends while one item of a group is missing; the group is asked for again.
-// Cause: only the texts of items that had not finished were kept.
+// Guards against generating incomplete groups from the start although most of their items had
+// finished. A step ends while one item of a group is missing and the group is submitted again; the
+// texts of the finished items must be kept too.
 #[test]
-fn finished_texts_of_incomplete_groups_are_left_for_the_next_batch() {
+fn finished_texts_of_incomplete_groups_are_kept_for_the_next_batch() {
     let mut batch = batch(4);
     for id in ["i0", "i1"] {
         batch.record_result(UnixMs(0), result(id));
@@ -330,7 +322,7 @@
 }
 
 #[test]
-fn what_is_not_durable_is_not_shown() {
+fn results_are_not_readable_before_they_are_durable() {
     let mut batch = batch(2);
     batch.record_result(UnixMs(0), result("i0"));
     batch.chunk_to_write(LATE, usize::MAX);
@@ -339,7 +331,7 @@
 }
 
 #[test]
-fn a_text_goes_on_only_where_its_versions_are_new_enough() {
+fn a_text_is_resumed_only_if_its_versions_are_recent_enough() {
     let old = Progress { versions: vec![2, 3], last_event_id: Some(4), ..Progress::default() };
     let new = Progress { versions: vec![3, 4], last_event_id: Some(4), ..Progress::default() };
 
@@ -348,7 +340,7 @@
 }
 
 #[test]
-fn an_item_fails_for_good_only_after_its_attempts() {
+fn an_item_fails_for_good_only_after_all_attempts() {
     let mut batch = batch(1);
 
     assert!(!batch.record_failure(0));
@@ -356,7 +348,7 @@
 }
 
 #[test]
-fn items_are_given_up_when_their_time_is_over_and_not_before() {
+fn items_are_given_up_at_their_deadline_and_not_before() {
     let mut batch = batch(3);
     batch.record_result(UnixMs(0), result("i0"));
 
@@ -368,7 +360,7 @@
 }
 
 #[test]
-fn nothing_starts_after_the_end() {
+fn nothing_starts_after_a_batch_ends() {
     let mut batch = batch(3);
     batch.end();
 
@@ -378,7 +370,7 @@
 proptest! {
     // Two owners finish, write and merge in any order; the store creates each chunk once.
     #[test]
-    fn positions_are_one_sequence_for_all_owners(steps in prop::collection::vec((0..2_usize, 0..8_usize, any::<bool>()), 1..60)) {
+    fn all_owners_list_results_in_one_sequence(steps in prop::collection::vec((0..2_usize, 0..8_usize, any::<bool>()), 1..60)) {
         let mut owners = [batch(8), batch(8)];
         let mut store: Vec<Chunk> = Vec::new();
         for (owner, number, writes) in steps {
--- a/tests/all/dispatch/copies.rs
+++ b/tests/all/dispatch/copies.rs
@@ -1,4 +1,4 @@
-//! The texts in progress, as the node that would follow their owner has them.
+//! Incremental copies of partial texts, for the node that would take over a batch.
 
 use catkinmast_dispatch::{CopiedTexts, Progress, SentTexts, TextUpdate};
 use proptest::prelude::*;
@@ -17,12 +17,12 @@
 }
 
 #[test]
-fn a_copy_follows_texts_that_grow_and_each_byte_is_sent_once() {
-    let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
+fn a_copy_follows_growing_texts_and_each_byte_is_sent_once() {
+    let (mut sent, mut copy) = (SentTexts::default(), CopiedTexts::default());
     let mut sent_bytes = 0;
 
     for events in [3, 8, 8, 20] {
-        let news = told.updates(&[text("a", 1..=events, "r"), text("b", 1..=2, "r")]);
+        let news = sent.updates(&[text("a", 1..=events, "r"), text("b", 1..=2, "r")]);
         sent_bytes += bytes(&news);
         assert!(copy.apply(news));
     }
@@ -32,45 +32,45 @@
     assert_eq!(sent_bytes, expected.iter().map(|(_, progress)| progress.text.len()).sum::<usize>());
 }
 
-// Symptom: a result joins texts of two runs.
-// Sequence: a run fails and the item begins anew; its text outgrows what was told of the first run.
-// Cause: what is new is told by its length alone.
+// Guards against a result that joins texts of two runs. A run fails and its item restarts, and the
+// new text outgrows what was sent of the first run; comparing lengths alone would append to the old
+// text.
 #[test]
-fn a_text_that_begins_anew_replaces_the_former_one() {
-    let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
-    assert!(copy.apply(told.updates(&[text("a", 1..=5, "first")])));
+fn a_restarted_text_replaces_the_former_one() {
+    let (mut sent, mut copy) = (SentTexts::default(), CopiedTexts::default());
+    assert!(copy.apply(sent.updates(&[text("a", 1..=5, "first")])));
 
-    assert!(copy.apply(told.updates(&[text("a", 1..=9, "other")])));
+    assert!(copy.apply(sent.updates(&[text("a", 1..=9, "other")])));
 
     assert_eq!(copy.into_texts(), [text("a", 1..=9, "other")]);
 }
 
 #[test]
-fn a_copy_that_missed_a_part_says_so_and_is_told_all() {
-    let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
-    assert!(copy.apply(told.updates(&[text("a", 1..=2, "r")])));
-    let _lost = told.updates(&[text("a", 1..=4, "r")]);
+fn a_copy_that_missed_a_part_reports_it_and_is_sent_everything() {
+    let (mut sent, mut copy) = (SentTexts::default(), CopiedTexts::default());
+    assert!(copy.apply(sent.updates(&[text("a", 1..=2, "r")])));
+    let _lost = sent.updates(&[text("a", 1..=4, "r")]);
 
-    assert!(!copy.apply(told.updates(&[text("a", 1..=6, "r")])));
-    told.forget();
+    assert!(!copy.apply(sent.updates(&[text("a", 1..=6, "r")])));
+    sent.forget();
 
-    assert!(copy.apply(told.updates(&[text("a", 1..=6, "r")])));
+    assert!(copy.apply(sent.updates(&[text("a", 1..=6, "r")])));
     assert_eq!(copy.into_texts(), [text("a", 1..=6, "r")]);
 }
 
 proptest! {
-    // Whatever is lost on the way, a copy holds what some run had at some time, or less: never a mix.
+    // Whatever is lost on the way, a copy holds what a single run had at some time, never a mix.
     #[test]
     fn a_copy_never_joins_texts_of_two_runs(
         steps in prop::collection::vec((1..30_u64, any::<bool>(), any::<bool>()), 1..20),
     ) {
-        let (mut told, mut copy) = (SentTexts::default(), CopiedTexts::default());
+        let (mut sent, mut copy) = (SentTexts::default(), CopiedTexts::default());
         let mut run = 0;
         for (events, begins_anew, is_lost) in steps {
             run += u64::from(begins_anew);
-            let news = told.updates(&[text("a", 1..=events, &format!("run{run}"))]);
+            let news = sent.updates(&[text("a", 1..=events, &format!("run{run}"))]);
             if !is_lost && !copy.apply(news) {
-                told.forget();
+                sent.forget();
             }
         }
         for (_, progress) in copy.into_texts() {
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -1,20 +1,20 @@
-//! The age of a view of the store, and a fleet that keeps it young, in virtual time.
+//! The age of a view of the store, and a fleet that keeps its views fresh, in virtual time.
 
 use catkinmast_dispatch::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 use catkinmast_model::UnixMs;
 use yare::parameterized;
 
 const BOUND: ChangeBound = ChangeBound::from_ms(2_000);
-/// What a call of the store takes, and a datagram.
+/// Time that a call of the store takes, including the datagram that reports it.
 const CALL_MS: u64 = 5;
-/// How often a node of the script acts.
+/// How often a scripted node acts.
 const TICK_MS: u64 = 1;
 
-/// A node of a scripted fleet. It knows one number that only ever rises in the store.
+/// A node of a scripted fleet. It knows one number that only increases in the store.
 #[derive(Clone, Copy, Default)]
 struct Node {
     calls: usize,
-    /// When the answer to its call comes, and the number that it reads.
+    /// When the answer to its call arrives, and the number in that answer.
     call: Option<(UnixMs, u64)>,
     freshness: Freshness,
     known: u64,
@@ -55,22 +55,22 @@
             }
             return;
         }
-        let looks = rank < WATCHERS && now >= node.watches_again_at;
-        if looks || node.freshness.next_read_at(rank, BOUND) <= now {
+        let is_watching = rank < WATCHERS && now >= node.watches_again_at;
+        if is_watching || node.freshness.next_read_at(rank, BOUND) <= now {
             node.calls += 1;
             node.watches_again_at = now.plus(BOUND.wait_ms());
             node.call = node.reaches_store.then_some((now.plus(CALL_MS), stored));
         }
     }
 
-    /// Takes an answer of the store, and tells all others.
+    /// Handles an answer of the store and reports it to all other nodes.
     fn answered(&mut self, rank: usize, read: u64) {
         let now = self.now;
         let began_at = UnixMs(now.since_ms(UnixMs(CALL_MS)));
-        let teller = &mut self.nodes[rank];
-        teller.known = teller.known.max(read);
-        teller.freshness.confirm(began_at, ConfirmationSource::OwnCall);
-        let Some(age_ms) = teller.freshness.reportable_age_ms(now, BOUND) else { return };
+        let sender = &mut self.nodes[rank];
+        sender.known = sender.known.max(read);
+        sender.freshness.confirm(began_at, ConfirmationSource::OwnCall);
+        let Some(age_ms) = sender.freshness.reportable_age_ms(now, BOUND) else { return };
         for (other, node) in self.nodes.iter_mut().enumerate().filter(|(other, _)| *other != rank) {
             let witness = if rank < other {
                 ConfirmationSource::EarlierRank
@@ -94,9 +94,9 @@
     all_but_one_of_three_hundred = { 320, 319 },
     all_but_one_of_a_thousand = { 1_000, 999 },
 )]
-fn a_change_is_known_in_time_whoever_has_lost_the_store(size: usize, cut: usize) {
+fn a_change_is_known_in_time_whichever_nodes_lose_the_store(size: usize, cut: usize) {
     let mut fleet = Fleet::open(size);
-    // The cut comes at any moment between two answers.
+    // The failure may come at any moment between two answers.
     for lost_after_ms in [0, 300, 700, 999] {
         let lost_at = fleet.now.plus(10_000 + lost_after_ms);
         fleet.run_until(lost_at);
@@ -118,18 +118,18 @@
 }
 
 #[parameterized(eight = { 8 }, three_hundred = { 320 }, a_thousand = { 1_000 })]
-fn nobody_but_the_watchers_looks_while_they_are_answered(size: usize) {
+fn only_the_watchers_read_the_store_while_they_are_answered(size: usize) {
     let mut fleet = Fleet::open(size);
 
     fleet.run_until(UnixMs(10_000));
 
     assert!(fleet.nodes[WATCHERS..].iter().all(|node| node.calls == 0));
-    // Two watchers, and a call for each wait.
+    // Two watchers, and one call for each wait.
     assert!(fleet.calls() <= 2 * 10, "{} calls in ten seconds", fleet.calls());
 }
 
 #[parameterized(eight = { 8 }, three_hundred = { 320 }, a_thousand = { 1_000 })]
-fn few_look_in_place_of_watchers_that_have_lost_the_store(size: usize) {
+fn few_nodes_replace_watchers_that_have_lost_the_store(size: usize) {
     let mut fleet = Fleet::open(size);
     fleet.run_until(UnixMs(3_000));
     for node in &mut fleet.nodes[..WATCHERS] {
@@ -141,22 +141,22 @@
     fleet.run_until(UnixMs(13_000));
 
     let after: usize = fleet.nodes[WATCHERS..].iter().map(|node| node.calls).sum();
-    // One pair of nodes for each time after which a view is old.
+    // One pair of nodes for each time that a view becomes stale.
     assert!(after - before <= 2 * 8, "{} calls in ten seconds", after - before);
 }
 
 #[test]
-fn two_nodes_that_hear_each_other_do_not_keep_each_other_young() {
+fn two_nodes_do_not_keep_confirming_each_other() {
     let mut views = [Freshness::default(); 2];
     views[0].confirm(UnixMs(0), ConfirmationSource::OwnCall);
     views[1].confirm(UnixMs(0), ConfirmationSource::OwnCall);
 
     for now in (100..5_000).step_by(100).map(UnixMs) {
-        for (teller, hearer) in [(0, 1), (1, 0)] {
-            if let Some(age_ms) = views[teller].reportable_age_ms(now, BOUND) {
-                // A datagram takes a while, and seems to be of when it comes.
+        for (sender, receiver) in [(0, 1), (1, 0)] {
+            if let Some(age_ms) = views[sender].reportable_age_ms(now, BOUND) {
+                // A datagram takes a while, and its age counts from when it arrives.
                 let at = UnixMs(now.plus(10).since_ms(UnixMs(age_ms)));
-                views[hearer].confirm(at, ConfirmationSource::EarlierRank);
+                views[receiver].confirm(at, ConfirmationSource::EarlierRank);
             }
         }
     }
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_node_in_a_watchers_place_goes_on_until_one_that_comes_before_it_is_answered() {
+fn a_replacement_watches_until_an_earlier_rank_is_answered() {
     let mut view = Freshness::default();
     view.confirm(UnixMs(1_000), ConfirmationSource::OwnCall);
     view.confirm(UnixMs(1_000), ConfirmationSource::LaterRank);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_view_that_lacks_something_is_looked_after_at_once() {
+fn an_invalidated_view_is_read_again_at_once() {
     let mut view = Freshness::default();
     view.confirm(UnixMs(1_000), ConfirmationSource::EarlierRank);
 
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_wait_ends_before_the_view_is_old() {
+fn a_wait_ends_before_the_view_is_stale() {
     let mut view = Freshness::default();
     view.confirm(UnixMs(1_000), ConfirmationSource::OwnCall);
 
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -1,85 +1,88 @@
-//! The choice among targets by the load that this process sees.
+//! The choice among targets by the load that this process observes.
 
 use catkinmast_dispatch::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 use catkinmast_model::UnixMs;
 
-fn picks() -> [Candidate<'static>; 3] {
+fn candidates() -> [Candidate<'static>; 3] {
     ["a", "b", "c"].map(|id| Candidate { connected: true, id, same_data_centre: true, slots: 4 })
 }
 
-fn answered(load: &mut LoadBalancer, id: &str, latency_ms: u64) {
-    load.call_sent(id);
-    load.call_ended(UnixMs(0), id, 4, CallOutcome::Answered { latency_ms });
+fn answered(balancer: &mut LoadBalancer, id: &str, latency_ms: u64) {
+    balancer.call_sent(id);
+    balancer.call_ended(UnixMs(0), id, 4, CallOutcome::Answered { latency_ms });
 }
 
 #[test]
-fn the_emptiest_target_is_chosen() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    load.call_sent("a");
-    load.call_sent("b");
+fn the_least_loaded_target_is_chosen() {
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
+    balancer.call_sent("a");
+    balancer.call_sent("b");
 
-    let chosen = load.choose(UnixMs(0), &picks(), &[], 0).expect("a target");
+    let chosen = balancer.choose(UnixMs(0), &candidates(), &[], 0).expect("a target");
 
     assert_eq!(chosen.id, "c");
 }
 
-// Symptom: a fifth of all calls open a connection to their target.
-// Sequence: 55 nodes make a few calls a second each to 36 targets.
-// Cause: equal targets are chosen in turn, whether a connection to them is there or not.
+// Guards against opening a connection for a fifth of all calls. 55 nodes each make a few calls a
+// second to 36 targets; if equal targets are chosen in turn, most calls go to one without an idle
+// connection.
 #[test]
-fn a_connected_target_is_chosen_until_it_has_a_call_more() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    let mut picks = picks();
-    picks[0].connected = false;
-    picks[2].connected = false;
+fn a_connected_target_is_preferred_until_it_has_one_more_call() {
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
+    let mut candidates = candidates();
+    candidates[0].connected = false;
+    candidates[2].connected = false;
 
     for draw in 0..3 {
-        assert_eq!(load.choose(UnixMs(0), &picks, &[], draw).expect("a target").id, "b");
+        assert_eq!(balancer.choose(UnixMs(0), &candidates, &[], draw).expect("a target").id, "b");
     }
-    load.call_sent("b");
+    balancer.call_sent("b");
 
-    assert_ne!(load.choose(UnixMs(0), &picks, &[], 0).expect("a target").id, "b");
+    assert_ne!(balancer.choose(UnixMs(0), &candidates, &[], 0).expect("a target").id, "b");
 }
 
 #[test]
-fn a_target_that_was_tried_is_chosen_only_where_there_is_no_other() {
-    let load = LoadBalancer::open(LoadBalancerSettings::default());
+fn a_tried_target_is_chosen_only_if_there_is_no_other() {
+    let balancer = LoadBalancer::open(LoadBalancerSettings::default());
     let tried = ["a".to_owned(), "b".to_owned()];
 
-    assert_eq!(load.choose(UnixMs(0), &picks(), &tried, 0).map(|pick| pick.id), Some("c"));
-    assert!(load.choose(UnixMs(0), &picks()[..2], &tried, 0).is_some());
+    assert_eq!(
+        balancer.choose(UnixMs(0), &candidates(), &tried, 0).map(|candidate| candidate.id),
+        Some("c")
+    );
+    assert!(balancer.choose(UnixMs(0), &candidates()[..2], &tried, 0).is_some());
 }
 
 #[test]
-fn a_target_that_fails_rests_ever_longer_and_returns() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    load.call_sent("a");
-    load.call_ended(UnixMs(1_000), "a", 4, CallOutcome::Failed);
-
-    assert!(load.is_backing_off(UnixMs(1_399), "a"));
-    assert!(!load.is_backing_off(UnixMs(1_400), "a"));
-    load.call_sent("a");
-    load.call_ended(UnixMs(2_000), "a", 4, CallOutcome::Failed);
-    assert!(load.is_backing_off(UnixMs(2_799), "a"));
-    assert!(!load.is_backing_off(UnixMs(2_800), "a"));
+fn a_failing_target_backs_off_increasingly_and_returns() {
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
+    balancer.call_sent("a");
+    balancer.call_ended(UnixMs(1_000), "a", 4, CallOutcome::Failed);
+
+    assert!(balancer.is_backing_off(UnixMs(1_399), "a"));
+    assert!(!balancer.is_backing_off(UnixMs(1_400), "a"));
+    balancer.call_sent("a");
+    balancer.call_ended(UnixMs(2_000), "a", 4, CallOutcome::Failed);
+    assert!(balancer.is_backing_off(UnixMs(2_799), "a"));
+    assert!(!balancer.is_backing_off(UnixMs(2_800), "a"));
 }
 
 #[test]
-fn where_all_rest_all_may_be_chosen() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
+fn if_all_targets_back_off_all_may_be_chosen() {
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["a", "b", "c"] {
-        load.call_sent(id);
-        load.call_ended(UnixMs(0), id, 4, CallOutcome::Failed);
+        balancer.call_sent(id);
+        balancer.call_ended(UnixMs(0), id, 4, CallOutcome::Failed);
     }
 
-    assert!(load.choose(UnixMs(1), &picks(), &[], 0).is_some());
+    assert!(balancer.choose(UnixMs(1), &candidates(), &[], 0).is_some());
 }
 
-// Symptom: a third of all arrivals at engines are refusals.
-// Sequence: an engine refuses for a second while it loads weights, with its slots free.
-// Cause: it is asked again every 60 ms, as one whose slots are full.
+// Guards against a third of all arrivals at engines being refused. An engine with free slots
+// refuses for a second while it loads weights; retried every 60 ms like a full one, it refuses
+// again and again.
 #[test]
-fn a_target_that_refuses_with_free_slots_rests_longer_than_a_full_one() {
+fn a_target_that_refuses_with_free_slots_backs_off_longer_than_a_full_one() {
     let mut loading = LoadBalancer::open(LoadBalancerSettings::default());
     loading.call_sent("a");
     loading.call_ended(UnixMs(0), "a", 4, CallOutcome::Overloaded);
@@ -95,48 +98,51 @@
 
 #[test]
 fn items_go_to_the_fastest_target_with_a_free_slot() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    answered(&mut load, "a", 200);
-    answered(&mut load, "b", 50);
-    answered(&mut load, "c", 50);
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
+    answered(&mut balancer, "a", 200);
+    answered(&mut balancer, "b", 50);
+    answered(&mut balancer, "c", 50);
     for _ in 0..4 {
-        load.call_sent("b");
+        balancer.call_sent("b");
     }
 
-    let chosen =
-        load.choose_with_free_slot(UnixMs(0), &picks(), Some("a"), 1_000, 0).expect("a target");
+    let chosen = balancer
+        .choose_with_free_slot(UnixMs(0), &candidates(), Some("a"), 1_000, 0)
+        .expect("a target");
 
     assert_eq!(chosen.id, "c");
 }
 
 #[test]
 fn no_item_goes_to_a_target_without_a_free_slot() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
-    for pick in picks() {
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
+    for candidate in candidates() {
         for _ in 0..4 {
-            load.call_sent(pick.id);
+            balancer.call_sent(candidate.id);
         }
     }
 
-    assert_eq!(load.choose_with_free_slot(UnixMs(0), &picks(), None, 1_000, 0), None);
+    assert_eq!(balancer.choose_with_free_slot(UnixMs(0), &candidates(), None, 1_000, 0), None);
 }
 
-// Symptom: a step's longest items begin 1.1 s after it.
-// Sequence: targets begin to load as a step is asked for; its longest items go to the emptiest
-// targets, which are those that load, are refused, and find the others filled with shorter ones.
-// Cause: only the node that orders a load knows of it; the others learn of it by refusals.
+// Guards against a step's longest items starting 1.1 s late. Targets start to load as a step is
+// submitted. Its longest items go to the emptiest targets, which are those that load, are refused,
+// and find the others filled with shorter items, if only the node that ordered the load knows of
+// it.
 #[test]
-fn a_target_that_loads_takes_no_item_until_it_is_expected_to_have_loaded() {
-    let mut load = LoadBalancer::open(LoadBalancerSettings::default());
+fn a_loading_target_gets_no_item_until_its_load_is_expected_to_end() {
+    let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["b", "c"] {
-        load.call_sent(id);
+        balancer.call_sent(id);
     }
-    load.loading_until("a", UnixMs(900));
-
-    let meanwhile =
-        load.choose_with_free_slot(UnixMs(899), &picks(), Some("a"), 1_000, 0).expect("a target");
-    let afterwards =
-        load.choose_with_free_slot(UnixMs(900), &picks(), Some("a"), 1_000, 0).expect("a target");
+    balancer.loading_until("a", UnixMs(900));
+
+    let meanwhile = balancer
+        .choose_with_free_slot(UnixMs(899), &candidates(), Some("a"), 1_000, 0)
+        .expect("a target");
+    let afterwards = balancer
+        .choose_with_free_slot(UnixMs(900), &candidates(), Some("a"), 1_000, 0)
+        .expect("a target");
 
     assert_ne!(meanwhile.id, "a");
     assert_eq!(afterwards.id, "a");
--- a/tests/all/dispatch/lookahead.rs
+++ b/tests/all/dispatch/lookahead.rs
@@ -3,7 +3,7 @@
 use catkinmast_dispatch::Lookahead;
 
 #[test]
-fn groups_of_a_trainer_with_one_open_step_come_again_in_the_next() {
+fn groups_of_a_trainer_with_one_open_step_return_in_the_next() {
     let mut lookahead = Lookahead::default();
     for step in 3..6 {
         lookahead.batch_opened("m", step, std::iter::empty());
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn groups_of_a_trainer_that_asks_a_step_ahead_come_again_two_steps_later() {
+fn groups_of_a_trainer_that_submits_a_step_ahead_return_two_steps_later() {
     let mut lookahead = Lookahead::default();
     lookahead.batch_opened("m", 4, [3].into_iter());
     lookahead.batch_opened("m", 5, std::iter::empty());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_trainer_that_changes_its_ways_is_learnt_within_four_steps() {
+fn a_change_of_lookahead_is_noticed_within_four_steps() {
     let mut lookahead = Lookahead::default();
     lookahead.batch_opened("m", 4, [3].into_iter());
     for step in 5..9 {
--- a/tests/all/dispatch/mod.rs
+++ b/tests/all/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions between callers and targets, played without a network.
+//! Dispatch decisions between callers and targets, without a network.
 
 mod batch;
 mod copies;
--- a/tests/all/dispatch/rollout.rs
+++ b/tests/all/dispatch/rollout.rs
@@ -1,4 +1,4 @@
-//! Loads of weights: split, paced, the most needed first.
+//! Loads of weights: divided among models, limited in number, the most urgent first.
 
 use catkinmast_dispatch::{
     Demand, LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget,
@@ -26,7 +26,7 @@
     held.expect("a model").1 = order.version;
 }
 
-/// Carries out loads, one round after the other, until nothing is left to order.
+/// Carries out loads, round after round, until none is ordered.
 fn carry_out(rollout: &mut Rollout, targets: &mut [RolloutTarget]) -> Vec<LoadOrder> {
     let mut all = Vec::new();
     for round in 0..100 {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn each_target_is_loaded_for_one_model_and_the_models_share_alike() {
+fn each_target_loads_for_one_model_and_models_share_equally() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn never_more_than_a_fifth_load_at_once_nor_more_than_half_of_a_model() {
+fn at_most_a_fifth_of_all_and_half_of_a_models_targets_load_at_once() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     for model in models() {
         rollout.version_published(&model, 2);
@@ -76,9 +76,9 @@
     assert!(of_x <= 7, "half of fifteen");
 }
 
-// Symptom: a model's step stands still while another model's targets are loaded.
-// Sequence: one model is two versions behind everywhere, the others one.
-// Cause: loads are ordered by lag alone, or in the order of the targets.
+// Guards against a step that stands still while another model's targets are loaded. One model is
+// two versions behind everywhere, the others one; loads must not follow lag alone or the order of
+// the targets.
 #[test]
 fn a_model_without_current_targets_goes_first() {
     let mut rollout = Rollout::open(RolloutSettings::default());
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_target_that_is_gone_leaves_its_share_to_the_others_with_few_moves() {
+fn a_lost_target_is_replaced_with_few_moves() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_load_that_failed_is_tried_again_after_a_rest() {
+fn a_failed_load_is_retried_after_a_backoff() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     rollout.version_published("x", 2);
     let targets = targets(1);
@@ -134,12 +134,11 @@
     assert_eq!(rollout.plan(UnixMs(510), &targets, &models(), &Demand::default()), first);
 }
 
-// Symptom: a step's longest items wait for targets that load.
-// Sequence: a version is named, and the step that asks for it is opened at the same moment; half of
-// the model's targets load at once.
-// Cause: loads begin before the step's items, which a load lets go on once they have begun.
+// Guards against a step's longest items waiting for targets that load. A version is published and
+// the step that needs it is opened at the same moment. Loads that start before the step's items
+// block them; items that have started continue during a load.
 #[test]
-fn one_target_loads_at_once_as_a_step_opens_and_the_others_once_its_items_have_started() {
+fn when_a_step_opens_one_target_loads_and_the_others_follow_once_items_started() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     let targets = targets(20);
     rollout.version_published("x", 2);
@@ -155,9 +154,9 @@
     assert!(afterwards.len() > 1, "{afterwards:?}");
 }
 
-// Symptom: no text that a later step accepts can be begun for 1.5 s after a version is named.
-// Sequence: one model's targets are all one version behind; another's version is named.
-// Cause: the second half of the first model's targets loads before any of the other's.
+// Guards against a delay of 1.5 s between publishing a version and the first text that a later step
+// accepts. One model's targets are all one version behind when another's version is published; the
+// second half of the first model's targets must not load before any of the other's.
 #[test]
 fn a_model_without_a_target_of_its_newest_version_loads_before_one_that_has_some() {
     let mut rollout = Rollout::open(RolloutSettings::default());
--- a/tests/all/dispatch/shares.rs
+++ b/tests/all/dispatch/shares.rs
@@ -1,4 +1,4 @@
-//! Targets shared among models by the work that each brings.
+//! Sharing of targets among models by their work.
 
 use catkinmast_dispatch::{
     Demand, Rollout, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, interleave,
@@ -10,7 +10,7 @@
     ["long", "longer", "short"].map(str::to_owned).to_vec()
 }
 
-/// The work of three models whose steps have 200 to 230 items of 11 and 20 events.
+/// Work of three models whose steps have 200 to 230 items of 11 and 20 events.
 fn uneven() -> Demand {
     let mut demand = Demand::default();
     demand.record_batch("short", 200 * 11);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn without_batches_all_share_alike() {
+fn without_batches_models_share_equally() {
     assert_eq!(Demand::default().shares(&models(), 9), [3_000, 3_000, 3_000]);
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_absurd_estimate_leaves_the_others_their_least_share() {
+fn an_absurd_estimate_leaves_others_their_minimum_share() {
     let mut demand = uneven();
     for _ in 0..50 {
         demand.record_batch("short", u64::MAX);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn places_are_dealt_in_proportion_from_the_first_on() {
+fn places_are_interleaved_in_proportion_from_the_first_on() {
     let places = interleave(&[18_000, 18_000, 9_000], 45);
 
     let of = |index: usize, upto: usize| places[..upto].iter().filter(|p| **p == index).count();
@@ -110,10 +110,9 @@
     assert!((3..=5).contains(&of(2, 20)), "{places:?}");
 }
 
-// Symptom: a step of long items waits for slots beside a model whose targets are half free; its
-// last item begins up to 6 s after the first.
-// Sequence: three models, one with a quarter of the work of the others together; 45 targets.
-// Cause: targets are shared alike.
+// Guards against a step of long items that waits for slots while another model's targets are half
+// free, so that its last item starts up to 6 s after the first. Three models, one with a quarter of
+// the work of the others together, must not share 45 targets equally.
 #[test]
 fn a_model_is_kept_current_on_as_many_targets_as_its_work_asks_for() {
     let mut rollout = Rollout::open(RolloutSettings::default());
@@ -125,7 +124,7 @@
 }
 
 #[test]
-fn owners_and_the_holder_of_the_orders_deal_alike_before_anything_is_loaded() {
+fn owners_and_the_order_holder_agree_before_anything_is_loaded() {
     let mut rollout = Rollout::open(RolloutSettings::default());
     let targets = targets(45);
     let (table, demand) = (table(&targets), uneven());
@@ -139,10 +138,9 @@
     }
 }
 
-// Symptom: after a new node has taken up the orders, a third of the targets change their models and
-// load, and steps wait meanwhile.
-// Sequence: each target is current for one model; the holder dies.
-// Cause: the successor deals the targets anew instead of by what they hold.
+// Guards against a third of the targets changing their models and loading when a new node takes
+// over the orders, while steps wait. The successor must assign targets by the versions that they
+// hold.
 #[test]
 fn a_new_holder_leaves_targets_with_the_models_that_they_hold() {
     let mut targets = targets(9);
--- a/tests/all/dispatch/stream.rs
+++ b/tests/all/dispatch/stream.rs
@@ -1,4 +1,4 @@
-//! Events of token streams, however their bytes are cut.
+//! Events of token streams, wherever the byte stream is split.
 
 use catkinmast_dispatch::{EventReader, StreamEvent};
 use proptest::prelude::*;
@@ -13,10 +13,10 @@
 }
 
 #[test]
-fn events_have_their_lines_number_and_fields() {
-    let (events, whole) = read(&[STREAM.as_bytes()]);
+fn events_are_parsed_with_lines_number_and_fields() {
+    let (events, is_complete) = read(&[STREAM.as_bytes()]);
 
-    assert!(whole);
+    assert!(is_complete);
     assert_eq!(events.len(), 2);
     assert_eq!(events[0].data, "a\nb");
     assert_eq!(events[0].id, Some(1));
@@ -24,26 +24,25 @@
     assert_eq!((events[1].data.as_str(), events[1].id), ("c", Some(2)));
 }
 
-// Symptom: a piece of text stands twice in a sample.
-// Sequence: a target stops in the middle of an event, and another goes on after the last one.
-// Cause: the half event is taken for a whole one.
+// Guards against text that appears twice in a sample. A target stops in the middle of an event and
+// another resumes after the last complete one; the partial event must not count.
 #[test]
-fn half_an_event_is_not_handed_out() {
-    let (events, whole) = read(&[b"id: 1\ndata: a\n\nid: 2\ndata: ha"]);
+fn a_partial_event_is_not_returned() {
+    let (events, is_complete) = read(&[b"id: 1\ndata: a\n\nid: 2\ndata: ha"]);
 
     assert_eq!(events.len(), 1);
-    assert!(!whole);
+    assert!(!is_complete);
 }
 
 proptest! {
     #[test]
-    fn the_cut_of_the_bytes_does_not_matter(cut in 0..STREAM.len()) {
+    fn events_do_not_depend_on_how_bytes_are_split(cut in 0..STREAM.len()) {
         let (first, second) = STREAM.as_bytes().split_at(cut);
         prop_assert_eq!(read(&[first, second]), read(&[STREAM.as_bytes()]));
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         read(&[&bytes]);
     }
 }
--- a/tests/all/dispatch/targets.rs
+++ b/tests/all/dispatch/targets.rs
@@ -1,4 +1,4 @@
-//! Which targets may receive work, by a registry that lags and has outages.
+//! Which targets may receive work, with a registry that lags and has outages.
 
 use catkinmast_dispatch::{Demand, TargetChange, TargetEntry, TargetTable};
 use catkinmast_model::UnixMs;
@@ -19,12 +19,12 @@
     }
 }
 
-/// An entry of a target that tells when its life began.
-fn born(id: &str, born_at_unix_ms: u64, sequence: u64, draining: bool) -> TargetEntry {
-    TargetEntry { started_at_unix_ms: Some(born_at_unix_ms), ..entry(id, sequence, draining) }
+/// Returns an entry of a target that reports its start time.
+fn started(id: &str, started_at_unix_ms: u64, sequence: u64, draining: bool) -> TargetEntry {
+    TargetEntry { started_at_unix_ms: Some(started_at_unix_ms), ..entry(id, sequence, draining) }
 }
 
-/// `in_force` is the version in force of both models.
+/// Calls `TargetTable::for_model` with version `in_force` of both models in force.
 fn for_model<'a>(table: &'a TargetTable, model: &str, oldest: u64, in_force: u64) -> Vec<&'a str> {
     let versions = ["x", "y"].map(|model| (model.to_owned(), in_force));
     let versions = IndexMap::from(versions);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn leaving_is_sticky_whatever_comes_late() {
+fn draining_is_final_despite_late_entries() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("a", 5, false));
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_removed_target_is_out_at_once_and_back_with_a_newer_entry() {
+fn a_removed_target_is_unusable_until_a_newer_entry() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("a", 5, false));
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_target_that_vanished_with_an_outage_serves_until_it_had_time_to_return() {
+fn a_target_lost_in_an_outage_serves_until_its_grace_period_ends() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("a", 5, false));
     table.apply_entry(entry("b", 5, false));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_target_that_another_answers_for_is_out() {
+fn a_target_whose_address_another_answers_at_is_unusable() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("a", 5, false));
 
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn while_all_serve_all_models_each_model_keeps_to_its_own_share() {
+fn while_all_targets_serve_all_models_each_model_uses_its_own_share() {
     let mut table = TargetTable::default();
     for number in 0..6 {
         table.apply_entry(entry(&format!("t{number}"), 1, false));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_model_with_too_few_of_its_own_uses_all_that_may_serve_it() {
+fn a_model_with_too_few_targets_uses_all_that_may_serve_it() {
     let mut table = TargetTable::default();
     for number in 0..6 {
         table.apply_entry(entry(&format!("t{number}"), 1, false));
@@ -109,104 +109,108 @@
     assert!(for_model(&table, "x", 2, 4).is_empty(), "none is new enough");
 }
 
-// Symptom: a target that started again under its id receives no work for the rest of its life.
-// Sequence: it says that it leaves, ends, and starts again; its heartbeats count from 1.
-// Cause: leaving is sticky for an id, and an entry with a lower number counts as a late one.
+// Guards against a target that receives no work after a restart under its id. It drains, ends and
+// restarts, and its heartbeats count from 1, so the entry of the new incarnation looks old and the
+// drain looks final.
 #[test]
-fn a_target_that_starts_again_under_its_id_receives_work() {
+fn a_target_that_restarts_under_its_id_receives_work() {
     let mut table = TargetTable::default();
-    table.apply_entry(born("a", 1_000, 40, false));
-    table.apply_entry(born("a", 1_000, 41, true));
+    table.apply_entry(started("a", 1_000, 40, false));
+    table.apply_entry(started("a", 1_000, 41, true));
 
-    let change = table.apply_entry(born("a", 9_000, 1, false));
+    let change = table.apply_entry(started("a", 9_000, 1, false));
 
     assert_eq!(change, TargetChange::Restarted("a".to_owned()));
     assert_eq!(usable(&table), ["a"]);
 }
 
 #[test]
-fn what_comes_late_of_an_earlier_life_does_not_count() {
+fn late_entries_of_an_earlier_incarnation_are_ignored() {
     let mut table = TargetTable::default();
-    table.apply_entry(born("a", 1_000, 40, false));
+    table.apply_entry(started("a", 1_000, 40, false));
     table.record_version("a", "x", 7);
-    table.apply_entry(born("a", 9_000, 1, false));
+    table.apply_entry(started("a", 9_000, 1, false));
 
-    assert_eq!(table.apply_entry(born("a", 1_000, 41, true)), TargetChange::None);
+    assert_eq!(table.apply_entry(started("a", 1_000, 41, true)), TargetChange::None);
     assert_eq!(table.apply_start_time("a", Some(1_000)), (false, TargetChange::None));
     assert_eq!(table.entry("a").and_then(|entry| entry.version("x")), Some(1));
     assert_eq!(usable(&table), ["a"]);
 }
 
 #[test]
-fn a_report_of_a_later_life_comes_before_its_entry() {
+fn a_report_of_a_later_incarnation_may_precede_its_entry() {
     let mut table = TargetTable::default();
-    table.apply_entry(born("a", 1_000, 40, false));
+    table.apply_entry(started("a", 1_000, 40, false));
     table.record_version("a", "x", 7);
 
-    let told = table.apply_start_time("a", Some(9_000));
+    let reported = table.apply_start_time("a", Some(9_000));
 
-    assert_eq!(told, (true, TargetChange::Restarted("a".to_owned())));
+    assert_eq!(reported, (true, TargetChange::Restarted("a".to_owned())));
     assert_eq!(table.entry("a").and_then(|entry| entry.version("x")), None);
-    assert_eq!(table.apply_entry(born("a", 9_000, 1, false)), TargetChange::None);
-    assert_eq!(table.apply_entry(born("a", 1_000, 41, false)), TargetChange::None);
+    assert_eq!(table.apply_entry(started("a", 9_000, 1, false)), TargetChange::None);
+    assert_eq!(table.apply_entry(started("a", 1_000, 41, false)), TargetChange::None);
 }
 
-// Symptom: requests go to something that is no target.
-// Sequence: another program writes an entry whose fields are all there, but for the start.
-// Cause: nothing tells it from an entry of a target.
+// Guards against requests to something that is no target: another program writes an entry that is
+// complete except for the start time.
 #[test]
-fn where_most_targets_tell_their_start_an_entry_without_one_names_none() {
+fn an_entry_without_start_time_is_ignored_if_most_have_one() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("foreign", 1, false));
-    table.apply_entry(born("a", 1_000, 1, false));
-    table.apply_entry(born("b", 1_000, 1, false));
+    table.apply_entry(started("a", 1_000, 1, false));
+    table.apply_entry(started("b", 1_000, 1, false));
 
     assert_eq!(usable(&table), ["a", "b"]);
     assert_eq!(table.count(), 2);
 }
 
 #[test]
-fn one_entry_with_a_start_does_not_take_out_the_targets_that_tell_none() {
+fn one_entry_with_a_start_time_does_not_exclude_those_without() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("a", 1, false));
     table.apply_entry(entry("b", 1, false));
-    table.apply_entry(born("foreign", 1_000, 1, false));
+    table.apply_entry(started("foreign", 1_000, 1, false));
 
     assert_eq!(usable(&table), ["a", "b", "foreign"]);
 }
 
 #[test]
-fn a_target_whose_entry_another_program_overwrote_is_out_until_it_writes_again() {
+fn a_target_whose_entry_was_overwritten_is_unusable_until_it_writes_again() {
     let mut table = TargetTable::default();
-    table.apply_entry(born("a", 1_000, 4, false));
-    table.apply_entry(born("b", 1_000, 4, false));
+    table.apply_entry(started("a", 1_000, 4, false));
+    table.apply_entry(started("b", 1_000, 4, false));
 
     assert_eq!(table.apply_entry(entry("a", 9, false)), TargetChange::Left("a".to_owned()));
     assert_eq!(usable(&table), ["b"]);
-    assert_eq!(table.apply_entry(born("a", 1_000, 5, false)), TargetChange::Joined("a".to_owned()));
+    assert_eq!(
+        table.apply_entry(started("a", 1_000, 5, false)),
+        TargetChange::Joined("a".to_owned())
+    );
 }
 
 proptest::proptest! {
-    // The counts behind the rule for entries without a start are kept by each change.
+    // Each change updates the counts behind the rule for entries without a start time.
     #[test]
-    fn which_entries_count_follows_from_those_that_are_there(
+    fn usable_entries_depend_only_on_the_listed_ones(
         steps in proptest::collection::vec((0..6_u64, proptest::bool::ANY, proptest::bool::ANY), 1..60),
     ) {
         let mut table = TargetTable::default();
         let mut listed = std::collections::BTreeMap::new();
-        for (sequence, (number, tells, is_removed)) in (1_u64..).zip(steps) {
-            let id = format!("{}{number}", if tells { "born-" } else { "silent-" });
+        for (sequence, (number, has_start, is_removed)) in (1_u64..).zip(steps) {
+            let id = format!("{}{number}", if has_start { "born-" } else { "silent-" });
             if is_removed {
                 table.apply_removal(UnixMs(0), &id, false);
                 listed.remove(&id);
             } else {
-                let silent = entry(&id, sequence, false);
-                table.apply_entry(if tells { born(&id, 1_000, sequence, false) } else { silent });
-                listed.insert(id, tells);
+                let without_start = entry(&id, sequence, false);
+                table.apply_entry(
+                    if has_start { started(&id, 1_000, sequence, false) } else { without_start },
+                );
+                listed.insert(id, has_start);
             }
-            let telling = listed.values().filter(|tells| **tells).count();
-            let most_tell = telling * 2 > listed.len();
-            let counted = listed.iter().filter(|(_, tells)| **tells || !most_tell);
+            let with_start = listed.values().filter(|has_start| **has_start).count();
+            let most_have_start = with_start * 2 > listed.len();
+            let counted = listed.iter().filter(|(_, has_start)| **has_start || !most_have_start);
             let mut expected: Vec<&str> = counted.map(|(id, _)| id.as_str()).collect();
             let mut seen = usable(&table);
             seen.sort_unstable();
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -1,4 +1,4 @@
-//! Usage of workspaces: windows of true time, counted once, whoever dies.
+//! Usage of workspaces: each request counts once, in its window, whichever node fails.
 
 use catkinmast_model::{Incarnation, UnixMs};
 use catkinmast_usage::{
@@ -9,23 +9,23 @@
 use std::net::SocketAddr;
 
 const WINDOWS: Windows = Windows::of_ms(5_000);
-const STEADY: UnixMs = UnixMs(70_000);
+const MONOTONIC: UnixMs = UnixMs(70_000);
 const WALL_MS: i64 = 1_764_720_000_000;
 
-/// What a clock shows that is off by so much.
-fn wall(steady: UnixMs, off_ms: i64) -> UnixMs {
-    UnixMs((steady.0 as i64 + WALL_MS + off_ms) as u64)
+/// Returns what a clock shows that is wrong by `off_ms`.
+fn wall(monotonic: UnixMs, off_ms: i64) -> UnixMs {
+    UnixMs((monotonic.0 as i64 + WALL_MS + off_ms) as u64)
 }
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16))
 }
 
-fn teller(node: &str, life: u64) -> UsageSource {
-    UsageSource { incarnation: Incarnation(life), node: node.parse().expect("a name") }
+fn source(node: &str, incarnation: u64) -> UsageSource {
+    UsageSource { incarnation: Incarnation(incarnation), node: node.parse().expect("a name") }
 }
 
-fn table(window: u64, complete: bool, counts: &[(&str, u64)]) -> WindowCounts {
+fn window_counts(window: u64, complete: bool, counts: &[(&str, u64)]) -> WindowCounts {
     let counts = counts.iter().map(|(name, count)| ((*name).to_owned(), *count)).collect();
     WindowCounts { complete, counts, window: Window(window) }
 }
@@ -35,46 +35,46 @@
 }
 
 proptest! {
-    // Symptom: requests are counted in the wrong window.
-    // Sequence: the time of day of some machines jumps by seconds, and jumps back.
-    // Cause: a node goes by its own clock.
+    // Guards against requests in the wrong window: the time of day of some machines jumps by
+    // seconds and back, and a node that used its own clock would follow it.
     #[test]
-    fn clocks_that_lie_do_not_move_the_time_beyond_the_others_while_they_are_fewer_than_half(
-        honest_off_ms in prop::collection::vec(-25_i64..25, 3..40),
-        lies_ms in prop::collection::vec(-86_400_000_i64..86_400_000, 0..40),
+    fn a_minority_of_wrong_clocks_does_not_move_the_estimate_beyond_the_others(
+        correct_off_ms in prop::collection::vec(-25_i64..25, 3..40),
+        wrong_off_ms in prop::collection::vec(-86_400_000_i64..86_400_000, 0..40),
         turn in any::<prop::sample::Index>(),
     ) {
-        let liars = lies_ms.len().min((honest_off_ms.len() - 1) / 2);
-        let mut off_ms: Vec<i64> = honest_off_ms.iter().chain(&lies_ms[..liars]).copied().collect();
+        let wrong_count = wrong_off_ms.len().min((correct_off_ms.len() - 1) / 2);
+        let mut off_ms: Vec<i64> =
+            correct_off_ms.iter().chain(&wrong_off_ms[..wrong_count]).copied().collect();
         let places = turn.index(off_ms.len());
         off_ms.rotate_left(places);
         let mut time = FleetClock::default();
 
-        let mut steady = STEADY;
+        let mut monotonic = MONOTONIC;
         for (number, off_ms) in off_ms.iter().enumerate() {
-            steady = steady.plus(300);
-            time.record_reading(address(number), wall(steady, *off_ms), steady);
+            monotonic = monotonic.plus(300);
+            time.record_reading(address(number), wall(monotonic, *off_ms), monotonic);
         }
 
-        let estimate = time.at(steady).expect("an estimate").0 as i64;
-        let moved_ms = estimate - wall(steady, 0).0 as i64;
-        let (least, most) = (honest_off_ms.iter().min(), honest_off_ms.iter().max());
+        let estimate = time.at(monotonic).expect("an estimate").0 as i64;
+        let moved_ms = estimate - wall(monotonic, 0).0 as i64;
+        let (least, most) = (correct_off_ms.iter().min(), correct_off_ms.iter().max());
         prop_assert!(Some(&moved_ms) >= least && Some(&moved_ms) <= most, "{} ms", moved_ms);
     }
 
     #[test]
-    fn tables_add_up_to_what_was_told_however_often_and_in_which_order(
-        told in prop::collection::vec((0_usize..4, 0_u64..3, 0_u64..3, 1_u64..9), 1..40),
+    fn totals_do_not_depend_on_order_or_repetition_of_reports(
+        reports in prop::collection::vec((0_usize..4, 0_u64..3, 0_u64..3, 1_u64..9), 1..40),
         repeats in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
         let mut ledger = Ledger::default();
         let mut expected: BTreeMap<(usize, u64, u64), u64> = BTreeMap::new();
-        let again = repeats.iter().map(|index| index.get(&told));
-        for (node, life, window, count) in told.iter().chain(again) {
-            let held = expected.entry((*node, *life, *window)).or_default();
+        let again = repeats.iter().map(|index| index.get(&reports));
+        for (node, incarnation, window, count) in reports.iter().chain(again) {
+            let held = expected.entry((*node, *incarnation, *window)).or_default();
             *held = (*held).max(*count);
-            let teller = teller(&format!("node-{node}"), *life);
-            ledger.record(&teller, table(*window, false, &[("a", *count)]));
+            let source = source(&format!("node-{node}"), *incarnation);
+            ledger.record(&source, window_counts(*window, false, &[("a", *count)]));
         }
 
         for window in 0..3 {
@@ -86,36 +86,36 @@
 }
 
 #[test]
-fn a_clock_that_jumps_and_jumps_back_moves_nothing() {
+fn clocks_that_jump_and_jump_back_do_not_move_the_estimate() {
     let mut time = FleetClock::default();
     for round in 0..40 {
-        let steady = STEADY.plus(round * 300);
+        let monotonic = MONOTONIC.plus(round * 300);
         for node in 0..50 {
             let jumped = (10..30).contains(&round) && node % 3 == 0;
             let off_ms = (node as i64 % 7) - 3 + if jumped { -2_400 } else { 0 };
-            time.record_reading(address(node), wall(steady, off_ms), steady);
+            time.record_reading(address(node), wall(monotonic, off_ms), monotonic);
         }
 
-        let estimate = time.at(steady).expect("an estimate");
+        let estimate = time.at(monotonic).expect("an estimate");
 
-        let off_ms = estimate.0 as i64 - wall(steady, 0).0 as i64;
+        let off_ms = estimate.0 as i64 - wall(monotonic, 0).0 as i64;
         assert!(off_ms.abs() <= 3, "round {round}: {off_ms} ms off");
     }
     assert_eq!(time.clock_count(), 50);
 }
 
 #[test]
-fn a_node_that_hears_nobody_goes_by_its_own_clock() {
+fn a_node_without_peers_uses_its_own_clock() {
     let mut time = FleetClock::default();
-    assert_eq!(time.at(STEADY), None);
+    assert_eq!(time.at(MONOTONIC), None);
 
-    time.record_reading(address(0), UnixMs(WALL_MS as u64), STEADY);
+    time.record_reading(address(0), UnixMs(WALL_MS as u64), MONOTONIC);
 
-    assert_eq!(time.at(STEADY.plus(5)), Some(UnixMs(WALL_MS as u64 + 5)));
+    assert_eq!(time.at(MONOTONIC.plus(5)), Some(UnixMs(WALL_MS as u64 + 5)));
 }
 
 #[test]
-fn a_request_counts_in_the_window_in_which_a_target_began_it() {
+fn a_request_counts_in_the_window_in_which_a_target_started_it() {
     let mut counts = UsageCounts::open(WINDOWS);
     let early = counts.request_sent(UnixMs(4_990), "a");
     let queued = counts.request_sent(UnixMs(4_995), "a");
@@ -126,66 +126,66 @@
     counts.request_not_run(refused);
 
     let tables = counts.window_counts(UnixMs(6_000));
-    assert_eq!(tables, [table(0, true, &[("a", 1)]), table(1, false, &[("a", 1)])]);
+    assert_eq!(tables, [window_counts(0, true, &[("a", 1)]), window_counts(1, false, &[("a", 1)])]);
 }
 
 #[test]
-fn a_window_is_complete_when_nothing_that_was_sent_in_it_is_open() {
+fn a_window_is_complete_when_no_request_sent_in_it_is_open() {
     let mut counts = UsageCounts::open(WINDOWS);
     let open = counts.request_sent(UnixMs(4_900), "a");
 
     assert_eq!(counts.window_counts(UnixMs(5_100)), []);
 
     counts.request_started(open, None);
-    assert_eq!(counts.window_counts(UnixMs(5_100)), [table(0, true, &[("a", 1)])]);
+    assert_eq!(counts.window_counts(UnixMs(5_100)), [window_counts(0, true, &[("a", 1)])]);
 }
 
-// Symptom: a window is never closed.
-// Sequence: a target falls silent with a request, and the request stays open for long.
+// Guards against a window that is never closed because a target stopped answering and its request
+// stays open.
 #[test]
-fn a_request_that_stays_unanswered_counts_as_begun() {
+fn a_request_that_stays_unanswered_counts_as_started() {
     let mut counts = UsageCounts::open(WINDOWS);
     let _open = counts.request_sent(UnixMs(4_900), "a");
 
     let tables = counts.window_counts(UnixMs(8_100));
 
-    assert_eq!(tables, [table(0, true, &[("a", 1)])]);
+    assert_eq!(tables, [window_counts(0, true, &[("a", 1)])]);
 }
 
 #[test]
-fn windows_that_are_over_for_long_are_forgotten() {
+fn old_windows_are_dropped() {
     let mut counts = UsageCounts::open(WINDOWS);
     let sent = counts.request_sent(UnixMs(100), "a");
     counts.request_started(sent, None);
 
     let tables = counts.window_counts(UnixMs(100_000));
 
-    assert!(tables.iter().all(|table| table.window > Window(0)), "{tables:?}");
+    assert!(tables.iter().all(|counts| counts.window > Window(0)), "{tables:?}");
 }
 
-// Symptom: a node's requests are missing in a report, or stand in it twice.
-// Sequence: a node tells of its counts, is killed, starts again and counts anew.
+// Guards against requests that are missing or counted twice in a report, after a node reports its
+// counts, is killed, restarts and counts from zero.
 #[test]
-fn what_a_node_told_before_it_died_stays_beside_what_its_next_life_tells() {
+fn counts_of_a_killed_node_are_added_to_those_of_its_next_incarnation() {
     let mut ledger = Ledger::default();
-    ledger.record(&teller("n", 4), table(7, false, &[("a", 2), ("b", 1)]));
-    ledger.record(&teller("n", 4), table(7, false, &[("a", 3)]));
+    ledger.record(&source("n", 4), window_counts(7, false, &[("a", 2), ("b", 1)]));
+    ledger.record(&source("n", 4), window_counts(7, false, &[("a", 3)]));
 
-    ledger.record(&teller("n", 9), table(7, true, &[("a", 1)]));
+    ledger.record(&source("n", 9), window_counts(7, true, &[("a", 1)]));
 
     assert_eq!(ledger.totals(Window(7)), totals(&[("a", 4), ("b", 1)]));
     assert_eq!(ledger.source_count(Window(7)), 2);
 }
 
 #[test]
-fn a_window_waits_for_the_lives_that_have_not_told_all_of_it() {
+fn a_window_waits_for_incarnations_that_have_not_reported_it_completely() {
     let mut ledger = Ledger::default();
-    let (first, second) = (teller("n", 4), teller("m", 5));
-    ledger.record(&first, table(7, true, &[("a", 2)]));
-    ledger.record(&second, table(7, false, &[("a", 2)]));
+    let (first, second) = (source("n", 4), source("m", 5));
+    ledger.record(&first, window_counts(7, true, &[("a", 2)]));
+    ledger.record(&second, window_counts(7, false, &[("a", 2)]));
 
     assert_eq!(ledger.missing(Window(7), [&first, &second]), [&second]);
 
-    ledger.record(&second, table(7, true, &[("a", 2)]));
+    ledger.record(&second, window_counts(7, true, &[("a", 2)]));
     assert!(ledger.missing(Window(7), [&first, &second]).is_empty());
 }
