--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -1,11 +1,12 @@
-//! Accepting a submission: once, and kept before anyone is told.
+//! Accepting submissions: each id once, and written to the store before it is acknowledged.
 
 use super::keys::{
-    Origin, Record, TRANSACTION_MAX_KEYS, encode, part_key, part_max_bytes, record_key, unexpected,
+    Origin, Record, TRANSACTION_MAX_KEYS, encode, part_key, part_max_bytes, record_key,
+    unexpected_answer,
 };
 use super::standby::send_copies;
-use super::write::{RETRY, save_texts, write_results};
-use super::{LEFTOVER_KEPT_MS, LocalBatch};
+use super::write::{RETRY_PAUSE, save_partial_outputs, write_results};
+use super::{LocalBatch, REUSABLE_OUTPUT_TTL_MS};
 use crate::clock;
 use crate::node::Node;
 use crate::peers::{self, Datagram, Owner, PeerAnswer, PeerCall};
@@ -21,35 +22,37 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Tries of an acceptance whose outcome is unknown; with the store's longest answer they take less
-/// than a trainer waits.
-pub(super) const ACCEPT_TRIES: u32 = 3;
+/// Attempts at a write whose outcome is unknown. With the store's slowest answers they take less
+/// time than a trainer waits.
+pub(super) const STORE_ATTEMPTS: u32 = 3;
 
-/// How long the owner of a model may take to accept a batch before this node does it.
-pub(super) const SUBMIT_MAX: Duration = Duration::from_secs(1);
+/// How long the node that owns a model's batches may take to accept one before this node accepts it
+/// itself.
+pub(super) const PEER_SUBMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Debug)]
 pub(crate) enum Acceptance {
-    /// It is kept.
+    /// It is stored.
     Accepted,
-    /// Its id is that of another workspace's batch.
+    /// Its id belongs to a batch of another workspace.
     IdConflict,
-    /// The store could not be reached; the verdict says whether it may be kept.
+    /// The store could not be reached; the verdict says whether it may have been stored.
     Unknown(StoreRefusal),
 }
 
-/// The terms of a batch under a route.
-pub(super) fn terms(
+/// Returns the policy of a batch under a route. `slack_ms` is added to the time at which its items
+/// are given up.
+pub(super) fn policy(
     route: &Route,
     reward_attempts: u32,
     accepted_at: UnixMs,
     slack_ms: u64,
 ) -> BatchPolicy {
-    // Without a bound of the operator's, a batch is kept running for an hour.
+    // Without a limit set by the operator, a batch runs for up to an hour.
     const UNBOUNDED_MS: u64 = 3_600_000;
-    // An item that is not done after half of the time is one of the long ones: the mean takes a
-    // tenth of it.
+    // An item that is not done after half of the time is a long one: the mean item takes a tenth
+    // of it.
     const LONG_PARTS: u64 = 2;
     let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
@@ -71,39 +74,40 @@
     route.unwrap_or(0)
 }
 
-/// Has a submission accepted by the node that owns the batches of its model, else by this one.
+/// Submits to the node that owns the batches of the model, or accepts here if that node fails to.
 ///
-/// With one owner for a model, its runs share that node's connections and its view of each target's
-/// load, and a group that comes again finds the texts that were begun.
+/// With one owner for each model, its runs share that node's connections and its view of each
+/// target's load, and a group that is submitted again finds its output so far.
 pub(crate) async fn submit<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
     origin: Origin,
     submission: Submission,
 ) -> Acceptance {
-    let duty = duty_of(submission.model.as_deref().unwrap_or(&origin.path));
+    let duty = model_duty(submission.model.as_deref().unwrap_or(&origin.path));
     let owner = peers::first_for(node, &duty);
     let Some(owner) = owner.filter(|_| node.batches.get(id).is_none()) else {
         return accept(node, id, origin, submission).await;
     };
     let call = PeerCall::Submit { batch: id.to_owned(), origin, submission: Box::new(submission) };
-    let answer = node.ask_peer(owner, &call, SUBMIT_MAX).await;
+    let answer = node.ask_peer(owner, &call, PEER_SUBMIT_TIMEOUT).await;
     match answer {
         Ok(PeerAnswer::Accepted) => return Acceptance::Accepted,
         Ok(PeerAnswer::NoBatch) => return Acceptance::IdConflict,
         _ => {}
     }
-    // The batch is created once, whoever does it; so this node may try whatever became of the call.
+    // The store creates a batch only once, so this node may try whatever the outcome of the call.
     let PeerCall::Submit { origin, submission, .. } = call else {
-        unreachable!("it was made above")
+        unreachable!("the call was built as Submit above")
     };
     accept(node, id, origin, *submission).await
 }
 
-/// Accepts a submission: writes it to the store, and owns it.
+/// Accepts a submission: writes it to the store and becomes its owner.
 ///
-/// It goes on when nobody waits for it any more. Left halfway, the store would name this node as the
-/// owner of a batch that it does not run, and every later submission would be told that it is kept.
+/// It runs as a task of its own, which completes after the caller has left. Cancelled halfway, it
+/// would leave a record in the store that names this node as the owner of a batch that it does not
+/// run, and every later submission of it would be acknowledged.
 pub(crate) async fn accept<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -124,8 +128,8 @@
     origin: Origin,
     submission: Submission,
 ) -> Acceptance {
-    if let Some(held) = node.batches.get(id) {
-        let same = held.borrow().record.origin.workspace == origin.workspace;
+    if let Some(local) = node.batches.get(id) {
+        let same = local.borrow().record.origin.workspace == origin.workspace;
         return if same { Acceptance::Accepted } else { Acceptance::IdConflict };
     }
     let Some(owner) = peers::me(node) else {
@@ -141,43 +145,43 @@
         owner,
         total: submission.items.len(),
     };
-    let call = match creation(node, id, &record, &submission) {
+    let call = match creation_transaction(node, id, &record, &submission) {
         Ok(call) => call,
         Err(refusal) => return Acceptance::Unknown(refusal),
     };
     let accepted_at = clock::now();
     let mut failure = None;
-    for _ in 0..ACCEPT_TRIES {
+    for _ in 0..STORE_ATTEMPTS {
         match node.store(&call).await {
             Ok(StoreAnswer::Committed { revision }) => {
-                let source = Source {
+                let source = BatchSource {
                     record,
                     record_revision: revision,
                     results: Vec::new(),
                     submission,
-                    texts: Vec::new(),
+                    outputs: Vec::new(),
                 };
-                own(node, id, source, accepted_at, 0, &[]);
+                start_owning(node, id, source, accepted_at, 0, &[]);
                 return Acceptance::Accepted;
             }
             Ok(StoreAnswer::Conflict { items }) => {
-                return known_already(node, id, &record, submission, accepted_at, &items);
+                return resolve_existing_record(node, id, &record, submission, accepted_at, &items);
             }
-            Ok(other) => failure = Some(unexpected(&other)),
+            Ok(other) => failure = Some(unexpected_answer(&other)),
             Err(refusal) if refusal.verdict == Verdict::NotRun && failure.is_none() => {
                 return Acceptance::Unknown(refusal);
             }
             Err(refusal) => failure = Some(refusal),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
     let verdict = Verdict::MayHaveRun;
     let message = failure.map_or_else(String::new, |refusal| refusal.message);
     Acceptance::Unknown(StoreRefusal { message, verdict })
 }
 
-/// The transaction that creates a batch: all of it or nothing, once.
-pub(super) fn creation<P: Platform>(
+/// Builds the transaction that creates a batch: all of its keys or none, and only if it is new.
+pub(super) fn creation_transaction<P: Platform>(
     node: &Node<P>,
     id: &str,
     record: &Record,
@@ -196,8 +200,9 @@
     Ok(StoreCall::Transaction { deletes: Vec::new(), expected, puts })
 }
 
-/// The record is there already: of an earlier submission, or of our own call whose answer was lost.
-pub(super) fn known_already<P: Platform>(
+/// Handles a record that exists already: from an earlier submission, or from a call of this node
+/// whose answer was lost.
+pub(super) fn resolve_existing_record<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
     record: &Record,
@@ -213,17 +218,17 @@
             return Acceptance::IdConflict;
         }
         if stored == *record && node.batches.get(id).is_none() {
-            let source = Source {
+            let source = BatchSource {
                 record: stored,
                 record_revision: item.revision,
                 results: Vec::new(),
                 submission,
-                texts: Vec::new(),
+                outputs: Vec::new(),
             };
-            own(node, id, source, accepted_at, 0, &[]);
+            start_owning(node, id, source, accepted_at, 0, &[]);
         } else {
             if !stored.ended {
-                tell_owner(node, id, &stored.owner);
+                notify_owner(node, id, &stored.owner);
             }
             node.batches.note_owner(id, stored.owner);
         }
@@ -231,37 +236,37 @@
     Acceptance::Accepted
 }
 
-/// Tells the owner that the store names of its batch: it may not know that its own call was done.
-fn tell_owner<P: Platform>(node: &Rc<Node<P>>, id: &str, owner: &Owner) {
+/// Notifies the owner that the store names: it may not know that its own write was committed.
+fn notify_owner<P: Platform>(node: &Rc<Node<P>>, id: &str, owner: &Owner) {
     if peers::me(node).is_none_or(|me| me == *owner) {
         return;
     }
     let call = PeerCall::Adopt { batch: id.to_owned(), texts: Vec::new() };
     let (node, id, owner) = (Rc::clone(node), id.to_owned(), owner.clone());
     tokio::task::spawn_local(async move {
-        if let Err(error) = node.ask_peer(owner.address, &call, SUBMIT_MAX).await {
+        if let Err(error) = node.ask_peer(owner.address, &call, PEER_SUBMIT_TIMEOUT).await {
             let why = json!({ "request": id, "owner": owner.node, "why": error.message });
             node.note("owner_unreachable", why);
         }
     });
 }
 
-/// What a batch is opened from.
-pub(super) struct Source {
+/// What a local batch is built from.
+pub(super) struct BatchSource {
     pub(super) record: Record,
     pub(super) record_revision: u64,
-    /// Results that are not durable yet.
+    /// Results that are not stored yet.
     pub(super) results: Vec<ItemResult>,
     pub(super) submission: Submission,
-    /// What a former owner had of its items' texts.
-    pub(super) texts: Vec<(String, Progress)>,
+    /// The output that a former owner had of its items.
+    pub(super) outputs: Vec<(String, Progress)>,
 }
 
-/// Opens a batch as its owner and starts to run and to write it.
-pub(super) fn own<P: Platform>(
+/// Opens a batch as its owner and starts the tasks that write its results, copies and output.
+pub(super) fn start_owning<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
-    source: Source,
+    source: BatchSource,
     accepted_at: UnixMs,
     slack_ms: u64,
     chunks: &[Chunk],
@@ -269,31 +274,31 @@
     if node.batches.get(id).is_some() {
         return;
     }
-    let Source { record, record_revision, submission, .. } = &source;
+    let BatchSource { record, record_revision, submission, .. } = &source;
     let Origin { host, path, .. } = &record.origin;
     let route = node.document().and_then(|document| document.route(host, path).cloned());
     let Some(route) = route else {
         node.note("batch_without_route", json!({ "request": id, "host": host }));
         return;
     };
-    let terms = terms(&route, reward_attempts(node, submission), accepted_at, slack_ms);
+    let policy = policy(&route, reward_attempts(node, submission), accepted_at, slack_ms);
     let mut line = json!({
         "request": id, "items": submission.items.len(), "model": submission.model,
         "step": submission.step, "oldest_version": submission.oldest_version,
         "target_groups": submission.target_groups, "chunks": chunks.len(),
         "record_revision": record_revision, "route": route.name,
     });
-    let (mut held, resumed) = open(node, id, source, accepted_at, terms, chunks);
-    held.taken_over = slack_ms > 0;
+    let (mut local, resumed) = build_local_batch(node, id, source, accepted_at, policy, chunks);
+    local.taken_over = slack_ms > 0;
     line["resumed"] = json!(resumed);
     node.note("batch_owned", line);
-    node.batches.note_opening(held.batch.submission());
-    let held = Rc::new(RefCell::new(held));
-    node.batches.owned.borrow_mut().insert(id.to_owned(), Rc::clone(&held));
+    node.batches.note_opening(local.batch.submission());
+    let local = Rc::new(RefCell::new(local));
+    node.batches.owned.borrow_mut().insert(id.to_owned(), Rc::clone(&local));
     node.metrics.batches_open.set(node.batches.owned.borrow().len() as i64);
     let (model, work_tokens) = {
-        let held = held.borrow();
-        let submission = held.batch.submission();
+        let local = local.borrow();
+        let submission = local.batch.submission();
         (submission.model.clone(), submission.work_tokens())
     };
     node.note_demand(model.as_deref(), work_tokens);
@@ -302,27 +307,28 @@
         peers::broadcast(node, &Datagram::BatchOwned { batch, model, owner, work_tokens });
     }
     node.work.notify_one();
-    tokio::task::spawn_local(write_results(Rc::clone(node), Rc::clone(&held)));
-    tokio::task::spawn_local(send_copies(Rc::clone(node), Rc::clone(&held)));
-    tokio::task::spawn_local(save_texts(Rc::clone(node), held));
+    tokio::task::spawn_local(write_results(Rc::clone(node), Rc::clone(&local)));
+    tokio::task::spawn_local(send_copies(Rc::clone(node), Rc::clone(&local)));
+    tokio::task::spawn_local(save_partial_outputs(Rc::clone(node), local));
 }
 
-/// Opens a batch with what is known of it; returns how many texts it goes on from.
-pub(super) fn open<P: Platform>(
+/// Builds a batch from what is known of it; returns with it how many items go on from earlier
+/// output.
+pub(super) fn build_local_batch<P: Platform>(
     node: &Node<P>,
     id: &str,
-    source: Source,
+    source: BatchSource,
     accepted_at: UnixMs,
-    terms: BatchPolicy,
+    policy: BatchPolicy,
     chunks: &[Chunk],
 ) -> (LocalBatch, usize) {
-    let Source { record, record_revision, results, submission, texts } = source;
+    let BatchSource { record, record_revision, results, submission, outputs } = source;
     let workspace = record.origin.workspace.as_deref();
-    let (mut batch, resumed) = open_batch(node, workspace, submission, terms, chunks, texts);
+    let (mut batch, resumed) = restore_batch(node, workspace, submission, policy, chunks, outputs);
     for result in results {
         batch.record_result(clock::now(), result);
     }
-    let held = LocalBatch {
+    let local = LocalBatch {
         accepted_at,
         batch,
         changed: Rc::new(Notify::new()),
@@ -337,30 +343,31 @@
         settled_at: None,
         taken_over: false,
     };
-    (held, resumed)
+    (local, resumed)
 }
 
-/// Opens a batch with what is durable of it, and with the texts that an earlier batch left of its
-/// items; returns how many of those fit.
-pub(super) fn open_batch<P: Platform>(
+/// Opens a batch with its stored results, and with output that a former owner, a second run or an
+/// earlier batch left of its items; returns with it how many of these fit.
+pub(super) fn restore_batch<P: Platform>(
     node: &Node<P>,
     workspace: Option<&str>,
     submission: Submission,
-    terms: BatchPolicy,
+    policy: BatchPolicy,
     chunks: &[Chunk],
-    texts: Vec<(String, Progress)>,
+    outputs: Vec<(String, Progress)>,
 ) -> (Batch, usize) {
-    let mut leftovers = node.batches.leftovers.borrow_mut();
+    let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
     let now = clock::now();
-    leftovers.texts.retain(|_, left| now.since_ms(left.since) < LEFTOVER_KEPT_MS);
-    leftovers.groups.retain(|_, at| now.since_ms(*at) < LEFTOVER_KEPT_MS);
+    reusable_outputs.by_item.retain(|_, left| now.since_ms(left.ended_at) < REUSABLE_OUTPUT_TTL_MS);
+    reusable_outputs.groups.retain(|_, at| now.since_ms(*at) < REUSABLE_OUTPUT_TTL_MS);
     let ids: Vec<String> = submission.items.iter().map(|item| item.id.clone()).collect();
-    let mut batch = Batch::open(submission, terms, |group| leftovers.groups.contains_key(group));
+    let mut batch =
+        Batch::open(submission, policy, |group| reusable_outputs.groups.contains_key(group));
     for chunk in chunks {
         batch.merge(chunk);
     }
     let mut resumed = 0;
-    for (id, progress) in texts {
+    for (id, progress) in outputs {
         resumed += usize::from(batch.resume_from(&id, progress));
     }
     for id in ids {
@@ -369,14 +376,16 @@
             let fits = batch.resume_from(&id, progress);
             node.note(
                 "second_run_taken",
-                json!({ "request": id, "last_event": last_event, "versions": versions, "fits": fits }),
+                json!({
+                    "request": id, "last_event": last_event, "versions": versions, "fits": fits,
+                }),
             );
             if fits {
-                leftovers.take(&id, workspace);
+                reusable_outputs.take(&id, workspace);
                 resumed += 1;
             }
         }
-        if let Some(progress) = leftovers.take(&id, workspace)
+        if let Some(progress) = reusable_outputs.take(&id, workspace)
             && batch.resume_from(&id, progress)
         {
             resumed += 1;
@@ -385,6 +394,6 @@
     (batch, resumed)
 }
 
-pub(super) fn duty_of(model: &str) -> String {
+pub(super) fn model_duty(model: &str) -> String {
     format!("batches/{model}")
 }
