--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -1,4 +1,4 @@
-//! Regression bounds on the policy benchmark: virtual times and counts, the same on any machine.
+//! Regression bounds on the policy benchmark. Its times are virtual, so they are the same on any machine.
 
 use catkinmast_bench::{
     Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, Variant, WEIGHTS,
@@ -12,11 +12,10 @@
     row
 }
 
-/// Symptom: a step waits for a handful of samples on an engine that is slow.
-/// Sequence: one engine of nine runs at a quarter of the usual speed.
-/// Cause: nothing moves its samples to engines that have become idle.
+/// Guards against steps that wait for a few samples on a slow engine: one engine of nine runs at a quarter
+/// of the usual speed, and its samples are not duplicated on engines that have become idle.
 #[test]
-fn duplicating_the_tail_saves_the_step_from_a_slow_engine() {
+fn duplicating_stragglers_shortens_steps_with_a_slow_engine() {
     let without = row(Deployment::Registre, &SLOW_ENGINE, "longest first");
     let with = row(Deployment::Registre, &SLOW_ENGINE, "longest first, tail duplicated (ships)");
     assert!(with.step_ms * 100 <= without.step_ms * 85, "{with:?} against {without:?}");
@@ -24,23 +23,21 @@
     assert!(with.tokens_wasted_percent <= 3.0, "{with:?}");
 }
 
-/// Symptom: both users get the same compromise.
-/// Sequence: the two weights of the brief's users.
-/// Cause: run-ahead that does not follow the operators' weight.
+/// Guards against a run-ahead that ignores the operators' weight, so that different weights give the same
+/// idle time and staleness.
 #[test]
 fn the_weight_trades_idle_time_for_staleness() {
     let fresh = row(Deployment::Cooperative, &WEIGHTS, "0");
     let busy = row(Deployment::Cooperative, &WEIGHTS, "100");
     assert!(busy.idle_percent + 20.0 <= fresh.idle_percent, "{busy:?} against {fresh:?}");
     assert!(fresh.age_mean_versions + 0.8 <= busy.age_mean_versions);
-    assert!(busy.age_max_versions <= 3, "never over the bound");
+    assert!(busy.age_max_versions <= 3, "the staleness bound is never exceeded");
 }
 
-/// Symptom: the loss of one node costs a step's worth of tokens.
-/// Sequence: the owner of the steps dies twice.
-/// Cause: finished samples had no copy elsewhere, running ones no tokens to go on from.
+/// Guards against losing a step's worth of tokens with one node: the owner of the steps crashes twice, and
+/// finished samples have no copy elsewhere or running ones no tokens to resume from.
 #[test]
-fn copies_save_most_tokens_when_the_owner_dies() {
+fn copies_save_most_tokens_when_the_owner_crashes() {
     let run =
         |variant: &Variant| run_variant(Deployment::Cooperative, 1, 1, &OWNER_CRASHES, *variant);
     let rows: Vec<Row> = RECOVERIES.iter().map(run).collect();
@@ -50,7 +47,7 @@
     assert!(wasted[2] * 2.0 <= wasted[1], "and of running ones: {wasted:?}");
 }
 
-/// Symptom: a step takes longer than the baseline after a change of the schedule.
+/// Guards against a change of the scheduling policy that makes steps slower than the baseline.
 #[test]
 fn the_shipped_schedule_is_no_slower_than_round_robin() {
     let baseline = row(Deployment::Registre, &SCHEDULES, "round robin, first come");
--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -31,7 +31,7 @@
 async fn site_of_three(engines: usize, plain: usize) -> Site {
     let site = Site::start(3, engines, plain).await;
     for worker in site.engines.iter().chain(&site.plain) {
-        worker.set_back_after(BACK_AFTER);
+        worker.set_restart_after(BACK_AFTER);
     }
     site
 }
@@ -449,7 +449,7 @@
 async fn the_registry_tells_of_an_end_where_the_address_does_not() {
     let site = Site::start(1, 0, 1).await;
     let node = &site.nodes[0];
-    site.plain[0].set_back_after(BACK_AFTER);
+    site.plain[0].set_restart_after(BACK_AFTER);
     let behind = Proxy::start(site.plain[0].address()).await;
     site.store.change("servers/plain-0", |value| {
         let entry = String::from_utf8_lossy(value);
--- a/tests/all/site/mod.rs
+++ b/tests/all/site/mod.rs
@@ -1,7 +1,8 @@
-//! The programs on the users' platform, as separate processes, with stand-ins of everything else.
+//! End-to-end tests of the programs for the users' platform.
 //!
-//! The stand-ins run in the test's process: the store and the workers that [`store`] and
-//! [`worker`] describe. Waits poll until a condition holds; their limit only guards against a hang.
+//! The programs run as separate processes. Stand-ins for everything else run in the test's process:
+//! the store ([`store`]), the workers ([`worker`]) and the provider of instances ([`provider`]). Waits
+//! poll until a condition holds; their time limit only guards against a hang.
 
 pub(crate) mod harness;
 pub(crate) mod provider;
--- a/tests/all/site/provider.rs
+++ b/tests/all/site/provider.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the provider of instances: it takes reports of usage and orders of targets.
+//! A stand-in for the provider of instances, which accepts usage reports and scaling orders.
 //!
-//! Each node is given a door of its own, so that one node can be cut off. All that the provider takes is
-//! recorded, and [`Provider::check`] tells whether the duty's rules were kept.
+//! Each node gets an endpoint of its own, so that a test can make the provider fail for one node only.
+//! All accepted calls are recorded, and [`Provider::check`] verifies the invariants of the duties.
 
 use super::web::{Answer, Server, answer};
 use futures::FutureExt;
@@ -12,26 +12,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Within this time no two holders may take turns.
+/// Within this time the duty may not go to another holder and back.
 const LEASE: Duration = Duration::from_secs(3);
-/// How long after another holder's last call a holder's first one may come: longer than a call may be on
-/// its way. A holder that gives the duty up is followed sooner than one that dies.
+/// Minimum time between the last call of one holder and the first call of the next: longer than a call can
+/// be in transit. A holder that releases the duty is succeeded sooner than one that crashes.
 const HANDOVER: Duration = Duration::from_millis(1_500);
 
-/// How a door answers.
+/// How an endpoint responds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ProviderMode {
-    /// Refuses with 429.
+    /// Rejects calls with status 429.
     Busy,
-    /// Closes connections without taking anything.
+    /// Closes connections without accepting calls.
     Down,
-    /// Takes calls and does not answer them.
+    /// Accepts calls but does not respond.
     Unresponsive,
-    /// As it should.
+    /// Accepts calls and responds.
     Normal,
 }
 
-/// A call that the provider took.
+/// A call that the provider accepted.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedCall {
     pub(crate) at: Instant,
@@ -43,13 +43,13 @@
 
 #[derive(Default)]
 struct State {
-    doors: Vec<Option<ProviderMode>>,
-    taken: Vec<ReceivedCall>,
-    /// Calls that reached a door, taken or not.
-    tried: BTreeMap<usize, u64>,
+    modes: Vec<Option<ProviderMode>>,
+    accepted: Vec<ReceivedCall>,
+    /// Number of calls that reached an endpoint, accepted or not.
+    attempts: BTreeMap<usize, u64>,
 }
 
-/// The provider.
+/// The provider's stand-in, with the calls it has accepted.
 #[derive(Clone, Default)]
 pub(crate) struct Provider(Arc<Mutex<State>>);
 
@@ -58,12 +58,12 @@
         self.0.lock().expect("no test panics while it holds the provider")
     }
 
-    /// Opens a door; its server closes with the returned handle.
+    /// Opens an endpoint and returns its index; its server closes when the returned handle is dropped.
     pub(crate) async fn open_endpoint(&self) -> (usize, Server) {
         let index = {
             let mut state = self.state();
-            state.doors.push(Some(ProviderMode::Normal));
-            state.doors.len() - 1
+            state.modes.push(Some(ProviderMode::Normal));
+            state.modes.len() - 1
         };
         let provider = self.clone();
         let server = Server::bind(move |request| {
@@ -73,64 +73,78 @@
         (index, server.await)
     }
 
-    /// Changes how a door answers.
-    pub(crate) fn set_mode(&self, index: usize, door: ProviderMode) {
-        self.state().doors[index] = Some(door);
+    /// Changes how an endpoint responds.
+    pub(crate) fn set_mode(&self, index: usize, mode: ProviderMode) {
+        self.state().modes[index] = Some(mode);
     }
 
-    /// Returns the calls taken so far.
+    /// Returns the calls to a path that were accepted so far.
     pub(crate) fn calls(&self, path: &str) -> Vec<ReceivedCall> {
-        self.state().taken.iter().filter(|taken| taken.path == path).cloned().collect()
+        self.state().accepted.iter().filter(|call| call.path == path).cloned().collect()
     }
 
-    /// Returns how many calls reached a door.
+    /// Returns the number of calls that reached an endpoint, accepted or not.
     pub(crate) fn attempts_at(&self, index: usize) -> u64 {
-        self.state().tried.get(&index).copied().unwrap_or(0)
+        self.state().attempts.get(&index).copied().unwrap_or(0)
     }
 
-    /// Returns the counts reported for each window, by workspace.
+    /// Returns the reported counts by workspace, for each window.
     pub(crate) fn usage(&self) -> BTreeMap<u64, Value> {
-        let taken = self.calls("/usage");
-        let report =
-            |taken: &ReceivedCall| Some((taken.body["window"].as_u64()?, taken.body.clone()));
-        taken
+        let calls = self.calls("/usage");
+        let report = |call: &ReceivedCall| Some((call.body["window"].as_u64()?, call.body.clone()));
+        calls
             .iter()
             .filter_map(report)
             .map(|(window, body)| (window, body["counts"].clone()))
             .collect()
     }
 
-    /// Returns how often a workspace was reported in all windows.
+    /// Returns the sum of a workspace's counts over all windows.
     pub(crate) fn reported(&self, workspace: &str) -> u64 {
         self.usage().values().filter_map(|counts| counts[workspace].as_u64()).sum()
     }
 
-    /// Checks that no window was reported in two ways, that fencing numbers only grow with the holder,
-    /// and that no two holders took turns within the time of a lease.
+    /// Checks that no window was reported with different counts, that the fencing number grows with each
+    /// change of holder, and that the duty did not go to another holder and back within [`LEASE`].
     pub(crate) fn check(&self) {
         let mut reports: BTreeMap<u64, Value> = BTreeMap::new();
-        for taken in self.calls("/usage") {
-            let window = taken.body["window"].as_u64().expect("a window");
-            let first = reports.entry(window).or_insert_with(|| taken.body["counts"].clone());
-            assert_eq!(*first, taken.body["counts"], "window {window} was reported in two ways");
+        for call in self.calls("/usage") {
+            let window = call.body["window"].as_u64().expect("a window");
+            let first = reports.entry(window).or_insert_with(|| call.body["counts"].clone());
+            assert_eq!(
+                *first, call.body["counts"],
+                "window {window} was reported with different counts"
+            );
         }
         for path in ["/usage", "/scale"] {
-            let taken = self.calls(path);
-            for pair in taken.windows(2) {
+            let calls = self.calls(path);
+            for pair in calls.windows(2) {
                 let (one, next) = (&pair[0], &pair[1]);
-                assert!(one.fence <= next.fence, "{one:?} before {next:?}");
+                assert!(
+                    one.fence <= next.fence,
+                    "fencing number decreased: {one:?} before {next:?}"
+                );
                 if one.holder != next.holder {
-                    assert!(one.fence < next.fence, "one number for {one:?} and {next:?}");
-                    assert!(next.at - one.at >= HANDOVER, "{one:?} right before {next:?}");
+                    assert!(
+                        one.fence < next.fence,
+                        "same fencing number for two holders: {one:?} and {next:?}"
+                    );
+                    assert!(
+                        next.at - one.at >= HANDOVER,
+                        "holder changed too early: {one:?} before {next:?}"
+                    );
                 }
             }
             let holders: Vec<&[ReceivedCall]> =
-                taken.chunk_by(|one, next| one.holder == next.holder).collect();
-            for turns in holders.windows(3) {
-                let (last, again) = (turns[0].last(), turns[2].first());
+                calls.chunk_by(|one, next| one.holder == next.holder).collect();
+            for three in holders.windows(3) {
+                let (last, again) = (three[0].last(), three[2].first());
                 let (Some(last), Some(again)) = (last, again) else { continue };
-                let took_turns = last.holder == again.holder && again.at - last.at < LEASE;
-                assert!(!took_turns, "{last:?} and {again:?} with another between");
+                let alternated = last.holder == again.holder && again.at - last.at < LEASE;
+                assert!(
+                    !alternated,
+                    "duty went to another holder and back: {last:?} and {again:?}"
+                );
             }
         }
     }
@@ -139,23 +153,23 @@
         let (head, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         let text = |name: &str| Some(head.headers.get(name)?.to_str().ok()?.to_owned());
-        let taken = ReceivedCall {
+        let call = ReceivedCall {
             at: Instant::now(),
             body: serde_json::from_slice(&body).ok()?,
             fence: text("x-catkinmast-fence-token")?.parse().ok()?,
             holder: text("x-catkinmast-duty-holder")?,
             path: head.uri.path().to_owned(),
         };
-        let door = {
+        let mode = {
             let mut state = self.state();
-            *state.tried.entry(index).or_default() += 1;
-            let door = state.doors[index].unwrap_or(ProviderMode::Normal);
-            if matches!(door, ProviderMode::Normal | ProviderMode::Unresponsive) {
-                state.taken.push(taken);
+            *state.attempts.entry(index).or_default() += 1;
+            let mode = state.modes[index].unwrap_or(ProviderMode::Normal);
+            if matches!(mode, ProviderMode::Normal | ProviderMode::Unresponsive) {
+                state.accepted.push(call);
             }
-            door
+            mode
         };
-        match door {
+        match mode {
             ProviderMode::Busy => Some(answer(429, "")),
             ProviderMode::Down => None,
             ProviderMode::Unresponsive => std::future::pending().await,
--- a/tests/all/site/proxy.rs
+++ b/tests/all/site/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, resets, cuts one way or silences the connections through it.
+//! A loopback TCP proxy that delays or resets connections, or blocks one or both directions.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -6,20 +6,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the proxy does to bytes.
+/// What the proxy does with the bytes it receives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Link {
-    /// Holds each piece back.
+    /// Forwards each chunk after a delay.
     Delays(Duration),
-    /// Passes on.
+    /// Forwards at once.
     Open,
-    /// Closes connections as soon as something comes.
+    /// Closes a connection as soon as bytes arrive.
     Resets,
-    /// Passes nothing on, in the way to the target or in the way back.
+    /// Forwards nothing in the given directions: from the target (`answers`) or to it (`requests`).
     Silent { answers: bool, requests: bool },
 }
 
-/// A proxy; its tasks end with the test's runtime.
+/// A running proxy; its tasks end with the test's runtime.
 #[derive(Clone)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
@@ -27,7 +27,7 @@
 }
 
 impl Proxy {
-    /// Starts a proxy before `target`.
+    /// Starts a proxy that connects to `target`.
     pub(crate) async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
@@ -38,20 +38,20 @@
                 let Ok(target) = TcpStream::connect(target).await else { continue };
                 let (from_caller, to_caller) = caller.into_split();
                 let (from_target, to_target) = target.into_split();
-                tokio::spawn(pass(from_caller, to_target, Arc::clone(&shared), false));
-                tokio::spawn(pass(from_target, to_caller, Arc::clone(&shared), true));
+                tokio::spawn(forward(from_caller, to_target, Arc::clone(&shared), false));
+                tokio::spawn(forward(from_target, to_caller, Arc::clone(&shared), true));
             }
         });
         Self { address, link }
     }
 
-    /// Changes what the proxy does.
+    /// Changes what the proxy does, also on open connections.
     pub(crate) fn set(&self, link: Link) {
         *self.link.lock().expect("no test panics while it holds a link") = link;
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
     link: Arc<Mutex<Link>>,
@@ -66,7 +66,7 @@
             Link::Resets => return,
             Link::Silent { answers, requests } => {
                 if if is_answer { answers } else { requests } {
-                    // Bytes that a silent link swallows are lost, and so is the connection.
+                    // Bytes read from a silent link are lost, so the connection cannot be used again.
                     std::future::pending::<()>().await;
                 }
             }
--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -68,7 +68,7 @@
         observed.stopped.set(true);
     };
     for worker in &site.plain {
-        worker.set_back_after(BACK_AFTER);
+        worker.set_restart_after(BACK_AFTER);
     }
     let lines = futures::future::join4(
         trainer(&site, &observed, "a"),
--- a/tests/all/site/web.rs
+++ b/tests/all/site/web.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose connections can be cut.
+//! A small HTTP server for stand-ins, whose connections can be closed by the test.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
@@ -13,18 +13,18 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The body of a stand-in's answer.
+/// The body of a stand-in's response.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
-/// A stand-in's answer; none closes the connection without one.
+/// A stand-in's response; `None` closes the connection without one.
 pub(crate) type Answer = Option<http::Response<AnswerBody>>;
 
-/// Makes an answer with a whole body.
+/// Builds a response with a fixed body.
 pub(crate) fn answer(status: u16, body: impl Into<Bytes>) -> http::Response<AnswerBody> {
     let body = Full::new(body.into()).map_err(|never: Infallible| match never {}).boxed_unsync();
     http::Response::builder().status(status).body(body).expect("a plain answer")
 }
 
-/// A listener; dropping it closes it and all its connections.
+/// A listening server. Dropping it closes the listener and all its connections.
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
     cut: watch::Sender<u64>,
@@ -39,7 +39,7 @@
 }
 
 impl Server {
-    /// Serves at a free port of the loopback address.
+    /// Starts a server on a free loopback port.
     pub(crate) async fn bind<H>(handle: H) -> Self
     where
         H: Fn(http::Request<Incoming>) -> BoxFuture<'static, Answer> + Send + Sync + 'static,
@@ -47,7 +47,7 @@
         Self::bind_at(SocketAddr::from(([127, 0, 0, 1], 0)), handle).await
     }
 
-    /// Serves at an address.
+    /// Starts a server on an address.
     pub(crate) async fn bind_at<H>(address: SocketAddr, handle: H) -> Self
     where
         H: Fn(http::Request<Incoming>) -> BoxFuture<'static, Answer> + Send + Sync + 'static,
@@ -77,7 +77,7 @@
         Self { address, cut, task }
     }
 
-    /// Closes all connections.
+    /// Closes all open connections.
     pub(crate) fn cut_connections(&self) {
         self.cut.send_modify(|count| *count += 1);
     }
--- a/tests/all/site/worker.rs
+++ b/tests/all/site/worker.rs
@@ -1,7 +1,7 @@
-//! A stand-in of a worker: a plain service's or a model engine.
+//! A stand-in for a worker, i.e. a target that is a plain service or a model engine.
 //!
-//! An engine answers an item with as many events as the first byte of its body says. All that it
-//! runs is recorded, so that a test can tell what ran, how often and from where.
+//! An engine streams as many events for an item as the first byte of the request's body says. All runs
+//! are recorded, so that a test can check what ran, how often, and from which event it resumed.
 
 use super::store::Store;
 use super::web::{Answer, AnswerBody, Server, answer};
@@ -16,30 +16,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A request whose body begins so ends each worker that begins to run it.
+/// A request whose body starts with this text crashes each worker that starts to run it.
 pub(crate) const CRASHING_BODY: &str = "crash";
-/// The same for streams: the answer begins at once, and the worker ends more than a second later, before
-/// any event, as if the request had waited there.
+/// A stream whose body starts with this text crashes the worker after [`LATE_CRASH_DELAY`]: the response begins at
+/// once but has no event before the crash, as if the request had been queued at the worker.
 pub(crate) const CRASHING_LATE_BODY: &str = "late crash";
-/// How much later.
-const LATE: Duration = Duration::from_millis(1_200);
+/// Delay of a late crash.
+const LATE_CRASH_DELAY: Duration = Duration::from_millis(1_200);
 
-/// How a worker behaves.
+/// How a worker responds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Behaviour {
-    /// Refuses everything for load.
+    /// Rejects all requests because of overload.
     Full,
-    /// Answers without its signature.
+    /// Responds without the header that identifies the worker.
     OmitsStamp,
-    /// Runs requests and closes the connection without an answer.
+    /// Runs requests and closes the connection without a response.
     LosesAnswers,
-    /// Takes orders without an answer and carries them out later.
+    /// Accepts one order without a response and carries it out later.
     CarriesOutOrdersLate,
-    /// As it should.
+    /// Responds as specified.
     Normal,
-    /// Answers with the id of another request.
+    /// Responds with the id of another request.
     WrongId,
-    /// Falls silent after so many events of each stream.
+    /// Stops sending after this many events of each stream, with the connection open.
     SilentAfter(u64),
 }
 
@@ -48,15 +48,15 @@
 pub(crate) struct Run {
     pub(crate) after: u64,
     pub(crate) at: Instant,
-    /// Whether the request carried a caller's key.
+    /// Whether the request had an `Authorization` header, i.e. a caller's key.
     pub(crate) has_key: bool,
     pub(crate) request: String,
     pub(crate) worker: String,
-    /// The workspaces that it was said to be from, one a header.
+    /// The values of the request's workspace headers.
     pub(crate) workspaces: Vec<String>,
 }
 
-/// What all workers of a test have run.
+/// The runs of all workers of a test.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Runs(Arc<Mutex<Vec<Run>>>);
 
@@ -78,69 +78,69 @@
 
 struct State {
     abandoned: u64,
-    /// How long after a crash the worker starts again, under another id.
-    back_after: Duration,
-    /// When its life began, in milliseconds; none where it does not tell.
-    born: Option<u64>,
+    /// How long after a crash by a request the worker restarts, under another id.
+    restart_after: Duration,
+    /// The start time it reports, in milliseconds; `None` if it does not report one.
+    started_at_ms: Option<u64>,
     busy_until: Option<Instant>,
-    conduct: Behaviour,
+    behaviour: Behaviour,
     crashes: u64,
     event_ms: u64,
     load_ms: u64,
     orders: u64,
     orders_seen: Vec<Value>,
-    /// Where it listens; none while it is down.
+    /// The listening server; `None` while the worker is down.
     server: Option<Server>,
     versions: BTreeMap<String, u64>,
     work_ms: u64,
 }
 
-/// A worker.
+/// A worker, across its restarts.
 pub(crate) struct Worker {
     pub(crate) id: String,
-    home: Home,
+    context: SharedContext,
     sequence: u64,
     state: Arc<Mutex<State>>,
 }
 
-/// What a worker's lives share.
+/// What all incarnations of a worker share.
 #[derive(Clone)]
-struct Home {
+struct SharedContext {
     runs: Runs,
     service: String,
     store: Store,
 }
 
-/// Counts a run that its caller has left.
-struct Abandon {
+/// Counts a run as abandoned if it is dropped before it is complete, i.e. if its caller disconnected.
+struct AbandonGuard {
     state: Arc<Mutex<State>>,
-    whole: bool,
+    complete: bool,
 }
 
-impl Abandon {
-    const fn whole(&mut self) {
-        self.whole = true;
+impl AbandonGuard {
+    const fn complete(&mut self) {
+        self.complete = true;
     }
 }
 
-impl Drop for Abandon {
+impl Drop for AbandonGuard {
     fn drop(&mut self) {
-        if !self.whole {
+        if !self.complete {
             self.state.lock().expect("no test panics while it holds a worker").abandoned += 1;
         }
     }
 }
 
 impl Worker {
-    /// Starts a worker and registers it.
+    /// Starts a worker and registers it in the store.
     pub(crate) async fn start(store: &Store, runs: &Runs, service: &str, id: &str) -> Self {
         let versions = BTreeMap::from([("model-a".to_owned(), 1), ("model-b".to_owned(), 1)]);
         let state = Arc::new(Mutex::new(State {
             abandoned: 0,
-            back_after: Duration::from_secs(3),
-            born: None,
+            restart_after: Duration::from_secs(3),
+            started_at_ms: None,
             busy_until: None,
-            conduct: Behaviour::Normal,
+            behaviour: Behaviour::Normal,
             crashes: 0,
             event_ms: 10,
             load_ms: 200,
@@ -150,50 +150,51 @@
             versions,
             work_ms: 5,
         }));
-        let home = Home { runs: runs.clone(), service: service.to_owned(), store: store.clone() };
-        listen(&state, &home, id, ANY_PORT).await;
-        let mut worker = Self { id: id.to_owned(), home, sequence: 0, state };
+        let context =
+            SharedContext { runs: runs.clone(), service: service.to_owned(), store: store.clone() };
+        listen(&state, &context, id, ANY_PORT).await;
+        let mut worker = Self { id: id.to_owned(), context, sequence: 0, state };
         worker.register("ready");
         worker
     }
 
-    /// Writes the worker's entry.
+    /// Writes the worker's registry entry with this state, unless the worker is down.
     pub(crate) fn register(&mut self, state: &str) {
         if self.lock().server.is_none() {
             return;
         }
         self.sequence += 1;
-        register(&self.lock(), &self.home, &self.id, state, self.sequence);
+        register(&self.lock(), &self.context, &self.id, state, self.sequence);
     }
 
-    /// Lets the worker tell when its life began.
-    pub(crate) fn report_start_time(&mut self, born: u64) {
-        self.lock().born = Some(born);
+    /// Makes the worker report a start time.
+    pub(crate) fn report_start_time(&mut self, started_at_ms: u64) {
+        self.lock().started_at_ms = Some(started_at_ms);
         self.register("ready");
     }
 
-    fn begin_life(&self, born: u64) {
+    fn reset_state(&self, started_at_ms: u64) {
         let mut state = self.lock();
-        state.born = Some(born);
+        state.started_at_ms = Some(started_at_ms);
         state.busy_until = None;
         state.orders = 0;
     }
 
-    /// Starts the worker again under its id, at another address; it knows nothing of before.
-    pub(crate) async fn restart_under_same_id(&mut self, born: u64) {
+    /// Restarts the worker under its id, at another address and without its earlier state.
+    pub(crate) async fn restart_under_same_id(&mut self, started_at_ms: u64) {
         self.crash();
-        self.begin_life(born);
+        self.reset_state(started_at_ms);
         self.sequence = 0;
-        listen(&self.state, &self.home, &self.id, ANY_PORT).await;
+        listen(&self.state, &self.context, &self.id, ANY_PORT).await;
         self.register("ready");
     }
 
-    /// Removes the worker's entry; it serves on.
+    /// Removes the worker's registry entry; the worker continues to serve.
     pub(crate) fn deregister(&self) {
-        self.home.store.remove(&format!("servers/{}", self.id));
+        self.context.store.remove(&format!("servers/{}", self.id));
     }
 
-    /// Writes an entry as an older heartbeat had it.
+    /// Writes a registry entry with an older sequence number, like a heartbeat that arrives late.
     pub(crate) fn register_with_old_sequence(&mut self) {
         self.sequence -= 1;
         self.register("ready");
@@ -203,86 +204,86 @@
         self.state.lock().expect("no test panics while it holds a worker")
     }
 
-    /// Changes how the worker behaves.
-    pub(crate) fn set_behaviour(&self, conduct: Behaviour) {
-        self.lock().conduct = conduct;
+    /// Changes how the worker responds.
+    pub(crate) fn set_behaviour(&self, behaviour: Behaviour) {
+        self.lock().behaviour = behaviour;
     }
 
-    /// Changes how the worker behaves, for a while.
-    pub(crate) fn set_behaviour_for(&self, conduct: Behaviour, lasts: Duration) {
-        self.set_behaviour(conduct);
+    /// Changes how the worker responds, and restores the normal behaviour after `duration`.
+    pub(crate) fn set_behaviour_for(&self, behaviour: Behaviour, duration: Duration) {
+        self.set_behaviour(behaviour);
         let state = Arc::clone(&self.state);
         tokio::spawn(async move {
-            tokio::time::sleep(lasts).await;
-            state.lock().expect("no test panics while it holds a worker").conduct =
+            tokio::time::sleep(duration).await;
+            state.lock().expect("no test panics while it holds a worker").behaviour =
                 Behaviour::Normal;
         });
     }
 
-    /// Changes the time between events, and that of a plain request.
+    /// Sets the time between events of a stream, and the duration of a plain request.
     pub(crate) fn set_pace(&self, event_ms: u64, work_ms: u64) {
         let mut state = self.lock();
         state.event_ms = event_ms;
         state.work_ms = work_ms;
     }
 
-    /// Returns the version that the worker has of a model.
+    /// Returns the weight version that the worker has of a model.
     pub(crate) fn version(&self, model: &str) -> u64 {
-        settle(&mut self.lock());
+        finish_due_order(&mut self.lock());
         self.lock().versions.get(model).copied().unwrap_or(0)
     }
 
-    /// Returns all orders that reached the worker.
+    /// Returns all orders that the worker has accepted.
     pub(crate) fn orders_seen(&self) -> Vec<Value> {
         self.lock().orders_seen.clone()
     }
 
-    /// Returns how many runs were left by their caller.
+    /// Returns how many runs were abandoned by their caller.
     pub(crate) fn abandoned(&self) -> u64 {
         self.lock().abandoned
     }
 
-    /// Returns how often a request has ended the worker.
+    /// Returns how often a request has crashed the worker.
     pub(crate) fn crashes(&self) -> u64 {
         self.lock().crashes
     }
 
-    /// Sets how long after such an end the worker is back.
-    pub(crate) fn set_back_after(&self, back_after: Duration) {
-        self.lock().back_after = back_after;
+    /// Sets how long after a crash by a request the worker restarts.
+    pub(crate) fn set_restart_after(&self, restart_after: Duration) {
+        self.lock().restart_after = restart_after;
     }
 
-    /// Returns where the worker listens.
+    /// Returns the address on which the worker listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.lock().server.as_ref().expect("it is up").address
     }
 
-    /// Ends the worker without a word.
+    /// Stops the worker without deregistering it.
     pub(crate) fn crash(&self) {
         let server = self.lock().server.take();
         drop(server);
     }
 
-    /// Returns what this worker ran.
+    /// Returns the runs of this worker.
     pub(crate) fn ran(&self) -> Vec<Run> {
-        self.home.runs.all().into_iter().filter(|run| run.worker == self.id).collect()
+        self.context.runs.all().into_iter().filter(|run| run.worker == self.id).collect()
     }
 }
 
 /// A free port of the loopback address.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-async fn listen(state: &Arc<Mutex<State>>, home: &Home, id: &str, address: SocketAddr) {
-    let (shared, home, name) = (Arc::clone(state), home.clone(), id.to_owned());
+async fn listen(state: &Arc<Mutex<State>>, context: &SharedContext, id: &str, address: SocketAddr) {
+    let (shared, context, name) = (Arc::clone(state), context.clone(), id.to_owned());
     let server = Server::bind_at(address, move |request| {
-        let (state, home, id) = (Arc::clone(&shared), home.clone(), name.clone());
-        async move { serve(&state, &home, &id, request).await }.boxed()
+        let (state, context, id) = (Arc::clone(&shared), context.clone(), name.clone());
+        async move { serve(&state, &context, &id, request).await }.boxed()
     })
     .await;
     state.lock().expect("no test panics while it holds a worker").server = Some(server);
 }
 
-fn register(state: &State, home: &Home, id: &str, status: &str, sequence: u64) {
+fn register(state: &State, context: &SharedContext, id: &str, status: &str, sequence: u64) {
     let Some(server) = &state.server else { return };
     let models: Vec<Value> = state
         .versions
@@ -290,34 +291,35 @@
         .map(|(name, version)| json!({ "name": name, "version": version, "adapters": [] }))
         .collect();
     let mut entry = json!({
-        "service": home.service, "address": server.address, "zone": "zone-a", "version": "v1",
+        "service": context.service, "address": server.address, "zone": "zone-a", "version": "v1",
         "slots": 4, "state": status, "coldLeftMs": 0, "models": models, "seq": sequence,
     });
-    if let Some(born) = state.born {
-        entry["born"] = json!(born);
+    if let Some(started_at_ms) = state.started_at_ms {
+        entry["born"] = json!(started_at_ms);
     }
-    home.store.put(&format!("servers/{id}"), &entry);
+    context.store.put(&format!("servers/{id}"), &entry);
 }
 
-/// Ends a worker with all its connections; it is back at its address after a while, under another id.
-fn end_by_request(state: &Arc<Mutex<State>>, home: &Home, id: &str) {
-    let (server, back_after, crashes) = {
+/// Crashes a worker with all its connections. It restarts at the same address after a while, under another
+/// id.
+fn crash_by_request(state: &Arc<Mutex<State>>, context: &SharedContext, id: &str) {
+    let (server, restart_after, crashes) = {
         let mut state = state.lock().expect("no test panics while it holds a worker");
         let Some(server) = state.server.take() else { return };
         state.crashes += 1;
-        (server, state.back_after, state.crashes)
+        (server, state.restart_after, state.crashes)
     };
     let address = server.address;
-    let (state, home, old) = (Arc::clone(state), home.clone(), id.to_owned());
+    let (state, context, old) = (Arc::clone(state), context.clone(), id.to_owned());
     let first = old.split('+').next().unwrap_or_default();
     let new = format!("{first}+{crashes}");
     tokio::spawn(async move {
-        tokio::time::sleep(back_after).await;
-        home.store.remove(&format!("servers/{old}"));
-        listen(&state, &home, &new, address).await;
+        tokio::time::sleep(restart_after).await;
+        context.store.remove(&format!("servers/{old}"));
+        listen(&state, &context, &new, address).await;
         register(
             &state.lock().expect("no test panics while it holds a worker"),
-            &home,
+            &context,
             &new,
             "ready",
             1,
@@ -326,7 +328,7 @@
     drop(server);
 }
 
-fn settle(state: &mut State) {
+fn finish_due_order(state: &mut State) {
     if state.busy_until.is_some_and(|until| until <= Instant::now()) {
         state.busy_until = None;
         if let Some(order) = state.orders_seen.last().cloned() {
@@ -340,24 +342,24 @@
     state.versions.insert(model, order["version"].as_u64().unwrap_or(0));
 }
 
-fn text(head: &http::request::Parts, name: &str) -> Option<String> {
+fn header_text(head: &http::request::Parts, name: &str) -> Option<String> {
     Some(head.headers.get(name)?.to_str().ok()?.to_owned())
 }
 
-fn texts(head: &http::request::Parts, name: &str) -> Vec<String> {
+fn header_texts(head: &http::request::Parts, name: &str) -> Vec<String> {
     let values = head.headers.get_all(name).into_iter();
     values.map(|value| String::from_utf8_lossy(value.as_bytes()).into_owned()).collect()
 }
 
 async fn serve(
     state: &Arc<Mutex<State>>,
-    home: &Home,
+    context: &SharedContext,
     id: &str,
     request: http::Request<Incoming>,
 ) -> Answer {
     let (head, body) = request.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
-    if text(&head, "x-catkinmast-expect-instance").is_some_and(|expected| expected != id) {
+    if header_text(&head, "x-catkinmast-expect-instance").is_some_and(|expected| expected != id) {
         return Some(answer(421, ""));
     }
     match head.uri.path() {
@@ -365,47 +367,47 @@
         "/-/order" => return order(state, &body),
         _ => {}
     }
-    let request = text(&head, "x-catkinmast-request-id").unwrap_or_default();
-    let (conduct, busy, work_ms, event_ms) = {
+    let request = header_text(&head, "x-catkinmast-request-id").unwrap_or_default();
+    let (behaviour, busy, work_ms, event_ms) = {
         let mut state = state.lock().expect("no test panics while it holds a worker");
-        settle(&mut state);
-        (state.conduct, state.busy_until.is_some(), state.work_ms, state.event_ms)
+        finish_due_order(&mut state);
+        (state.behaviour, state.busy_until.is_some(), state.work_ms, state.event_ms)
     };
     let streams = head.headers.contains_key("x-catkinmast-model");
-    if conduct == Behaviour::Full || (busy && streams) {
+    if behaviour == Behaviour::Full || (busy && streams) {
         let mut refusal = answer(503, "");
         refusal.headers_mut().insert("x-catkinmast-not-run", "1".parse().ok()?);
         return Some(refusal);
     }
-    let after = text(&head, "last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
+    let after = header_text(&head, "last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
     let run = Run {
         after,
         at: Instant::now(),
         has_key: head.headers.contains_key("authorization"),
         request: request.clone(),
         worker: id.to_owned(),
-        workspaces: texts(&head, "x-catkinmast-tenant"),
+        workspaces: header_texts(&head, "x-catkinmast-tenant"),
     };
-    home.runs.push(run);
+    context.runs.push(run);
     if body.starts_with(CRASHING_BODY.as_bytes()) {
         tokio::time::sleep(Duration::from_millis(work_ms)).await;
-        end_by_request(state, home, id);
+        crash_by_request(state, context, id);
         return None;
     }
-    if conduct == Behaviour::LosesAnswers {
+    if behaviour == Behaviour::LosesAnswers {
         return None;
     }
-    let mut abandon = Abandon { state: Arc::clone(state), whole: false };
+    let mut guard = AbandonGuard { state: Arc::clone(state), complete: false };
     let mut response = if body.starts_with(CRASHING_LATE_BODY.as_bytes()) {
-        http::Response::new(body_that_ends_the_worker(state, home, id))
+        http::Response::new(crashing_body(state, context, id))
     } else if streams {
-        let model = text(&head, "x-catkinmast-model").unwrap_or_default();
+        let model = header_text(&head, "x-catkinmast-model").unwrap_or_default();
         let version = {
             let state = state.lock().expect("no test panics while it holds a worker");
             state.versions.get(&model).copied().unwrap_or(0)
         };
         let events = body.first().copied().map_or(3, u64::from);
-        let body = event_body(&request, after, events, event_ms, conduct, abandon);
+        let body = event_stream(&request, after, events, event_ms, behaviour, guard);
         let mut response = http::Response::new(body);
         response.headers_mut().insert("content-type", "text/event-stream".parse().ok()?);
         response
@@ -414,43 +416,44 @@
         response
     } else {
         tokio::time::sleep(Duration::from_millis(work_ms)).await;
-        abandon.whole();
+        guard.complete();
         answer(200, format!("{request} by {id}"))
     };
-    let echoed = if conduct == Behaviour::WrongId { "another".to_owned() } else { request.clone() };
+    let echoed =
+        if behaviour == Behaviour::WrongId { "another".to_owned() } else { request.clone() };
     response.headers_mut().insert("x-catkinmast-request-id", echoed.parse().ok()?);
-    if conduct != Behaviour::OmitsStamp {
+    if behaviour != Behaviour::OmitsStamp {
         let stamp = format!("stamp.{id}.{request}");
         response.headers_mut().insert("x-catkinmast-server-stamp", stamp.parse().ok()?);
     }
     Some(response)
 }
 
-fn body_that_ends_the_worker(state: &Arc<Mutex<State>>, home: &Home, id: &str) -> AnswerBody {
-    let (state, home, id) = (Arc::clone(state), home.clone(), id.to_owned());
+fn crashing_body(state: &Arc<Mutex<State>>, context: &SharedContext, id: &str) -> AnswerBody {
+    let (state, context, id) = (Arc::clone(state), context.clone(), id.to_owned());
     let frames = stream::once(async move {
-        tokio::time::sleep(LATE).await;
-        end_by_request(&state, &home, &id);
+        tokio::time::sleep(LATE_CRASH_DELAY).await;
+        crash_by_request(&state, &context, &id);
         std::future::pending::<Result<Frame<Bytes>, std::io::Error>>().await
     });
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-fn event_body(
+fn event_stream(
     request: &str,
     after: u64,
     events: u64,
     event_ms: u64,
-    conduct: Behaviour,
-    abandon: Abandon,
+    behaviour: Behaviour,
+    guard: AbandonGuard,
 ) -> AnswerBody {
     let request = request.to_owned();
-    let silent_after = if let Behaviour::SilentAfter(count) = conduct { count } else { u64::MAX };
-    let frames = stream::unfold((after + 1, abandon), move |(number, mut abandon)| {
+    let silent_after = if let Behaviour::SilentAfter(count) = behaviour { count } else { u64::MAX };
+    let frames = stream::unfold((after + 1, guard), move |(number, mut guard)| {
         let request = request.clone();
         async move {
             if number > events {
-                abandon.whole();
+                guard.complete();
                 return None;
             }
             if number > after.saturating_add(silent_after) {
@@ -459,7 +462,7 @@
             tokio::time::sleep(Duration::from_millis(event_ms)).await;
             let event = format!("id: {number}\ndata: {request}-{number}\n\n");
             let frame = Ok::<_, std::io::Error>(Frame::data(Bytes::from(event)));
-            Some((frame, (number + 1, abandon)))
+            Some((frame, (number + 1, guard)))
         }
     });
     BodyExt::boxed_unsync(StreamBody::new(frames))
@@ -467,7 +470,7 @@
 
 fn report(state: &Arc<Mutex<State>>) -> http::Response<AnswerBody> {
     let mut state = state.lock().expect("no test panics while it holds a worker");
-    settle(&mut state);
+    finish_due_order(&mut state);
     let models: Vec<Value> = state
         .versions
         .iter()
@@ -476,35 +479,35 @@
     let busy = state.busy_until.is_some();
     let mut body =
         json!({ "stage": "hybrid", "models": models, "busy": busy, "seq": state.orders });
-    if let Some(born) = state.born {
-        body["born"] = json!(born);
+    if let Some(started_at_ms) = state.started_at_ms {
+        body["born"] = json!(started_at_ms);
     }
     answer(200, body.to_string())
 }
 
 fn order(state: &Arc<Mutex<State>>, body: &[u8]) -> Answer {
     let order: Value = serde_json::from_slice(body).ok()?;
-    let mut held = state.lock().expect("no test panics while it holds a worker");
-    settle(&mut held);
-    if held.busy_until.is_some() || order["expected"].as_u64() != Some(held.orders) {
+    let mut worker = state.lock().expect("no test panics while it holds a worker");
+    finish_due_order(&mut worker);
+    if worker.busy_until.is_some() || order["expected"].as_u64() != Some(worker.orders) {
         return Some(answer(409, ""));
     }
-    if held.conduct == Behaviour::CarriesOutOrdersLate {
-        held.conduct = Behaviour::Normal;
+    if worker.behaviour == Behaviour::CarriesOutOrdersLate {
+        worker.behaviour = Behaviour::Normal;
         let state = Arc::clone(state);
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(2_500)).await;
-            let mut held = state.lock().expect("no test panics while it holds a worker");
-            if order["expected"].as_u64() == Some(held.orders) {
-                held.orders += 1;
-                held.orders_seen.push(order.clone());
-                apply(&mut held, &order);
+            let mut worker = state.lock().expect("no test panics while it holds a worker");
+            if order["expected"].as_u64() == Some(worker.orders) {
+                worker.orders += 1;
+                worker.orders_seen.push(order.clone());
+                apply(&mut worker, &order);
             }
         });
         return None;
     }
-    held.orders += 1;
-    held.orders_seen.push(order);
-    held.busy_until = Some(Instant::now() + Duration::from_millis(held.load_ms));
+    worker.orders += 1;
+    worker.orders_seen.push(order);
+    worker.busy_until = Some(Instant::now() + Duration::from_millis(worker.load_ms));
     Some(answer(202, ""))
 }
