--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,20 +1,20 @@
 //! Leases with fencing numbers, for work that only one node may do at a time.
 //!
 //! A *duty* is a job that one node does for all nodes under a lease, e.g. the steps of a trainer.
-//! [`LeaseClaim`] is the state machine of one node's claim on one duty. It decides when to request the
-//! lease, when to renew it and when to stop acting on it. The caller performs the calls to the
+//! [`LeaseClaim`] is the state machine of one node's claim on one duty. It decides when to request
+//! the lease, when to renew it and when to stop acting on it. The caller performs the calls to the
 //! key-value service and reports their results.
 //!
 //! Three failures are guarded against:
 //!
 //! - *The holder is paused beyond its lease* and would go on acting beside the new holder. So the
 //!   holder measures the lease by its own clock from **before** the renewal was sent and stops
-//!   [`MARGIN_MS`] before the service would expire it. Callers check [`LeaseClaim::fence`] right before
-//!   each action, not once at the start.
-//! - *A reply is lost*, and the holder cannot know whether it holds the lease. If the reply to a request
-//!   for the lease is lost, it reads the key and looks for its own incarnation in it.
-//! - *A new holder starts while an order of the old one is in transit* to a target that does not check
-//!   fencing numbers. So the new holder's orders wait for [`ORDER_FLIGHT_MS`].
+//!   [`MARGIN_MS`] before the service would expire it. Callers check [`LeaseClaim::fence`] right
+//!   before each action, not once at the start.
+//! - *A reply is lost*, and the holder cannot know whether it holds the lease. If the reply to a
+//!   request for the lease is lost, it reads the key and looks for its own incarnation in it.
+//! - *A new holder starts while an order of the old one is in transit* to a target that does not
+//!   check fencing numbers. So the new holder's orders wait for [`ORDER_FLIGHT_MS`].
 //!
 //! The fencing number is the key's version in the key-value service, which only grows.
 
@@ -98,8 +98,8 @@
     Renewed,
     /// The key was created, with this fencing number.
     Taken(Fence),
-    /// The key was taken over from an earlier incarnation of this node: no order of another holder can
-    /// be in transit, so orders need not wait.
+    /// The key was taken over from an earlier incarnation of this node: no order of another holder
+    /// can be in transit, so orders need not wait.
     TakenFromSelf(Fence),
     /// The reply was lost, or the service does not respond.
     Unknown,
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Advances the claim to `now`, and returns the action to perform and the change of state, if any.
-    /// `wanted` tells whether this node should hold the lease.
+    /// Advances the claim to `now`, and returns the action to perform and the change of state, if
+    /// any. `wanted` tells whether this node should hold the lease.
     pub fn tick(&mut self, now: UnixMs, wanted: bool) -> (Option<Action>, Option<Change>) {
         let lapsed = self.check_lapse(now);
         if lapsed.is_some() || self.in_flight.is_some() {
@@ -213,8 +213,8 @@
             }
             Report::Renewed => self.renewed(sent),
             Report::Refused => self.lose(),
-            // A renewal whose reply was lost may have succeeded; the next one shows it. If the reply
-            // to `Take` was lost, the next tick reads the key.
+            // A renewal whose reply was lost may have succeeded; the next one shows it. If the
+            // reply to `Take` was lost, the next tick reads the key.
             Report::Unknown => None,
             Report::Read(found) => self.read(now, found.as_ref()),
         }
@@ -255,7 +255,8 @@
         }
     }
 
-    /// Gives the lease up when it expires by this node's own clock, even if the service is unreachable.
+    /// Gives the lease up when it expires by this node's own clock, even if the service is
+    /// unreachable.
     fn check_lapse(&mut self, now: UnixMs) -> Option<Change> {
         match self.phase {
             Phase::Held { safe_until, .. } if now >= safe_until => self.lose(),
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Incarnations kept for one request: more than a decision needs, because refuted ones take up space too.
+/// Incarnations kept for one request: more than a decision needs, because refuted ones take up
+/// space too.
 const INCARNATIONS_MAX: usize = 16;
 
 /// The end of a target incarnation while the request was in flight.
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Length of a fingerprint: long enough that no two requests collide by chance, and that no caller can
-/// construct a request which collides with another's.
+/// Length of a fingerprint: long enough that no two requests collide by chance, and that no caller
+/// can construct a request which collides with another's.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// A digest of a request's content. It does not depend on the request's id, its deadline or the node
-/// that received it.
+/// A digest of a request's content. It does not depend on the request's id, its deadline or the
+/// node that received it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
--- a/crates/quarantine/src/interrupted.rs
+++ b/crates/quarantine/src/interrupted.rs
@@ -3,8 +3,8 @@
 use crate::{Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
 
-/// How long a request waits for its target's outcome: the registry drops a dead target's entry after
-/// three missed heartbeats, about four seconds.
+/// How long a request waits for its target's outcome: the registry drops a dead target's entry
+/// after three missed heartbeats, about four seconds.
 const OUTCOME_WAIT_MS: u64 = 6_000;
 /// Limit on waiting requests: all that a small node has in flight at once. Requests beyond it are
 /// ignored, since a request that crashes targets is interrupted again.
@@ -53,8 +53,9 @@
 pub struct InterruptedRequests(Vec<Interrupted>);
 
 impl InterruptedRequests {
-    /// Records a request whose connection broke. Returns whether it is the first one at this incarnation
-    /// of its target, in which case the caller should check whether the target is still up.
+    /// Records a request whose connection broke. Returns whether it is the first one at this
+    /// incarnation of its target, in which case the caller should check whether the target is still
+    /// up.
     pub fn record(
         &mut self,
         now: UnixMs,
@@ -70,9 +71,9 @@
         is_first
     }
 
-    /// Applies an update about a target. Removes the requests that were in flight at incarnations which
-    /// have ended, and returns them with those incarnations. Requests that have waited too long are
-    /// not returned: their connection broke for another reason.
+    /// Applies an update about a target. Removes the requests that were in flight at incarnations
+    /// which have ended, and returns them with those incarnations. Requests that have waited too
+    /// long are not returned: their connection broke for another reason.
     pub fn resolve(
         &mut self,
         now: UnixMs,
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,11 +1,12 @@
 //! Quarantine of requests that crash the targets which run them.
 //!
-//! - [`Fingerprint`]: a digest of a request's content, the same under any request id and at any node.
+//! - [`Fingerprint`]: a digest of a request's content, the same under any request id and at any
+//!   node.
 //! - [`TargetIncarnation`]: one run of a target's process, so that each crash counts once.
 //! - [`InterruptedRequests`]: requests whose connection broke, until it is known whether the target
 //!   ended.
-//! - [`Evidence`]: the target incarnations that ended while a request was in flight, merged from the
-//!   observations of all nodes.
+//! - [`Evidence`]: the target incarnations that ended while a request was in flight, merged from
+//!   the observations of all nodes.
 //! - [`Quarantine`]: decides which requests may be sent to a target.
 //!
 //! This crate does no I/O and reads no clock. Times are wall-clock times because nodes share the
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -3,28 +3,29 @@
 //! Three failures are guarded against:
 //!
 //! - *One request crashes target after target.* It crashes each target that starts to run it, is
-//!   retried at another, and its caller sends it again. All targets of a service go down at once, and
-//!   again as soon as they are back. So a request is blocked once [`BLOCK_THRESHOLD`] target
+//!   retried at another, and its caller sends it again. All targets of a service go down at once,
+//!   and again as soon as they are back. So a request is blocked once [`BLOCK_THRESHOLD`] target
 //!   incarnations have ended while it was in flight.
-//! - *A harmless request is blocked with it.* Every other request in flight at a target is interrupted
-//!   too, is retried elsewhere at the same moment, and meets the crashing request there again: of
-//!   eleven requests that one crash interrupted, four had been interrupted by the crash before. So an
-//!   end does not count against a request if it is better explained by another one that was in flight
-//!   at the same incarnation and under which more incarnations have ended. If two requests have equal
-//!   evidence, a single node tries each of them once, and the next end tells them apart. An answer from
-//!   any target clears a request: the earlier ends had another cause.
-//! - *A request stays blocked although it no longer does harm*, because the targets' software was fixed
-//!   or the request never was the cause. So it is tried again after [`TRIAL_DELAY_MS`], by one node for
-//!   the whole fleet, and the delay doubles each time a trial ends a target.
+//! - *A harmless request is blocked with it.* Every other request in flight at a target is
+//!   interrupted too, is retried elsewhere at the same moment, and meets the crashing request there
+//!   again: of eleven requests that one crash interrupted, four had been interrupted by the crash
+//!   before. So an end does not count against a request if it is better explained by another one
+//!   that was in flight at the same incarnation and under which more incarnations have ended. If
+//!   two requests have equal evidence, a single node tries each of them once, and the next end
+//!   tells them apart. An answer from any target clears a request: the earlier ends had another
+//!   cause.
+//! - *A request stays blocked although it no longer does harm*, because the targets' software was
+//!   fixed or the request never was the cause. So it is tried again after [`TRIAL_DELAY_MS`], by
+//!   one node for the whole fleet, and the delay doubles each time a trial ends a target.
 
 use crate::{Evidence, Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
 use std::cmp::Ordering;
 
-/// How many target incarnations must have ended under a request before it is blocked. Two may end by
-/// chance while the request is retried; a request that crashes every target reaches three within a
-/// second.
+/// How many target incarnations must have ended under a request before it is blocked. Two may end
+/// by chance while the request is retried; a request that crashes every target reaches three within
+/// a second.
 pub const BLOCK_THRESHOLD: usize = 3;
 /// With this many ends a request is blocked even if other requests explain some of them: two trials
 /// suffice to tell two requests apart, unless both meet at the same targets each time.
@@ -32,11 +33,11 @@
 /// How long a blocked request waits for its first trial: longer than a target takes to restart and
 /// serve, shorter than a fix of its software takes.
 const TRIAL_DELAY_MS: u64 = 600_000;
-/// How long evidence that does not block its request is kept after the latest end. Callers retry within
-/// minutes.
+/// How long evidence that does not block its request is kept after the latest end. Callers retry
+/// within minutes.
 const RETENTION_MS: u64 = 600_000;
-/// How long evidence that blocks its request is kept after the latest end. After a day without an end
-/// the request is no longer being sent.
+/// How long evidence that blocks its request is kept after the latest end. After a day without an
+/// end the request is no longer being sent.
 const BLOCKED_RETENTION_MS: u64 = 86_400_000;
 /// How long this node waits for the result of a trial it requested before it requests it again.
 const TRIAL_RETRY_MS: u64 = 60_000;
@@ -79,8 +80,8 @@
         self.evidence.get(&fingerprint)
     }
 
-    /// Records that a target incarnation ended while a request was in flight. Returns whether this was
-    /// unknown before.
+    /// Records that a target incarnation ended while a request was in flight. Returns whether this
+    /// was unknown before.
     pub fn record_end(
         &mut self,
         at: UnixMs,
@@ -131,14 +132,15 @@
         self.requested_trials.insert(fingerprint, (number, now));
     }
 
-    /// Counts the requests that may not be sent freely at `now`: blocked ones and those due for a trial.
+    /// Counts the requests that may not be sent freely at `now`: blocked ones and those due for a
+    /// trial.
     pub fn count_blocked(&self, now: UnixMs) -> usize {
         let is_allowed = |of: &Fingerprint| self.status(now, *of) == RequestStatus::Allowed;
         self.evidence.keys().filter(|fingerprint| !is_allowed(fingerprint)).count()
     }
 
-    /// Removes evidence past its retention time, and above [`REQUESTS_MAX`] the oldest evidence, that of
-    /// blocked requests last. Returns the requests whose evidence was removed.
+    /// Removes evidence past its retention time, and above [`REQUESTS_MAX`] the oldest evidence,
+    /// that of blocked requests last. Returns the requests whose evidence was removed.
     pub fn expire(&mut self, now: UnixMs) -> Vec<Fingerprint> {
         let is_expired = |evidence: &Evidence| {
             let retention_ms = if evidence.unrefuted_count() < BLOCK_THRESHOLD {
@@ -174,7 +176,8 @@
         removed
     }
 
-    /// Compares a request with the others that were in flight at each incarnation that ended under it.
+    /// Compares a request with the others that were in flight at each incarnation that ended under
+    /// it.
     fn attribute(&self, fingerprint: Fingerprint, evidence: &Evidence) -> Attribution {
         let own = evidence.unrefuted_count();
         let mut attribution = Attribution::default();
--- a/crates/rollout/src/batches.rs
+++ b/crates/rollout/src/batches.rs
@@ -1,8 +1,8 @@
 //! Binding, fetching, claiming and voiding of batches.
 //!
-//! Samples are bound to batches in the order of steps, in complete groups, and only a few batches ahead
-//! of the trainer. A fetch returns what the ledger records; a claim checks the staleness of every sample
-//! once more.
+//! Samples are bound to batches in the order of steps, in complete groups, and only a few batches
+//! ahead of the trainer. A fetch returns what the ledger records; a claim checks the staleness of
+//! every sample once more.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample};
@@ -13,7 +13,8 @@
 use catkinmast_model::{Name, Refusal, SampleId, UnixMs, Version};
 use indexmap::IndexMap;
 
-/// How many bound batches may wait for their claim; samples of a batch bound too early only become stale.
+/// How many bound batches may wait for their claim; samples of a batch bound too early only become
+/// stale.
 const BOUND_AHEAD_MAX: usize = 4;
 /// The longest time a fetch waits for its batch.
 const FETCH_WAIT_MAX_MS: u64 = 10_000;
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Returns the step and samples of the next batch, if they are ready. Steps are bound in order: a
-    /// later one waits until all samples of the earlier one are bound.
+    /// Returns the step and samples of the next batch, if they are ready. Steps are bound in order:
+    /// a later one waits until all samples of the earlier one are bound.
     fn next_batch(&mut self) -> Option<(u64, Vec<BoundSample>)> {
         let batch_samples = self.registration()?.batch_samples;
         let open: Vec<(u64, u32)> =
@@ -102,7 +103,8 @@
         None
     }
 
-    /// Returns the step's groups that are in no batch, and for each whether all its samples are safe.
+    /// Returns the step's groups that are in no batch, and for each whether all its samples are
+    /// safe.
     fn unbound_groups(&self, step: u64) -> IndexMap<u32, bool> {
         let mut groups = IndexMap::new();
         for sample in self.samples.values().filter(|sample| sample.id.step == step) {
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Claims a batch, i.e. gives the trainer the right to use it. A batch that has exceeded the staleness
-    /// bound since it was bound is voided here, at the last moment before its use.
+    /// Claims a batch, i.e. gives the trainer the right to use it. A batch that has exceeded the
+    /// staleness bound since it was bound is voided here, at the last moment before its use.
     pub(crate) fn claim(&mut self, now: UnixMs, reply_to: u64, batch: u64, at_version: Version) {
         let Some(record) = self.ledger.batches.get(&batch) else {
             let message = format!("{batch} is not bound");
@@ -209,7 +211,8 @@
         self.ledger.batches.get(&batch).map_or_else(Vec::new, BatchRecord::ids)
     }
 
-    /// Returns whether the batch holds a sample that exceeds the staleness bound or no longer exists.
+    /// Returns whether the batch holds a sample that exceeds the staleness bound or no longer
+    /// exists.
     fn is_stale(&self, batch: u64, current: Version) -> bool {
         let bound = self.registration().map_or(0, |r| r.staleness_bound_versions);
         self.bound_ids(batch).iter().any(|(id, _)| {
@@ -217,7 +220,8 @@
         })
     }
 
-    /// Voids bound batches and restarts samples that exceed the staleness bound after a new version.
+    /// Voids bound batches and restarts samples that exceed the staleness bound after a new
+    /// version.
     pub(crate) fn drop_stale(&mut self) {
         let current = self.ledger.trainer_version;
         let Some(bound) = self.registration().map(|r| r.staleness_bound_versions) else { return };
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -13,7 +13,8 @@
 pub struct NodeInfo {
     /// Data centre in which the node runs.
     pub data_centre: Name,
-    /// Whether the node is leaving: it gets no new work, and the samples it holds are copied elsewhere.
+    /// Whether the node is leaving: it gets no new work, and the samples it holds are copied
+    /// elsewhere.
     pub leaving: bool,
     /// Name of the node.
     pub name: Name,
@@ -103,7 +104,8 @@
     LedgerConflict,
     /// The ledger and the version of its key; `None` if it does not exist.
     LedgerRead(Option<(Box<Ledger>, u64)>),
-    /// The key-value service did not respond to a read or write of the ledger, or the reply was lost.
+    /// The key-value service did not respond to a read or write of the ledger, or the reply was
+    /// lost.
     LedgerUnknown,
     /// The ledger was written.
     LedgerWritten {
--- a/crates/rollout/src/orders.rs
+++ b/crates/rollout/src/orders.rs
@@ -1,13 +1,13 @@
 //! Weight orders: instruct a model's engines to load the trainer's weight version.
 //!
-//! Orders are level-triggered: an order is repeated until the engine reports the wanted version, so a
-//! lost order, a failed swap and an engine that restarted with old weights are handled alike. Only a
-//! share of the engines swaps at the same time, so that the model stays available and the weight store
-//! is not loaded by all engines at once.
+//! Orders are level-triggered: an order is repeated until the engine reports the wanted version, so
+//! a lost order, a failed swap and an engine that restarted with old weights are handled alike.
+//! Only a share of the engines swaps at the same time, so that the model stays available and the
+//! weight store is not loaded by all engines at once.
 //!
-//! Because some engines ignore fencing numbers, an order never names a version older than the engine
-//! reports, unless an operator rolls back. So a late order from a paused previous holder can set an
-//! engine back only until the next order.
+//! Because some engines ignore fencing numbers, an order never names a version older than the
+//! engine reports, unless an operator rolls back. So a late order from a paused previous holder can
+//! set an engine back only until the next order.
 
 use catkinmast_model::{Name, UnixMs, Version};
 use indexmap::IndexMap;
@@ -69,8 +69,8 @@
 
     /// Returns the engines to which an order should be sent now.
     ///
-    /// `engines` are the live engines with the versions they report. `may_go_back` allows orders for an
-    /// older version than reported, while an operator rolls back.
+    /// `engines` are the live engines with the versions they report. `may_go_back` allows orders
+    /// for an older version than reported, while an operator rolls back.
     pub fn due(
         &mut self,
         now: UnixMs,
--- a/crates/rollout/src/owner.rs
+++ b/crates/rollout/src/owner.rs
@@ -1,9 +1,9 @@
 //! The state machine that owns a trainer's steps.
 //!
 //! [`Rollout::handle`] takes one event and returns effects. Its code is split by task: this module
-//! holds the state and handles commands; `runs` starts samples and tracks them; `batches` binds, claims
-//! and voids batches; `writer` changes the ledger; `recovery` takes the ledger over and rebuilds the
-//! samples after the previous owner was lost.
+//! holds the state and handles commands; `runs` starts samples and tracks them; `batches` binds,
+//! claims and voids batches; `writer` changes the ledger; `recovery` takes the ledger over and
+//! rebuilds the samples after the previous owner was lost.
 
 use crate::event::{Effect, Event, NodeInfo};
 use crate::ledger::Ledger;
@@ -125,8 +125,8 @@
         (rollout, effects)
     }
 
-    /// Sets the model's values from the operators' configuration: the version to roll back to, and the
-    /// maximum percentage of its engines that swap weights at the same time.
+    /// Sets the model's values from the operators' configuration: the version to roll back to, and
+    /// the maximum percentage of its engines that swap weights at the same time.
     pub const fn set_model(&mut self, roll_back_to: Option<Version>, swap_at_once_percent: u32) {
         self.roll_back_to = roll_back_to;
         self.orders.set_at_once_percent(swap_at_once_percent);
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Cancels all runs and refuses all pending commands, because another node owns the trainer now.
+    /// Cancels all runs and refuses all pending commands, because another node owns the trainer
+    /// now.
     pub fn abandon(&mut self) -> Vec<Effect> {
         self.cancel_all_runs();
         self.refuse_pending("the trainer's steps have moved to another node");
--- a/crates/rollout/src/recovery.rs
+++ b/crates/rollout/src/recovery.rs
@@ -1,10 +1,11 @@
-//! Takeover by a new owner: rebuilds the state from the ledger and from the samples that nodes hold.
+//! Takeover by a new owner: rebuilds the state from the ledger and from the samples that nodes
+//! hold.
 //!
-//! The new owner reads the ledger, writes its own fencing number into it (from then on no write of a
-//! previous owner succeeds), loads the open steps, and asks every node which samples it holds. A
-//! complete sample with a surviving holder is kept, a partial one is resumed, and all others are run
-//! again. A bound batch stays bound only if exactly the attempts that it names survive, because a
-//! repeated fetch must return the same samples.
+//! The new owner reads the ledger, writes its own fencing number into it (from then on no write of
+//! a previous owner succeeds), loads the open steps, and asks every node which samples it holds. A
+//! complete sample with a surviving holder is kept, a partial one is resumed, and all others are
+//! run again. A bound batch stays bound only if exactly the attempts that it names survive, because
+//! a repeated fetch must return the same samples.
 
 use crate::event::{Effect, HoldingReport, NodeInfo};
 use crate::ledger::{BatchState, BoundSample, Ledger};
@@ -18,15 +19,16 @@
 const HOLDERS_WANTED: usize = 2;
 
 impl Rollout {
-    /// Handles a change of the lease. Without the lease, writes and orders stop. Runs continue: nobody
-    /// else can deliver their samples without the ledger, and once the lease is regained the ledger shows
-    /// whether another owner has written.
+    /// Handles a change of the lease. Without the lease, writes and orders stop. Runs continue:
+    /// nobody else can deliver their samples without the ledger, and once the lease is regained the
+    /// ledger shows whether another owner has written.
     pub(crate) fn lease_changed(&mut self, fence: Option<Fence>) {
         let Some(fence) = fence else {
             self.fence = None;
             return;
         };
-        // Each time the lease is gained its number is higher, so an equal number is a repeated event.
+        // Each time the lease is gained its number is higher, so an equal number is a repeated
+        // event.
         if fence > self.last_fence {
             self.fence = Some(fence);
             self.last_fence = fence;
@@ -49,8 +51,8 @@
             return self.ledger_written(version);
         }
         if ledger.fence > self.last_fence {
-            // A later owner has written the ledger. It must not be overwritten, even if this node has
-            // not noticed the loss of its lease yet.
+            // A later owner has written the ledger. It must not be overwritten, even if this node
+            // has not noticed the loss of its lease yet.
             self.fence = None;
         }
         if version == self.writer.version && self.phase != Phase::TakingOver {
@@ -146,7 +148,8 @@
                 self.finish_loading();
             }
             None => {
-                // The step exists, since the ledger names it, but the service did not respond: retry.
+                // The step exists, since the ledger names it, but the service did not respond:
+                // retry.
                 if let Some(record) = self.ledger.steps.get(&step) {
                     let digest = record.digest.clone();
                     self.effects.push(Effect::LoadStep { digest, step });
@@ -239,7 +242,8 @@
         }
     }
 
-    /// Applies a new list of nodes. Runs on nodes that are gone and tokens held only there are lost.
+    /// Applies a new list of nodes. Runs on nodes that are gone and tokens held only there are
+    /// lost.
     pub(crate) fn set_nodes(&mut self, nodes: Vec<NodeInfo>) {
         let gone = |name: &Name| !nodes.iter().any(|node| node.name == *name);
         let mut lost = Vec::new();
@@ -279,7 +283,8 @@
         self.give_up_run(id, attempt, &run);
     }
 
-    /// Requests one more copy if fewer than [`HOLDERS_WANTED`] nodes that are not leaving hold a sample.
+    /// Requests one more copy if fewer than [`HOLDERS_WANTED`] nodes that are not leaving hold a
+    /// sample.
     pub(crate) fn ensure_copies(&mut self, id: SampleId) {
         let Some(sample) = self.samples.get(&id) else { return };
         if !matches!(sample.state, SampleState::Safe | SampleState::Bound) {
--- a/crates/rollout/src/runs.rs
+++ b/crates/rollout/src/runs.rs
@@ -70,7 +70,8 @@
             };
             let trainer = self.ledger.trainer_version;
             let busy = self.engines.get(&on).map_or(0, |engine| engine.in_flight);
-            // Only an engine with much less load, hence faster for each sample, makes it worthwhile.
+            // Only an engine with much less load, hence faster for each sample, makes it
+            // worthwhile.
             let fits = |engine: &EngineView| {
                 engine.info.name != on
                     && engine.in_flight * 2 < busy
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Starts an attempt on an engine. `continues` is a running attempt from whose tokens it resumes.
+    /// Starts an attempt on an engine. `continues` is a running attempt from whose tokens it
+    /// resumes.
     fn start(&mut self, now: UnixMs, id: SampleId, engine: &Name, continues: Option<Attempt>) {
         let Some(spec) = self.specs.get(&id.step) else { return };
         let Some(group) = spec.groups.get(id.group as usize) else { return };
@@ -131,18 +133,19 @@
         self.effects.push(Effect::Run(order));
     }
 
-    /// Returns the interval between a run's progress reports. It grows with the number of runs, which
-    /// keeps all runs together at about 70 reports per second until it reaches its maximum.
+    /// Returns the interval between a run's progress reports. It grows with the number of runs,
+    /// which keeps all runs together at about 70 reports per second until it reaches its maximum.
     ///
-    /// The owner needs the versions of a run for the staleness bound, and changes of version are reported
-    /// at once. The token count only reveals slow engines, for which a delay of seconds is acceptable.
+    /// The owner needs the versions of a run for the staleness bound, and changes of version are
+    /// reported at once. The token count only reveals slow engines, for which a delay of seconds is
+    /// acceptable.
     fn progress_every_ms(&self) -> u64 {
         let runs = self.runner_loads.values().map(|load| u64::from(*load)).sum::<u64>();
         (runs * PROGRESS_MS_PER_RUN).clamp(PROGRESS_MS.0, PROGRESS_MS.1)
     }
 
-    /// Chooses the runner and the tokens to resume from: those of a running attempt, or those that a
-    /// failed attempt left, if they fit the staleness bound and their runner is available.
+    /// Chooses the runner and the tokens to resume from: those of a running attempt, or those that
+    /// a failed attempt left, if they fit the staleness bound and their runner is available.
     fn choose_start(
         &self,
         id: SampleId,
@@ -175,7 +178,8 @@
         best.map(|node| node.name.clone())
     }
 
-    /// Returns whether tokens of these versions can still fit the staleness bound when they are claimed.
+    /// Returns whether tokens of these versions can still fit the staleness bound when they are
+    /// claimed.
     pub(crate) fn fits_bound(&self, id: SampleId, segments: &Segments) -> bool {
         let Some(registration) = self.registration() else { return true };
         let ahead = self.steps_ahead(id.step).unwrap_or(0);
@@ -204,8 +208,8 @@
         self.release_slot(&run);
     }
 
-    /// Frees the run's slots at the engine and the runner. A run whose tokens are complete has already
-    /// freed them.
+    /// Frees the run's slots at the engine and the runner. A run whose tokens are complete has
+    /// already freed them.
     fn release_slot(&mut self, run: &Run) {
         if let Some(view) = self.engines.get_mut(&run.engine) {
             view.in_flight = view.in_flight.saturating_sub(1);
@@ -245,8 +249,8 @@
         }
     }
 
-    /// Accepts the first attempt whose result is safe and cancels the others. The result of a cancelled
-    /// attempt is dropped.
+    /// Accepts the first attempt whose result is safe and cancels the others. The result of a
+    /// cancelled attempt is dropped.
     pub(crate) fn run_safe(&mut self, id: SampleId, attempt: Attempt, finished: Finished) {
         let known = self.samples.get_mut(&id).filter(|sample| sample.runs.contains_key(&attempt));
         let Some(sample) = known else {
--- a/crates/rollout/src/sample.rs
+++ b/crates/rollout/src/sample.rs
@@ -7,9 +7,9 @@
 
 /// Identifies one attempt at a sample: the owner's fencing number, and a count.
 ///
-/// The fencing number keeps attempts of different owners apart: a new owner does not know the attempts
-/// of the old one, and with equal identifiers the tokens of one attempt could be delivered as
-/// another's.
+/// The fencing number keeps attempts of different owners apart: a new owner does not know the
+/// attempts of the old one, and with equal identifiers the tokens of one attempt could be delivered
+/// as another's.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -1,18 +1,19 @@
 //! Scheduling policy: which sample runs next, and on which engine.
 //!
-//! - *Run-ahead.* A sample of a later step is started only if its expected staleness when it is claimed
-//!   fits the trainer's bound. The operators' weight determines how much of the bound may be used to
-//!   keep the trainer busy ([`RunAhead`]).
+//! - *Run-ahead.* A sample of a later step is started only if its expected staleness when it is
+//!   claimed fits the trainer's bound. The operators' weight determines how much of the bound may
+//!   be used to keep the trainer busy ([`RunAhead`]).
 //! - *Order.* Samples with the longest expected output start first. The output length is unknown at
-//!   first, but other samples of the same group predict it, so one sample of each group starts first
-//!   as a probe.
-//! - *Engine.* The engine with the fewest samples in flight is chosen. An engine that has the group's
-//!   prompt in its prefix cache is preferred if its load is only slightly higher.
-//! - *Tail.* When no sample is queued and engines are idle, a sample that gains tokens much more slowly
-//!   than others did is duplicated on an idle engine, resuming from the tokens already generated; the
-//!   first complete result wins. The number of duplicates is limited, so that the tail of one step does
-//!   not delay the next. Only slow samples are duplicated: duplicating *long* ones wasted 11.7 % of all
-//!   tokens for steps 0.3 % shorter, since at the end of a step their engines are nearly idle anyway.
+//!   first, but other samples of the same group predict it, so one sample of each group starts
+//!   first as a probe.
+//! - *Engine.* The engine with the fewest samples in flight is chosen. An engine that has the
+//!   group's prompt in its prefix cache is preferred if its load is only slightly higher.
+//! - *Tail.* When no sample is queued and engines are idle, a sample that gains tokens much more
+//!   slowly than others did is duplicated on an idle engine, resuming from the tokens already
+//!   generated; the first complete result wins. The number of duplicates is limited, so that the
+//!   tail of one step does not delay the next. Only slow samples are duplicated: duplicating *long*
+//!   ones wasted 11.7 % of all tokens for steps 0.3 % shorter, since at the end of a step their
+//!   engines are nearly idle anyway.
 
 use crate::sample::{Sample, SampleState};
 use catkinmast_model::{Name, SampleId, UnixMs, Version};
@@ -66,8 +67,9 @@
         self.staleness_bound_versions * self.idle_weight_percent as u64 / 100
     }
 
-    /// Returns whether a sample is expected to fit the staleness bound when it is claimed, if it starts
-    /// now, `steps_ahead` steps early, on an engine that is `versions_behind` versions behind the trainer.
+    /// Returns whether a sample is expected to fit the staleness bound when it is claimed, if it
+    /// starts now, `steps_ahead` steps early, on an engine that is `versions_behind` versions
+    /// behind the trainer.
     pub const fn allows(&self, steps_ahead: u64, versions_behind: u64) -> bool {
         steps_ahead <= self.steps()
             && steps_ahead + versions_behind <= self.staleness_bound_versions
@@ -132,8 +134,8 @@
         self.groups.retain(|(of, _), _| *of != step);
     }
 
-    /// Returns the expected output length. Index 0 of a group without finished runs is the probe and comes
-    /// first.
+    /// Returns the expected output length. Index 0 of a group without finished runs is the probe
+    /// and comes first.
     fn expected(&self, id: SampleId) -> u32 {
         match self.groups.get(&(id.step, id.group)) {
             Some(longest) => *longest,
@@ -194,12 +196,13 @@
     tokens as u64 * 1_000_000 / if took_ms == 0 { 1 } else { took_ms }
 }
 
-/// Chooses the slow sample that should be duplicated on an idle engine: of the earliest step, the one that
-/// has run longest.
+/// Chooses the slow sample that should be duplicated on an idle engine: of the earliest step, the
+/// one that has run longest.
 ///
-/// Another engine does not help a long sample on a fast engine, which is nearly idle at the end of a
-/// step. It helps a sample that gains tokens much more slowly than others did, because its engine is slow
-/// or full. It does not help a sample whose tokens are complete and which only waits for its score.
+/// Another engine does not help a long sample on a fast engine, which is nearly idle at the end of
+/// a step. It helps a sample that gains tokens much more slowly than others did, because its engine
+/// is slow or full. It does not help a sample whose tokens are complete and which only waits for
+/// its score.
 pub(crate) fn straggler(
     samples: &IndexMap<SampleId, Sample>,
     lengths: &Lengths,
--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -1,12 +1,12 @@
 //! The single writer of the ledger.
 //!
-//! A change waits as an [`Intent`] until a ledger write that contains it is confirmed, and only then is
-//! its command answered. One write is in flight at a time; changes that arrive meanwhile are batched
-//! into the next one, so the rate of writes does not grow with the rate of commands.
+//! A change waits as an [`Intent`] until a ledger write that contains it is confirmed, and only
+//! then is its command answered. One write is in flight at a time; changes that arrive meanwhile
+//! are batched into the next one, so the rate of writes does not grow with the rate of commands.
 //!
-//! If the reply to a write is lost, the ledger is read. This writer's own `write_id` in it means that the
-//! write took effect; the expected version means that it did not and can be repeated; anything else
-//! means that another owner has written and this node no longer owns the steps.
+//! If the reply to a write is lost, the ledger is read. This writer's own `write_id` in it means
+//! that the write took effect; the expected version means that it did not and can be repeated;
+//! anything else means that another owner has written and this node no longer owns the steps.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample, ClaimedSet, Ledger, StepRecord};
@@ -15,8 +15,8 @@
 use crate::spec::{Registration, Reply};
 use catkinmast_model::{SampleId, UnixMs, Version};
 
-/// Delay before the ledger is read after a write whose outcome is unknown, and before a trainer should
-/// retry a command that could not be completed.
+/// Delay before the ledger is read after a write whose outcome is unknown, and before a trainer
+/// should retry a command that could not be completed.
 pub(crate) const LEDGER_RETRY_MS: u64 = 500;
 
 /// A change of the ledger that is not confirmed yet.
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Handles a lost reply or a conflict: schedules a read of the ledger, which shows what happened.
+    /// Handles a lost reply or a conflict: schedules a read of the ledger, which shows what
+    /// happened.
     pub(crate) fn ledger_outcome_unknown(&mut self, now: UnixMs) {
         self.writer.busy = false;
         self.writer.retry_at = Some(now.plus(LEDGER_RETRY_MS));
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Acts on a batch's state in the ledger, which may differ from the requested one: a claim and a void
-    /// of the same batch can be part of one write, and then the first of them takes effect.
+    /// Acts on a batch's state in the ledger, which may differ from the requested one: a claim and
+    /// a void of the same batch can be part of one write, and then the first of them takes effect.
     fn batch_settled(
         &mut self,
         batch: u64,
@@ -218,8 +219,8 @@
         }
         Intent::TakeOver => {}
         Intent::Void { at_version, batch, .. } => {
-            // A trainer that claims at a version has published it, even if this owner did not receive
-            // the command.
+            // A trainer that claims at a version has published it, even if this owner did not
+            // receive the command.
             ledger.trainer_version = ledger.trainer_version.max(*at_version);
             ledger.void(*batch);
         }
@@ -228,9 +229,9 @@
 
 /// Returns the samples of the batch that a change settles, or none if the batch is already settled.
 ///
-/// A trainer's claim can race with a void of the same batch. By the time the second of the two changes
-/// is applied, the samples may already be bound to another batch; releasing them again would bind and
-/// deliver them twice.
+/// A trainer's claim can race with a void of the same batch. By the time the second of the two
+/// changes is applied, the samples may already be bound to another batch; releasing them again
+/// would bind and deliver them twice.
 fn settled_by(ledger: &Ledger, intent: &Intent) -> SettledSamples {
     let (Intent::Claim { batch, .. } | Intent::Void { batch, .. }) = intent else {
         return Vec::new();
--- a/crates/trail/src/lib.rs
+++ b/crates/trail/src/lib.rs
@@ -1,9 +1,9 @@
-//! Queries over the audit trails of several processes: the history of one request, and where the time of
-//! training steps went.
+//! Queries over the audit trails of several processes: the history of one request, and where the
+//! time of training steps went.
 //!
-//! A trail line belongs to the history of an id if one of its fields names that id. The history of an
-//! item includes the lines of its batch, which name the batch's owners, but not those of the other items
-//! in the batch.
+//! A trail line belongs to the history of an id if one of its fields names that id. The history of
+//! an item includes the lines of its batch, which name the batch's owners, but not those of the
+//! other items in the batch.
 
 mod logs;
 mod steps;
@@ -21,8 +21,9 @@
 pub struct HistoryEntry {
     /// The line's JSON object.
     pub line: Value,
-    /// Time by the wall clock of the process that wrote the line, in milliseconds since the Unix epoch.
-    /// Clocks of different machines differ by some milliseconds; within a process the order is exact.
+    /// Time by the wall clock of the process that wrote the line, in milliseconds since the Unix
+    /// epoch. Clocks of different machines differ by some milliseconds; within a process the order
+    /// is exact.
     pub at_unix_ms: u64,
 }
 
@@ -56,8 +57,8 @@
     entries
 }
 
-/// Formats an entry for a terminal: the time since `first_unix_ms`, the node, the event and all other
-/// fields that are not null.
+/// Formats an entry for a terminal: the time since `first_unix_ms`, the node, the event and all
+/// other fields that are not null.
 pub fn format_entry(entry: &HistoryEntry, first_unix_ms: u64) -> String {
     let after_ms = entry.at_unix_ms.saturating_sub(first_unix_ms);
     let mut text = format!(
--- a/crates/trail/src/logs.rs
+++ b/crates/trail/src/logs.rs
@@ -36,8 +36,8 @@
     Ok(text)
 }
 
-/// Counts the lines that start a JSON object but cannot be parsed, because they were truncated or joined
-/// with another line. A history without them may be incomplete.
+/// Counts the lines that start a JSON object but cannot be parsed, because they were truncated or
+/// joined with another line. A history without them may be incomplete.
 pub fn count_unreadable<'a>(lines: impl Iterator<Item = &'a str>) -> usize {
     lines.filter(|line| line.contains('{') && parse_object(line).is_none()).count()
 }
--- a/crates/trail/src/steps.rs
+++ b/crates/trail/src/steps.rs
@@ -1,9 +1,9 @@
 //! The critical path of each training step, from the audit trails of all processes.
 //!
-//! The last item to complete ends a step, so the step's critical path is that item's history: how long it
-//! waited for a target, ran, was idle between runs, was scored and listed, and how long the trainer took
-//! to read it and end the step. Trails drop lines above a rate limit; if some of the item's runs are
-//! missing for that reason, its wait appears longer than it was.
+//! The last item to complete ends a step, so the step's critical path is that item's history: how
+//! long it waited for a target, ran, was idle between runs, was scored and listed, and how long the
+//! trainer took to read it and end the step. Trails drop lines above a rate limit; if some of the
+//! item's runs are missing for that reason, its wait appears longer than it was.
 
 use crate::parse_object;
 use indexmap::IndexMap;
--- a/tests/all/lease_retake.rs
+++ b/tests/all/lease_retake.rs
@@ -1,4 +1,5 @@
-//! Tests of a lease that is taken over, from another node or from an earlier incarnation of this one.
+//! Tests of a lease that is taken over, from another node or from an earlier incarnation of this
+//! one.
 
 use catkinmast_lease::{Action, Change, HolderRecord, LeaseClaim, LeaseSettings, Report};
 use catkinmast_model::{Fence, Incarnation, UnixMs};
@@ -15,9 +16,9 @@
     LeaseClaim::open_with(HolderRecord { incarnation: Incarnation(2), node }, settings)
 }
 
-// Guards against a pause of weight orders after a restart of all nodes: no engine got new weights for six
-// seconds, because the restarted holder waited for its own old lease to expire, and then for orders of
-// another holder that did not exist.
+// Guards against a pause of weight orders after a restart of all nodes: no engine got new weights
+// for six seconds, because the restarted holder waited for its own old lease to expire, and then
+// for orders of another holder that did not exist.
 #[test]
 fn orders_continue_at_once_after_a_takeover_from_an_earlier_incarnation() {
     let mut claim = claim();
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -1,4 +1,5 @@
-//! Regression bounds on the policy benchmark. Its times are virtual, so they are the same on any machine.
+//! Regression bounds on the policy benchmark. Its times are virtual, so they are the same on any
+//! machine.
 
 use catkinmast_bench::{
     Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, Variant, WEIGHTS,
@@ -12,8 +13,8 @@
     row
 }
 
-/// Guards against steps that wait for a few samples on a slow engine: one engine of nine runs at a quarter
-/// of the usual speed, and its samples are not duplicated on engines that have become idle.
+/// Guards against steps that wait for a few samples on a slow engine: one engine of nine runs at a
+/// quarter of the usual speed, and its samples are not duplicated on engines that have become idle.
 #[test]
 fn duplicating_stragglers_shortens_steps_with_a_slow_engine() {
     let without = row(Deployment::Registre, &SLOW_ENGINE, "longest first");
@@ -23,8 +24,8 @@
     assert!(with.tokens_wasted_percent <= 3.0, "{with:?}");
 }
 
-/// Guards against a run-ahead that ignores the operators' weight, so that different weights give the same
-/// idle time and staleness.
+/// Guards against a run-ahead that ignores the operators' weight, so that different weights give
+/// the same idle time and staleness.
 #[test]
 fn the_weight_trades_idle_time_for_staleness() {
     let fresh = row(Deployment::Cooperative, &WEIGHTS, "0");
@@ -34,8 +35,8 @@
     assert!(busy.age_max_versions <= 3, "the staleness bound is never exceeded");
 }
 
-/// Guards against losing a step's worth of tokens with one node: the owner of the steps crashes twice, and
-/// finished samples have no copy elsewhere or running ones no tokens to resume from.
+/// Guards against losing a step's worth of tokens with one node: the owner of the steps crashes
+/// twice, and finished samples have no copy elsewhere or running ones no tokens to resume from.
 #[test]
 fn copies_save_most_tokens_when_the_owner_crashes() {
     let run =
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -80,8 +80,8 @@
     assert!(is_blocked(&quarantine, NOW, "p"));
 }
 
-// Guards against blocking a harmless request: targets end three times by chance while it is retried, and
-// the ends count although a target has answered it in between.
+// Guards against blocking a harmless request: targets end three times by chance while it is
+// retried, and the ends count although a target has answered it in between.
 #[test]
 fn an_answer_clears_a_request() {
     let mut quarantine = quarantine(&[("s", &[1, 2])]);
@@ -94,8 +94,8 @@
     assert!(!quarantine.record_answer(request("never under way")), "nothing changes");
 }
 
-// Guards against blocking harmless requests together with the crashing one: they are in flight at the
-// same targets and retried elsewhere at the same moment, and an end counts against all of them.
+// Guards against blocking harmless requests together with the crashing one: they are in flight at
+// the same targets and retried elsewhere at the same moment, and an end counts against all of them.
 #[test]
 fn a_request_is_not_blamed_for_ends_that_another_one_explains() {
     let quarantine = quarantine(&[("p", &[1, 2, 3, 4]), ("s", &[1, 2, 3])]);
@@ -104,8 +104,8 @@
     assert_eq!(quarantine.status(NOW, request("s")), RequestStatus::Allowed);
 }
 
-// Guards against blocking the harmless one of two requests, or neither of them, when both were in flight
-// at the same three targets that ended: only another run of each can tell them apart.
+// Guards against blocking the harmless one of two requests, or neither of them, when both were in
+// flight at the same three targets that ended: only another run of each can tell them apart.
 #[test]
 fn two_requests_with_equal_evidence_are_told_apart_by_trials() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3]), ("s", &[1, 2, 3])]);
@@ -140,8 +140,8 @@
     assert!(is_blocked(&quarantine, NOW, "p"));
 }
 
-// Guards against a request that stays blocked after the targets' software was fixed: without a trial
-// nothing can clear it, however often its caller retries.
+// Guards against a request that stays blocked after the targets' software was fixed: without a
+// trial nothing can clear it, however often its caller retries.
 #[test]
 fn a_blocked_request_is_tried_again_after_growing_delays() {
     let mut quarantine = quarantine(&[("p", &[1, 2, 3])]);
@@ -222,8 +222,9 @@
     assert_eq!(ended, [(request("p"), former)]);
 }
 
-// Guards against lost evidence: two nodes observe different ends under the same request and exchange
-// them late and twice, and the later update replaces the earlier one instead of being merged with it.
+// Guards against lost evidence: two nodes observe different ends under the same request and
+// exchange them late and twice, and the later update replaces the earlier one instead of being
+// merged with it.
 #[test]
 fn fact_tables_merge_the_evidence_of_two_nodes() {
     let fact = |numbers: &[u32]| {
@@ -285,8 +286,8 @@
     }
 }
 
-/// A simulated service of a few targets: one request crashes each target that runs it, again and again,
-/// while harmless requests that wait for the targets to restart are sent together with it.
+/// A simulated service of a few targets: one request crashes each target that runs it, again and
+/// again, while harmless requests that wait for the targets to restart are sent together with it.
 struct Simulation {
     ends: Vec<UnixMs>,
     nodes: Vec<Quarantine>,
@@ -309,7 +310,8 @@
 const ATTEMPTS: u32 = 3;
 const ROUNDS: usize = 12;
 const CRASHING_REQUEST: &str = "p";
-/// Requests sent within this time after the third end were on their way before a node could know of it.
+/// Requests sent within this time after the third end were on their way before a node could know of
+/// it.
 const SETTLE_MS: u64 = 3_000;
 /// How many more times the crashing request may be sent after that.
 const REPEATS_MAX: usize = 3;
@@ -327,8 +329,8 @@
         }
     }
 
-    /// Simulates one restart of all targets: all waiting calls are sent at once, and interrupted ones are
-    /// retried at the targets that are left.
+    /// Simulates one restart of all targets: all waiting calls are sent at once, and interrupted
+    /// ones are retried at the targets that are left.
     fn run_round(&mut self, mut calls: Vec<Call>) {
         let first = self.next_incarnation;
         self.next_incarnation += TARGETS;
@@ -403,13 +405,14 @@
     }
 }
 
-// Guards against blocking harmless requests, and against sending the crashing one on. Up to four calls of
-// the crashing request and twelve harmless ones wait for three targets to restart, are sent at once and
-// are interrupted together, over and over; a single end does not show which of them caused it.
+// Guards against blocking harmless requests, and against sending the crashing one on. Up to four
+// calls of the crashing request and twelve harmless ones wait for three targets to restart, are
+// sent at once and are interrupted together, over and over; a single end does not show which of
+// them caused it.
 //
-// If ends alone counted, 4 of the 200 simulations would block a harmless request for good. If requests
-// with equal evidence were allowed instead of tried one at a time, one simulation would send the crashing
-// request four times more.
+// If ends alone counted, 4 of the 200 simulations would block a harmless request for good. If
+// requests with equal evidence were allowed instead of tried one at a time, one simulation would
+// send the crashing request four times more.
 #[test]
 fn repeated_crashes_block_only_the_request_that_causes_them() {
     let mut wrongly_blocked = Vec::new();
--- a/tests/all/rollout_faults.rs
+++ b/tests/all/rollout_faults.rs
@@ -1,9 +1,10 @@
 //! Randomised fault injection against the state machine of a trainer's steps, in virtual time.
 //!
-//! After every step of the simulation these invariants must hold: a batch's samples never change once
-//! bound, a settled batch stays settled, fencing numbers never decrease, each sample is claimed once, no
-//! sample exceeds the staleness bound, and every sample is claimed in the end. The seeds are fixed, so
-//! the result is the same on every run; `CATKINMAST_SCHEDULES` sets the number of schedules.
+//! After every step of the simulation these invariants must hold: a batch's samples never change
+//! once bound, a settled batch stays settled, fencing numbers never decrease, each sample is
+//! claimed once, no sample exceeds the staleness bound, and every sample is claimed in the end. The
+//! seeds are fixed, so the result is the same on every run; `CATKINMAST_SCHEDULES` sets the number
+//! of schedules.
 
 use catkinmast_bench::{EngineModel, Fault, Recovery, World, WorldSettings};
 use catkinmast_model::UnixMs;
@@ -82,8 +83,8 @@
     }
 }
 
-/// Guards against results that differ between runs with the same seed and faults, because an order depends
-/// on a hash, a clock or an address.
+/// Guards against results that differ between runs with the same seed and faults, because an order
+/// depends on a hash, a clock or an address.
 #[test]
 fn the_same_seed_gives_the_same_outcome() {
     let faults = [(UnixMs(4_000), Fault::OwnerCrash), (UnixMs(9_000), Fault::LoseReplies(2))];
@@ -95,9 +96,10 @@
     assert!(first.violations.is_empty(), "{:?}", first.violations);
 }
 
-/// Guards against delivering samples twice: four samples were in batch 13 and again in batch 14. A new
-/// version voids batch 10, and the trainer's claim of batch 10 arrives before the ledger is written and
-/// voids it once more. The second void released the samples although they were already bound again.
+/// Guards against delivering samples twice: four samples were in batch 13 and again in batch 14. A
+/// new version voids batch 10, and the trainer's claim of batch 10 arrives before the ledger is
+/// written and voids it once more. The second void released the samples although they were already
+/// bound again.
 #[test]
 fn a_claim_racing_with_a_void_does_not_release_samples_twice() {
     // The schedule in which the randomised test found the failure.
--- a/tests/all/site/harness.rs
+++ b/tests/all/site/harness.rs
@@ -1,4 +1,5 @@
-//! A site: the store, workers and entry nodes, and the calls of their callers.
+//! The test harness of a site: the store, workers, entry nodes and provider, and a client for
+//! calls.
 
 use super::provider::Provider;
 use super::proxy::Proxy;
@@ -15,12 +16,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a condition may take to come about before a test counts as hung.
+/// How long a test waits for a condition before it fails as hung.
 pub(crate) const HANG_TIMEOUT: Duration = Duration::from_mins(1);
-/// The host of all routes.
+/// The host name of all routes.
 pub(crate) const HOST: &str = "site.example";
 
-/// How soon a change that the store has acknowledged must be in force at all nodes that reach it.
+/// Bound on the time from the store's acknowledgement of a change until the change is in force at
+/// all nodes that reach the store.
 pub(crate) const CHANGE_BOUND_MS: u64 = 2_000;
 
 const FRONT_PORT: u16 = 8149;
@@ -38,38 +40,38 @@
     log: Arc<Mutex<Vec<Value>>>,
     _provider_server: Server,
     pub(crate) ready: SocketAddr,
-    /// The way to the store; open unless a test changes it.
+    /// The proxy between this node and the store; it forwards unless a test changes it.
     pub(crate) store_link: Proxy,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        end(&mut self.child());
+        kill_and_reap(&mut self.child());
     }
 }
 
-fn end(process: &mut Process) {
+fn kill_and_reap(process: &mut Process) {
     let _already_dead = process.0.kill();
     let _already_reaped = process.0.wait();
 }
 
-/// A process that ends with its handle. A restart that a test has asked for may come about after the
-/// test is over; without this its process stayed behind (four of them after a soak of 50 seeds).
+/// A process that is killed when its handle is dropped. Otherwise a process that a test restarts
+/// with a delay can outlive the test (four of them were left after a soak of 50 seeds).
 struct Process(Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
-        end(self);
+        kill_and_reap(self);
     }
 }
 
-/// Sends a signal by name, e.g. `KILL`, `STOP`, `CONT` or `TERM`, to a process of a test.
+/// Sends a signal by name, e.g. `KILL`, `STOP`, `CONT` or `TERM`, to a process.
 pub(crate) fn signal(pid: u32, name: &str) {
     let status = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
     assert!(status.is_ok(), "kill runs");
 }
 
-/// A site.
+/// A running site.
 pub(crate) struct Site {
     pub(crate) client: reqwest::Client,
     pub(crate) engines: Vec<Worker>,
@@ -80,7 +82,7 @@
     pub(crate) store: Store,
 }
 
-/// The configuration that sites begin with.
+/// Returns the initial configuration of a site.
 pub(crate) fn document(version: u64) -> Value {
     json!({
         "version": version,
@@ -110,7 +112,7 @@
     })
 }
 
-/// A batch submission of `items` items in groups of two, `events` events each.
+/// Returns a batch submission of `items` items in groups of two, with `events` events each.
 pub(crate) fn submission(prefix: &str, items: usize, events: u8, oldest_version: u64) -> Value {
     let items: Vec<Value> = (0..items)
         .map(|number| {
@@ -129,24 +131,21 @@
             "items": items })
 }
 
-/// Polls until `holds` gives a value.
-pub(crate) async fn until<T, F: Future<Output = Option<T>>>(
-    what: &str,
-    holds: impl Fn() -> F,
-) -> T {
-    let began = Instant::now();
+/// Polls until `poll` returns a value. Panics with `what` after [`HANG_TIMEOUT`].
+pub(crate) async fn until<T, F: Future<Output = Option<T>>>(what: &str, poll: impl Fn() -> F) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(found) = holds().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(began.elapsed() < HANG_TIMEOUT, "never came about: {what}");
+        assert!(started.elapsed() < HANG_TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Returns a loopback address that no other node of any test has: ports of a shared address could
-/// be taken by another test's connections before the node binds them.
-fn own_address() -> std::net::Ipv4Addr {
+/// Returns a loopback address that no node of any other test has. On a shared address, another
+/// test's connections could take a port before the node binds it.
+fn unique_address() -> std::net::Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
@@ -190,14 +189,14 @@
     )
 }
 
-/// How a site is set up.
+/// Options of a site.
 #[derive(Clone, Copy, Debug, Default)]
 struct SiteOptions {
     behind_proxies: bool,
     duties: bool,
 }
 
-/// Returns the part of the settings that gives nodes duties; windows of usage last a second.
+/// Returns the settings that enable the duties towards the provider.
 fn duty_settings(provider: SocketAddr) -> String {
     format!(
         r#"[cloud]
@@ -214,7 +213,7 @@
         let store_link = Proxy::start(store_server.address).await;
         let store_at =
             if options.behind_proxies { store_link.address } else { store_server.address };
-        let ip = own_address();
+        let ip = unique_address();
         let folder = Arc::new(tempfile::tempdir().expect("a folder for the settings"));
         let (_, provider_server) = provider.open_endpoint().await;
         let mut text = settings(name, ip, store_at);
@@ -254,27 +253,27 @@
         signal(self.pid(), name);
     }
 
-    /// Starts the process again after it has ended.
+    /// Kills the process if it is running, and starts it again.
     pub(crate) fn restart(&self) {
         let mut child = self.child();
-        end(&mut child);
+        kill_and_reap(&mut child);
         *child = spawn(&self.folder, &self.log);
     }
 
-    /// Kills the process; it starts again after a while.
+    /// Kills the process and starts it again after a delay.
     pub(crate) fn kill_and_restart(&self, after: Duration) {
-        end(&mut self.child());
+        kill_and_reap(&mut self.child());
         let (child, folder, log) =
             (Arc::clone(&self.child), Arc::clone(&self.folder), Arc::clone(&self.log));
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
             let mut child = child.lock().expect("no test panics while it holds a process");
-            end(&mut child);
+            kill_and_reap(&mut child);
             *child = spawn(&folder, &log);
         });
     }
 
-    /// Tells the process to stop; it starts again when it has ended.
+    /// Sends `TERM` to the process and starts it again when it has exited.
     pub(crate) fn stop_and_restart(&self) {
         self.signal("TERM");
         let (child, folder, log) =
@@ -283,7 +282,7 @@
             loop {
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 let mut child = child.lock().expect("no test panics while it holds a process");
-                if child.0.try_wait().expect("the process can be asked").is_some() {
+                if child.0.try_wait().expect("the process status can be read").is_some() {
                     *child = spawn(&folder, &log);
                     return;
                 }
@@ -291,7 +290,7 @@
         });
     }
 
-    /// Starts the process if it has ended, and lets it go on if it is paused.
+    /// Starts the process if it has exited, and resumes it if it is paused.
     pub(crate) fn revive(&self) {
         if self.exit_status().is_some() {
             self.restart();
@@ -299,18 +298,18 @@
         self.signal("CONT");
     }
 
-    /// Returns how the process ended, once it has.
+    /// Returns the exit status, or `None` while the process is running.
     pub(crate) fn exit_status(&self) -> Option<std::process::ExitStatus> {
-        self.child().0.try_wait().expect("the process can be asked")
+        self.child().0.try_wait().expect("the process status can be read")
     }
 
-    /// Returns the whole audit trail, for the message of a test that fails.
+    /// Returns the complete audit trail, for failure messages.
     pub(crate) fn audit_trail(&self) -> String {
         let log = self.log.lock().expect("no test panics while it holds the log");
         log.iter().map(Value::to_string).collect::<Vec<_>>().join("\n")
     }
 
-    /// Returns the lines of the audit trail with this event of a duty.
+    /// Returns the lines of the audit trail with this event and this duty.
     pub(crate) fn duty_lines(&self, event: &str, duty: &str) -> Vec<Value> {
         self.lines(event).into_iter().filter(|line| line["duty"] == duty).collect()
     }
@@ -340,24 +339,24 @@
 }
 
 impl Site {
-    /// Starts a site and waits until all nodes are ready and know each other.
+    /// Starts a site and waits until each node lists all nodes in its directory.
     pub(crate) async fn start(nodes: usize, engines: usize, plain: usize) -> Self {
         Self::start_with(nodes, engines, plain, SiteOptions::default()).await
     }
 
-    /// The same, with a proxy between each node and the store.
+    /// Like [`Self::start`], with a proxy between each node and the store.
     pub(crate) async fn start_behind_proxies(nodes: usize, engines: usize, plain: usize) -> Self {
         let options = SiteOptions { behind_proxies: true, ..SiteOptions::default() };
         Self::start_with(nodes, engines, plain, options).await
     }
 
-    /// Starts a site of plain targets whose nodes have duties towards the provider.
+    /// Starts a site of plain targets whose nodes perform the duties towards the provider.
     pub(crate) async fn start_with_duties(nodes: usize, plain: usize) -> Self {
         let options = SiteOptions { duties: true, ..SiteOptions::default() };
         Self::start_with(nodes, 0, plain, options).await
     }
 
-    /// The same, with a proxy between each node and the store.
+    /// Like [`Self::start_with_duties`], with a proxy between each node and the store.
     pub(crate) async fn start_with_duties_behind_proxies(nodes: usize, plain: usize) -> Self {
         let options = SiteOptions { behind_proxies: true, duties: true };
         Self::start_with(nodes, 0, plain, options).await
@@ -404,7 +403,7 @@
         self.engines.push(worker);
     }
 
-    /// Waits until `count` nodes are in the directory of each node that answers.
+    /// Waits until the directory of each node lists `count` nodes.
     pub(crate) async fn wait_until_all_listed(&self, count: usize) {
         for node in &self.nodes {
             until("all nodes in the directory", || async {
@@ -414,7 +413,7 @@
         }
     }
 
-    /// Asks a node's directory; none where it does not answer with addresses.
+    /// Returns the addresses in a node's directory, or none if it does not respond with addresses.
     pub(crate) async fn directory(&self, node: &Node) -> Vec<String> {
         let url = format!("http://{}/-/resolve?name={HOST}&region=r&zone=zone-a", node.directory);
         let Ok(response) = self.client.get(url).send().await else { return Vec::new() };
@@ -423,13 +422,13 @@
         addresses.iter().filter_map(|address| address.as_str().map(str::to_owned)).collect()
     }
 
-    /// Tells whether a node says that it is ready.
+    /// Returns whether a node reports that it is ready.
     pub(crate) async fn is_ready(&self, node: &Node) -> bool {
         let url = format!("http://{}/-/ready", node.ready);
         self.client.get(url).send().await.is_ok_and(|answer| answer.status() == 200)
     }
 
-    /// Sends a request through a node.
+    /// Sends a request through a node, with a default body.
     pub(crate) async fn call(
         &self,
         node: &Node,
@@ -439,7 +438,7 @@
         self.call_with(node, path, id, "question").await
     }
 
-    /// The same with a body.
+    /// Sends a request with a body through a node.
     pub(crate) async fn call_with(
         &self,
         node: &Node,
@@ -457,7 +456,7 @@
             .await
     }
 
-    /// Submits a batch at a node and returns the status.
+    /// Submits a batch to a node. Returns the status, or 0 if the node does not respond.
     pub(crate) async fn submit(&self, node: &Node, id: &str, batch: &Value) -> u16 {
         let request = self
             .client
@@ -468,12 +467,12 @@
         request.send().await.map_or(0, |answer| answer.status().as_u16())
     }
 
-    /// Reads a batch's results from a position; none where the node does not answer with them.
+    /// Reads a batch's results after a position, or `None` if the node does not respond with them.
     pub(crate) async fn read(&self, node: &Node, id: &str, after: usize) -> Option<Vec<Value>> {
         self.read_within(node, id, after, 200).await
     }
 
-    /// The same, waiting for a result for so long.
+    /// Like [`Self::read`], with a time limit for the node to wait for a result.
     pub(crate) async fn read_within(
         &self,
         node: &Node,
@@ -491,7 +490,7 @@
         page["results"].as_array().cloned()
     }
 
-    /// Reads a batch through a node until all of `count` results are there.
+    /// Reads a batch through a node until all `count` results are available.
     pub(crate) async fn read_all(&self, node: &Node, id: &str, count: usize) -> Vec<Value> {
         until("all results", || async {
             let mut results = Vec::new();
@@ -506,20 +505,20 @@
         .await
     }
 
-    /// Ends a batch through a node and returns the status.
+    /// Ends a batch through a node. Returns the status, or 0 if the node does not respond.
     pub(crate) async fn end(&self, node: &Node, id: &str) -> u16 {
         let request = self.client.delete(format!("http://{}/-/lots/{id}", node.callers));
         request.send().await.map_or(0, |answer| answer.status().as_u16())
     }
 
-    /// Returns the index of the node that owns a batch, by its trail.
+    /// Waits until a node has logged that it owns a batch, and returns the node's index.
     pub(crate) async fn owner_of(&self, id: &str) -> usize {
         let owns = |node: &Node| node.lines("batch_owned").iter().any(|line| line["request"] == id);
         until("an owner", || async { self.nodes.iter().position(owns) }).await
     }
 }
 
-/// The text that an item of `events` events has when it is whole.
+/// Returns the generated output of a complete item of `events` events.
 pub(crate) fn complete_output(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|number| format!("{item}-{number}")).collect();
     lines.join("\n")
--- a/tests/all/site/mod.rs
+++ b/tests/all/site/mod.rs
@@ -1,8 +1,8 @@
 //! End-to-end tests of the programs for the users' platform.
 //!
 //! The programs run as separate processes. Stand-ins for everything else run in the test's process:
-//! the store ([`store`]), the workers ([`worker`]) and the provider of instances ([`provider`]). Waits
-//! poll until a condition holds; their time limit only guards against a hang.
+//! the store ([`store`]), the workers ([`worker`]) and the provider of instances ([`provider`]).
+//! Waits poll until a condition holds; their time limit only guards against a hang.
 
 pub(crate) mod harness;
 pub(crate) mod provider;
--- a/tests/all/site/provider.rs
+++ b/tests/all/site/provider.rs
@@ -1,7 +1,8 @@
 //! A stand-in for the provider of instances, which accepts usage reports and scaling orders.
 //!
-//! Each node gets an endpoint of its own, so that a test can make the provider fail for one node only.
-//! All accepted calls are recorded, and [`Provider::check`] verifies the invariants of the duties.
+//! Each node gets an endpoint of its own, so that a test can make the provider fail for one node
+//! only. All accepted calls are recorded, and [`Provider::check`] verifies the invariants of the
+//! duties.
 
 use super::web::{Answer, Server, answer};
 use futures::FutureExt;
@@ -14,8 +15,9 @@
 
 /// Within this time the duty may not go to another holder and back.
 const LEASE: Duration = Duration::from_secs(3);
-/// Minimum time between the last call of one holder and the first call of the next: longer than a call can
-/// be in transit. A holder that releases the duty is succeeded sooner than one that crashes.
+/// Minimum time between the last call of one holder and the first call of the next: longer than a
+/// call can be in transit. A holder that releases the duty is succeeded sooner than one that
+/// crashes.
 const HANDOVER: Duration = Duration::from_millis(1_500);
 
 /// How an endpoint responds.
@@ -58,7 +60,8 @@
         self.0.lock().expect("no test panics while it holds the provider")
     }
 
-    /// Opens an endpoint and returns its index; its server closes when the returned handle is dropped.
+    /// Opens an endpoint and returns its index; its server closes when the returned handle is
+    /// dropped.
     pub(crate) async fn open_endpoint(&self) -> (usize, Server) {
         let index = {
             let mut state = self.state();
@@ -104,8 +107,9 @@
         self.usage().values().filter_map(|counts| counts[workspace].as_u64()).sum()
     }
 
-    /// Checks that no window was reported with different counts, that the fencing number grows with each
-    /// change of holder, and that the duty did not go to another holder and back within [`LEASE`].
+    /// Checks that no window was reported with different counts, that the fencing number grows with
+    /// each change of holder, and that the duty did not go to another holder and back within
+    /// [`LEASE`].
     pub(crate) fn check(&self) {
         let mut reports: BTreeMap<u64, Value> = BTreeMap::new();
         for call in self.calls("/usage") {
--- a/tests/all/site/proxy.rs
+++ b/tests/all/site/proxy.rs
@@ -66,7 +66,8 @@
             Link::Resets => return,
             Link::Silent { answers, requests } => {
                 if if is_answer { answers } else { requests } {
-                    // Bytes read from a silent link are lost, so the connection cannot be used again.
+                    // Bytes read from a silent link are lost, so the connection cannot be used
+                    // again.
                     std::future::pending::<()>().await;
                 }
             }
--- a/tests/all/site/worker.rs
+++ b/tests/all/site/worker.rs
@@ -1,7 +1,8 @@
 //! A stand-in for a worker, i.e. a target that is a plain service or a model engine.
 //!
-//! An engine streams as many events for an item as the first byte of the request's body says. All runs
-//! are recorded, so that a test can check what ran, how often, and from which event it resumed.
+//! An engine streams as many events for an item as the first byte of the request's body says. All
+//! runs are recorded, so that a test can check what ran, how often, and from which event it
+//! resumed.
 
 use super::store::Store;
 use super::web::{Answer, AnswerBody, Server, answer};
@@ -18,8 +19,9 @@
 
 /// A request whose body starts with this text crashes each worker that starts to run it.
 pub(crate) const CRASHING_BODY: &str = "crash";
-/// A stream whose body starts with this text crashes the worker after [`LATE_CRASH_DELAY`]: the response begins at
-/// once but has no event before the crash, as if the request had been queued at the worker.
+/// A stream whose body starts with this text crashes the worker after [`LATE_CRASH_DELAY`]: the
+/// response begins at once but has no event before the crash, as if the request had been queued at
+/// the worker.
 pub(crate) const CRASHING_LATE_BODY: &str = "late crash";
 /// Delay of a late crash.
 const LATE_CRASH_DELAY: Duration = Duration::from_millis(1_200);
@@ -111,7 +113,8 @@
     store: Store,
 }
 
-/// Counts a run as abandoned if it is dropped before it is complete, i.e. if its caller disconnected.
+/// Counts a run as abandoned if it is dropped before it is complete, i.e. if its caller
+/// disconnected.
 struct AbandonGuard {
     state: Arc<Mutex<State>>,
     complete: bool,
@@ -300,8 +303,8 @@
     context.store.put(&format!("servers/{id}"), &entry);
 }
 
-/// Crashes a worker with all its connections. It restarts at the same address after a while, under another
-/// id.
+/// Crashes a worker with all its connections. It restarts at the same address after a while, under
+/// another id.
 fn crash_by_request(state: &Arc<Mutex<State>>, context: &SharedContext, id: &str) {
     let (server, restart_after, crashes) = {
         let mut state = state.lock().expect("no test panics while it holds a worker");
--- a/tests/all/trail.rs
+++ b/tests/all/trail.rs
@@ -84,9 +84,9 @@
     assert_eq!((mean.steps, parts), (1, mean.took_ms));
 }
 
-// Guards against unreadable lines in the audit trail of a busy node: the lines of a quarter of a second
-// went out as one large write, of which a pipe accepts only 4,096 bytes atomically, so that the collector
-// could read other processes' lines in between.
+// Guards against unreadable lines in the audit trail of a busy node: the lines of a quarter of a
+// second went out as one large write, of which a pipe accepts only 4,096 bytes atomically, so that
+// the collector could read other processes' lines in between.
 #[test]
 fn no_write_exceeds_what_a_pipe_accepts_at_once() {
     let lines: Vec<String> = (0..200).map(|number| "x".repeat(number * 7 % 700)).collect();
