--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -17,15 +17,15 @@
 pub(super) fn retain_reusable_outputs<P: Platform>(node: &Node<P>, local: &mut LocalBatch) {
     let now = clock::now();
     let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
-    let untaken = local.batch.unconsumed_groups();
-    for group in &untaken {
+    let unconsumed = local.batch.unconsumed_groups();
+    for group in &unconsumed {
         reusable_outputs.groups.insert((*group).to_owned(), now);
     }
-    let is_untaken =
-        |id: &str| local.batch.item(id).is_some_and(|item| untaken.contains(group_of(item)));
+    let is_unconsumed =
+        |id: &str| local.batch.item(id).is_some_and(|item| unconsumed.contains(group_of(item)));
     node.batches
         .second_runs
-        .stop_where(|second| second.batch == local.id && !is_untaken(&second.item));
+        .stop_where(|second| second.batch == local.id && !is_unconsumed(&second.item));
     for (id, progress) in local.batch.take_progress() {
         let workspace = local.record.origin.workspace.clone();
         reusable_outputs.by_item.insert(id, ReusableOutput { progress, ended_at: now, workspace });
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -37,7 +37,7 @@
 /// not answer: about the time in which either returns after a restart.
 pub(crate) const RETRY_AFTER_MS: u64 = 500;
 /// When to come back after all targets refused for load: about one usual request's time.
-const FULL_RETRY_AFTER_MS: u64 = 100;
+const OVERLOADED_RETRY_AFTER_MS: u64 = 100;
 /// Pause before targets that have all been tried are tried again: a slot frees about that often. Targets
 /// that do not listen refuse at once; without a pause one request made 125,784 attempts in three seconds.
 const RETRY_ROUND_PAUSE: Duration = Duration::from_millis(20);
@@ -256,7 +256,7 @@
         Verdict::NotRun => {
             let retry_after_ms = match failure.cause {
                 Cause::Blocked { retry_after_ms } => retry_after_ms,
-                Cause::Full | Cause::Other => FULL_RETRY_AFTER_MS,
+                Cause::Overloaded | Cause::Other => OVERLOADED_RETRY_AFTER_MS,
             };
             ErrorAnswer::not_run(failure.message.clone(), retry_after_ms)
         }
@@ -333,9 +333,10 @@
                     Err(failure) => failure,
                 }
             }
-            None => {
-                AttemptFailure::not_run(Cause::Full, format!("service {service} has no target"))
-            }
+            None => AttemptFailure::not_run(
+                Cause::Overloaded,
+                format!("service {service} has no target"),
+            ),
         };
         if failure.is_blocked() {
             return Err(blocked(&failure, may_have_run));
@@ -349,14 +350,14 @@
             return Err(error_of(&failure));
         }
         let refuse_at = refuse_at(outgoing.deadline_at, budget_ms);
-        let is_full = failure.cause == Cause::Full && !may_have_run;
-        if is_full && clock::now() > refuse_at {
+        let is_overloaded = failure.cause == Cause::Overloaded && !may_have_run;
+        if is_overloaded && clock::now() > refuse_at {
             return Err(error_of(&failure));
         }
         if failure.verdict == Verdict::NotRun && all_tried(node, service, &tried) {
             tried.clear();
             sleep(RETRY_ROUND_PAUSE).await;
-            if is_full {
+            if is_overloaded {
                 let workspace = outgoing.workspace.as_deref();
                 let place =
                     QueuePlace::wait(node, service, started_at, workspace, outgoing.priority);
@@ -393,11 +394,11 @@
     service: &str,
     tried: &[String],
 ) -> Option<ChosenTarget> {
-    let draw = node.random_u64();
+    let random = node.random_u64();
     let chosen = node.pick(
         service,
         |_| true,
-        |load, now, picks| load.choose(now, picks, tried, draw).map(|pick| pick.id.to_owned()),
+        |load, now, picks| load.choose(now, picks, tried, random).map(|pick| pick.id.to_owned()),
     );
     chosen.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -106,7 +106,7 @@
         retry_after_ms: u64,
     },
     /// The target refused for load.
-    Full,
+    Overloaded,
     /// Nothing opened, the connection broke, the time was over, or the answer was not the target's.
     Other,
 }
@@ -141,7 +141,7 @@
     pub(crate) const fn outcome(&self) -> CallOutcome {
         match self.cause {
             Cause::Blocked { .. } => CallOutcome::Cancelled,
-            Cause::Full => CallOutcome::Overloaded,
+            Cause::Overloaded => CallOutcome::Overloaded,
             Cause::Other => CallOutcome::Failed,
         }
     }
@@ -245,7 +245,7 @@
     marks: &TargetResponseMetadata,
 ) -> Option<AttemptFailure> {
     let moved = status == StatusCode::MISDIRECTED_REQUEST;
-    let cause = if moved { Cause::Other } else { Cause::Full };
+    let cause = if moved { Cause::Other } else { Cause::Overloaded };
     (marks.not_run || moved)
         .then(|| AttemptFailure::not_run(cause, format!("refused with {status}")))
 }
@@ -278,7 +278,7 @@
     let label = match &result {
         Ok(_) => "answered",
         Err(failure) if failure.is_blocked() => "barred",
-        Err(failure) if failure.cause == Cause::Full => "full",
+        Err(failure) if failure.cause == Cause::Overloaded => "full",
         Err(failure) if failure.verdict == Verdict::NotRun => "not_run",
         Err(_) => "failed",
     };
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -120,7 +120,7 @@
 }
 
 fn not_run(message: String) -> AttemptFailure {
-    AttemptFailure::not_run(Cause::Full, message)
+    AttemptFailure::not_run(Cause::Overloaded, message)
 }
 
 async fn start<P: Platform>(
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the items of batches: which next, where, what their streams say, and their scores.
+//! Runs the items of batches: scheduling, placement, streams and scoring.
 
 mod placement;
 mod score;
@@ -23,21 +23,21 @@
 use stream::run_item;
 use tokio::time::timeout;
 
-/// How often waiting items are looked at again although nothing was heard: a target's rest ends,
-/// another owner's items leave a slot.
+/// How often waiting items are scheduled again without being woken: a target's backoff ends, or
+/// another owner's items free a slot.
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an item waits after a run of it failed.
+/// How long an item waits after a run of it failed, before it may run again.
 const FAILED_RETRY_PAUSE_MS: u64 = 50;
-/// How long an item waits after a target refused it for load.
-const FULL_RETRY_PAUSE_MS: u64 = 20;
+/// How long an item waits after a target refused it for load, before it may run again.
+const OVERLOADED_RETRY_PAUSE_MS: u64 = 20;
 
-/// Starts items as targets become free, until the process ends.
+/// Starts and moves runs as targets become free, until the process ends.
 pub(crate) async fn schedule<P: Platform>(node: Rc<Node<P>>) {
     loop {
         if node.batches.open().is_empty() && node.batches.standby.interim().is_empty() {
             node.work.notified().await;
         } else {
-            // Either way the batches are looked at.
+            // After a time-out too, the batches are checked.
             drop(timeout(SCHEDULE_INTERVAL, node.work.notified()).await);
         }
         if node.leaving.get() {
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -1,4 +1,4 @@
-//! Where runs take place, and when one moves to another target.
+//! Placement of runs on targets, and moves from slow targets to faster ones.
 
 use super::start_run;
 use crate::batches::LocalBatch;
@@ -14,24 +14,24 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A run stays where it is for this long: by then its target's pace is known.
+/// The age from which a run may move: by then the latency of its target is known.
 const MOVE_MIN_AGE_MS: u64 = 300;
-/// A run moves from a target that takes at least this many tenths of the time of the free one; the
-/// way of a move costs about as much as one event.
+/// A run moves if the latency of its target is at least this many tenths of that of the free one; a
+/// move costs about as much time as one event.
 const MOVE_MIN_RATIO_TENTHS: u64 = 18;
-/// A run that moves is taken for one that goes on for so long: those that are worth a move do.
+/// The time that a moved run is expected to take; runs that are worth a move take this long.
 const MOVED_RUN_EXPECTED_MS: u64 = 2_000;
-/// Runs moved in one look. A target of eight slots that turns slow is emptied in one, and the
-/// moves of several do not hold up a small machine's other work for longer than an event.
+/// Most runs moved in one pass. This drains a target of eight slots that becomes slow in one pass,
+/// and the moves do not delay other work on a small machine for longer than an event takes.
 const MOVES_PER_PASS: usize = 12;
 
-/// The targets that are kept current for a batch's model, by service. They are worked out once in a
-/// look at a batch: worked out for each item, they took a third of an owner's processor time.
+/// The targets assigned to a batch's model, by service. They are computed once in each pass over a
+/// batch: computed for each item, they took a third of an owner's processor time.
 #[derive(Debug, Default)]
 pub(super) struct ModelTargets(IndexMap<String, Option<IndexSet<String>>>);
 
 impl ModelTargets {
-    /// Returns the ids of a service's own targets; none where the batch names no model.
+    /// Returns the ids of a service's targets for the model; none if the batch names no model.
     fn of<P: Platform>(
         &mut self,
         node: &Node<P>,
@@ -51,18 +51,20 @@
         self.0[service].as_ref()
     }
 
-    /// Returns the recent latency of the fastest of those that were asked for; 0 where none was.
+    /// Returns the recent latency of the fastest of the targets computed so far; 0 if there are
+    /// none.
     fn fastest_ms(&self, load: &LoadBalancer) -> u64 {
         load.fastest_ms(self.0.values().flatten().flatten().map(String::as_str))
     }
 }
 
-/// Moves runs from slow targets to free fast ones once nothing waits: a group is complete with its
-/// slowest item, and a text goes on elsewhere from its last event for some milliseconds of reading.
+/// Moves runs from slow targets to free faster ones once no item waits: a group is complete only
+/// with its slowest item, and a run continues elsewhere from its last event at the cost of some
+/// milliseconds for reading the prompt.
 ///
-/// A run is started at the free target as soon as it has stopped. Put back to wait for the next
-/// look, several runs left slow targets for one free slot, and all but one went back to where they
-/// had been: some moved every 300 ms and generated nothing.
+/// Each run starts on the free target as soon as it has stopped. If stopped runs waited for the
+/// next pass instead, several would leave slow targets for one free slot, and all but one would go
+/// back: some then moved every 300 ms and generated nothing.
 pub(super) fn move_slow_runs<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
     if local.borrow().batch.has_waiting() {
         return;
@@ -115,7 +117,7 @@
     }
 }
 
-/// Returns a free target that is worth the move of a run.
+/// Returns a free target that is fast enough to be worth moving a run to.
 fn faster_target<P: Platform>(
     node: &Rc<Node<P>>,
     local: &RefCell<LocalBatch>,
@@ -123,7 +125,7 @@
     target: &str,
     model_targets: &mut ModelTargets,
 ) -> Option<ChosenTarget> {
-    // Most runs are at targets like any other; a free one is looked for only for the rest.
+    // Most runs are on targets of normal speed; a free target is searched only for the others.
     let (current_ms, fastest_ms) = {
         let load = node.load.borrow();
         (load.latency_ms(target), model_targets.fastest_ms(&load))
@@ -152,7 +154,8 @@
         .map(|(id, address)| ChosenTarget { address, id })
 }
 
-/// Chooses a target with a free slot whose weights are new enough.
+/// Chooses a target with a free slot and new enough weights, preferably the one on which the item's
+/// group ran.
 fn pick_free<P: Platform>(
     node: &Rc<Node<P>>,
     local: &RefCell<LocalBatch>,
@@ -168,22 +171,23 @@
     let route = document.route(host, &item.path)?;
     let service = route.service(xxhash_rust::xxh3::xxh3_64(item.id.as_bytes()))?;
     let preferred = item.group.as_ref().and_then(|group| local.group_targets.get(group));
-    let draw = node.random_u64();
+    let random = node.random_u64();
     let oldest = submission.oldest_version;
     let model_targets = model_targets.of(node, service, submission);
     let fits = |entry: &TargetEntry| {
         submission.model.as_ref().is_none_or(|model| entry.serves(model, oldest))
     };
-    node.pick(service, fits, |load, now, picks| {
+    node.pick(service, fits, |load, now, candidates| {
         let is_model_target =
-            |pick: &&Candidate<'_>| model_targets.is_none_or(|ids| ids.contains(pick.id));
-        let model_picks: Vec<Candidate<'_>> =
-            picks.iter().filter(is_model_target).copied().collect();
-        // Where all of its own fail or refuse, the others serve rather than none.
-        let all_back_off = model_picks.iter().all(|pick| load.is_backing_off(now, pick.id));
-        let from = if all_back_off { picks } else { &model_picks };
+            |candidate: &&Candidate<'_>| model_targets.is_none_or(|ids| ids.contains(candidate.id));
+        let model_candidates: Vec<Candidate<'_>> =
+            candidates.iter().filter(is_model_target).copied().collect();
+        // If all targets of the model are backing off, use the others rather than none.
+        let all_back_off =
+            model_candidates.iter().all(|candidate| load.is_backing_off(now, candidate.id));
+        let from = if all_back_off { candidates } else { &model_candidates };
         let preferred = preferred.map(String::as_str);
-        load.choose_with_free_slot(now, from, preferred, run_ms, draw)
-            .map(|pick| pick.id.to_owned())
+        load.choose_with_free_slot(now, from, preferred, run_ms, random)
+            .map(|candidate| candidate.id.to_owned())
     })
 }
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -1,4 +1,4 @@
-//! Scores of items whose texts are whole.
+//! Scoring of items whose output is complete.
 
 use super::finish;
 use crate::batches::{LocalBatch, Run};
@@ -15,15 +15,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long one scoring call may take.
+/// Deadline of one scoring call.
 const SCORE_TIMEOUT_MS: u64 = 3_000;
-/// Pause between two tries of a scoring call; doubled up to [`SCORE_RETRY_PAUSE_MAX_MS`].
+/// Pause before a scoring call is repeated; doubled each time up to [`SCORE_RETRY_PAUSE_MAX_MS`].
 const SCORE_RETRY_PAUSE_MS: u64 = 30;
 const SCORE_RETRY_PAUSE_MAX_MS: u64 = 500;
-/// Pause of a scoring call that is not made because targets have ended under it.
+/// Pause before a blocked scoring call is attempted again.
 const SCORE_BLOCKED_PAUSE_MS: u64 = 1_000;
 
-/// Scores an item whose whole text an earlier run has left.
+/// Starts scoring an item whose complete output an earlier run has left.
 pub(super) fn start_scoring<P: Platform>(
     node: &Rc<Node<P>>,
     local: &Rc<RefCell<LocalBatch>>,
@@ -47,7 +47,7 @@
     local.borrow_mut().runs.insert(index, run);
 }
 
-/// Scores an item whose text is whole, and takes its result.
+/// Scores an item whose output is complete, and records its result.
 pub(super) async fn score_item<P: Platform>(
     node: &Rc<Node<P>>,
     local: &RefCell<LocalBatch>,
@@ -78,8 +78,8 @@
     finish(node, local, result);
 }
 
-/// Repeats a scoring call under the same id until it is answered; none when it has failed as
-/// often as it may.
+/// Repeats a scoring call under the same id until it is answered; returns none if it has failed as
+/// often as the batch's policy allows.
 async fn score<P: Platform>(
     node: &Rc<Node<P>>,
     local: &RefCell<LocalBatch>,
@@ -112,10 +112,10 @@
                     node.note("score_refused", json!({ "request": reward.id, "status": status }));
                 }
                 Err(failure) if failure.is_blocked() => {
-                    // The text is whole: it waits for its score until its batch is over.
+                    // The output is complete: it waits for its score until its batch ends.
                     pause_ms = SCORE_BLOCKED_PAUSE_MS;
                 }
-                // Its line is written by the attempt.
+                // The attempt writes its own line to the trail.
                 Err(_) => {}
             }
             tried = vec![chosen.id];
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -1,7 +1,8 @@
-//! Second runs of items that a trainer will probably leave, for the batch in which they come again.
+//! Second runs: speculative runs of items that the trainer will probably not use in their batch,
+//! for the later batch in which they are submitted again.
 //!
-//! A second run is no part of its batch: it only keeps a text under newer weights, and goes on when
-//! the batch ends. The batch in which its item comes again takes the text and goes on from there.
+//! A second run is not part of its batch: it only generates output under newer weights, and goes on
+//! after the batch ends. The batch in which its item is submitted again continues from that output.
 
 use super::stream::{RunEnd, RunSpec, fingerprint, run};
 use crate::batches::LocalBatch;
@@ -19,27 +20,28 @@
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// How long a second run may take, and how long its text is kept: two steps of a trainer.
+/// How long a second run may take and its output is kept: two steps of a trainer.
 const SECOND_RUN_MAX_MS: u64 = 16_000;
-/// Second runs at once, for all batches of this node: an eighth of two steps of a hundred items. Each
-/// adds a hundredth to the time of the others at its target.
+/// Most concurrent second runs for all batches of this node: an eighth of two steps of a hundred
+/// items. Each slows the other runs on its target by a hundredth.
 const SECOND_RUNS_MAX: usize = 24;
 
-/// The part of a target's slots, in percent, that may be taken when a second run starts there: the
-/// rest is for items that trainers wait for now, of which a quarter of a step starts at each target.
+/// The percentage of a target's slots that may be in use when a second run starts there. The rest
+/// is reserved for items that trainers wait for now, of which a quarter of a step starts on each
+/// target.
 const SECOND_RUN_SLOTS_PERCENT: u32 = 75;
 
-/// A second run.
+/// A second run of an item.
 #[derive(Debug)]
 pub(crate) struct SecondRun {
-    /// The batch in which its item is open, or was.
+    /// The batch that its item belongs to, which may have ended.
     pub batch: String,
-    /// Its item.
+    /// The id of its item.
     pub item: String,
     progress: Rc<RefCell<Progress>>,
     running: Rc<Cell<bool>>,
     stop_by: UnixMs,
-    /// Where it runs.
+    /// The id of the target on which it runs.
     pub target: String,
     task: AbortHandle,
     workspace: Option<String>,
@@ -50,7 +52,7 @@
 pub(crate) struct SecondRuns(RefCell<IndexMap<String, SecondRun>>);
 
 impl SecondRuns {
-    /// Stops the runs for which `is_obsolete` holds, and forgets their texts.
+    /// Stops the runs for which `is_obsolete` returns true, and drops their output.
     pub(crate) fn stop_where(&self, is_obsolete: impl Fn(&SecondRun) -> bool) {
         self.0.borrow_mut().retain(|_, second| {
             let obsolete = is_obsolete(second);
@@ -61,7 +63,8 @@
         });
     }
 
-    /// Stops an item's second run for a workspace and returns its text.
+    /// Stops an item's second run and returns its output, if it belongs to the workspace and has
+    /// any.
     pub(crate) fn take(&self, item: &str, workspace: Option<&str>) -> Option<Progress> {
         let same_workspace = |second: &SecondRun| second.workspace.as_deref() == workspace;
         let mut runs = self.0.borrow_mut();
@@ -82,25 +85,26 @@
         self.0.borrow().values().filter(|second| second.running.get()).count()
     }
 
-    /// Returns what is held of an item's text, to go on from.
+    /// Returns the output so far of an item's second run.
     fn output(&self, item: &str) -> Progress {
         let runs = self.0.borrow();
         runs.get(item).map(|second| second.progress.borrow().clone()).unwrap_or_default()
     }
 }
 
-/// Starts second runs of open batches' items where targets have room.
+/// Starts second runs of open batches' items on targets with spare capacity.
 pub(super) fn start_second_runs<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
     let open = node.batches.open();
     for local in &open {
         let local = local.borrow();
-        let taken = local.batch.consumed_groups();
-        let is_taken =
-            |item: &str| local.batch.item(item).is_some_and(|item| taken.contains(group_of(item)));
+        let consumed = local.batch.consumed_groups();
+        let is_consumed = |item: &str| {
+            local.batch.item(item).is_some_and(|item| consumed.contains(group_of(item)))
+        };
         node.batches
             .second_runs
-            .stop_where(|second| second.batch == local.id && is_taken(&second.item));
+            .stop_where(|second| second.batch == local.id && is_consumed(&second.item));
     }
     node.batches.second_runs.stop_where(|second| second.stop_by <= now);
     for local in open {
@@ -118,11 +122,11 @@
 }
 
 fn items_worth_rerunning(local: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
-    let text_version = |index: usize| {
+    let output_version = |index: usize| {
         let run = local.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
     };
-    local.batch.rerun_candidates(now, next_oldest, text_version)
+    local.batch.rerun_candidates(now, next_oldest, output_version)
 }
 
 fn start<P: Platform>(
@@ -142,7 +146,8 @@
     if node.batches.second_runs.is_running(&item.id) || progress.complete {
         return;
     }
-    // Digests of all candidates at every look would cost more than what they guard against.
+    // Fingerprints are computed only if there is evidence at all: computing them for all
+    // candidates in every pass would cost more than the crashes that they prevent.
     if crashes::has_evidence(node) && !crashes::is_clear(node, fingerprint(&item, &spec.host)) {
         return;
     }
@@ -169,8 +174,8 @@
     let (task_batch, target) = (batch.clone(), chosen.id.clone());
     let task = tokio::task::spawn_local(async move {
         let started_at = clock::now();
-        let gap = Cell::new(0);
-        let end = run(&task_node, &spec, &item, &task_progress, &chosen, &gap).await;
+        let longest_gap_ms = Cell::new(0);
+        let end = run(&task_node, &spec, &item, &task_progress, &chosen, &longest_gap_ms).await;
         let (outcome, why) = match &end {
             RunEnd::Broken { outcome, why } => (*outcome, why.as_str()),
             _ => (CallOutcome::Cancelled, ""),
@@ -202,12 +207,14 @@
     node.batches.second_runs.0.borrow_mut().insert(id, second);
 }
 
-/// Leaves a part of a target's slots to the runs that trainers wait for now.
-fn reserve_slots<'a>(pick: &Candidate<'a>) -> Candidate<'a> {
-    Candidate { slots: pick.slots * SECOND_RUN_SLOTS_PERCENT / 100, ..*pick }
+/// Returns a candidate with fewer slots, so that the rest stay free for runs that trainers wait
+/// for.
+fn reserve_slots<'a>(candidate: &Candidate<'a>) -> Candidate<'a> {
+    Candidate { slots: candidate.slots * SECOND_RUN_SLOTS_PERCENT / 100, ..*candidate }
 }
 
-/// Chooses a free target whose weights the next batch accepts, other than the first run's.
+/// Chooses a free target, other than that of the item's first run, whose weights are new enough for
+/// the next batch.
 fn choose<P: Platform>(
     node: &Rc<Node<P>>,
     spec: &RunSpec,
@@ -223,11 +230,15 @@
     let fits = |entry: &TargetEntry| {
         entry.version(model).is_some_and(|version| version >= spec.oldest_version)
     };
-    let draw = node.random_u64();
-    let picked = node.pick(service, fits, |load, now, picks| {
-        let others: Vec<Candidate<'_>> =
-            picks.iter().filter(|pick| Some(pick.id) != first_target).map(reserve_slots).collect();
-        load.choose_with_free_slot(now, &others, None, run_ms, draw).map(|pick| pick.id.to_owned())
+    let random = node.random_u64();
+    let picked = node.pick(service, fits, |load, now, candidates| {
+        let others: Vec<Candidate<'_>> = candidates
+            .iter()
+            .filter(|candidate| Some(candidate.id) != first_target)
+            .map(reserve_slots)
+            .collect();
+        load.choose_with_free_slot(now, &others, None, run_ms, random)
+            .map(|candidate| candidate.id.to_owned())
     });
     picked.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -1,7 +1,7 @@
-//! One run of an item at a target, and what its stream says.
+//! A run of an item on a target, and the event stream that it reads.
 
 use super::score::score_item;
-use super::{FAILED_RETRY_PAUSE_MS, FULL_RETRY_PAUSE_MS, finish};
+use super::{FAILED_RETRY_PAUSE_MS, OVERLOADED_RETRY_PAUSE_MS, finish};
 use crate::batches::LocalBatch;
 use crate::clock;
 use crate::crashes::StreamRun;
@@ -22,33 +22,32 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The longest wait for a run's first event: a prompt is read in some milliseconds, and a target
-/// that loads refuses at once.
+/// Time-out for a run's first event: reading a prompt takes some milliseconds, and a target that is
+/// loading weights refuses at once.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The longest silence within a stream. Over a day of 3,000 runs, with targets four times slower
-/// among them, the longest silence of a live target was 266 ms. A text that moves for nothing costs
-/// a prompt that is read again.
+/// Time-out between two events. Over a day of 3,000 runs, some on targets four times slower, the
+/// longest gap of a live target was 266 ms. A false time-out costs reading the prompt again.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a run may take that its caller has not bounded.
+/// How long a run may take if its caller has set no limit.
 const UNBOUNDED_RUN_MS: u64 = 30_000;
-/// How often an item is looked at again that is sent to no target because engines have ended under it.
-/// Its time to be given up, or word that an engine has survived it, comes at any moment.
+/// How often a blocked item is checked again: it may have to be given up, or may be allowed again
+/// because an engine has survived it.
 const BLOCKED_PAUSE_MS: u64 = 1_000;
 
-/// What a run is made under.
+/// The parameters of a run apart from its item.
 #[derive(Clone, Debug)]
 pub(super) struct RunSpec {
     pub give_up_at: UnixMs,
     pub host: String,
     pub model: Option<String>,
-    /// The oldest version that may produce its events.
+    /// The oldest weight version that may generate its events.
     pub oldest_version: u64,
-    /// The workspace whose item it is.
+    /// The workspace that the item belongs to.
     pub workspace: Option<String>,
 }
 
 impl RunSpec {
-    /// Returns those of a batch's own runs.
+    /// Returns the parameters of runs of a batch's own items.
     pub(super) fn of(local: &LocalBatch) -> Self {
         let submission = local.batch.submission();
         Self {
@@ -61,18 +60,18 @@
     }
 }
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Debug)]
 pub(super) enum RunEnd {
-    /// It was not sent: engines have ended under it.
+    /// It was not sent: the item is blocked because engines have crashed while running it.
     Blocked { why: String },
-    /// The target's answer says that the item failed.
+    /// The target answered that the item failed.
     Failed,
-    /// The item can never be done.
+    /// The target answered that the item can never be processed.
     Unprocessable,
-    /// It broke off; another target can go on from the text so far.
+    /// It was interrupted; another target can continue from the output so far.
     Broken { outcome: CallOutcome, why: String },
-    /// The text is whole.
+    /// The output is complete.
     Complete,
 }
 
@@ -90,7 +89,7 @@
     let spec = RunSpec::of(&local.borrow());
     let longest_gap_ms = Cell::new(0);
     let end = run(&node, &spec, &item, &progress, &chosen, &longest_gap_ms).await;
-    let text = progress.borrow().clone();
+    let output = progress.borrow().clone();
     let outcome = match &end {
         RunEnd::Blocked { .. } | RunEnd::Complete | RunEnd::Failed | RunEnd::Unprocessable => {
             CallOutcome::Cancelled
@@ -112,8 +111,8 @@
         "item_run",
         json!({
             "request": item.id, "batch": local.borrow().id, "target": chosen.id, "outcome": label,
-            "why": why, "versions": text.versions, "resumed_after": resumed_after,
-            "last_event": text.last_event_id, "longest_gap_ms": longest_gap_ms.get(),
+            "why": why, "versions": output.versions, "resumed_after": resumed_after,
+            "last_event": output.last_event_id, "longest_gap_ms": longest_gap_ms.get(),
             "ms": clock::now().since_ms(started_at), "fingerprint": fingerprint,
         }),
     );
@@ -126,20 +125,20 @@
             if let Some(run) = local.borrow_mut().runs.get_mut(&index) {
                 run.scoring = true;
             }
-            score_item(&node, &local, index, &item, text).await;
+            score_item(&node, &local, index, &item, output).await;
         }
         RunEnd::Blocked { .. } => {
             let from = clock::now().plus(BLOCKED_PAUSE_MS);
-            local.borrow_mut().batch.put_back(index, from, text);
+            local.borrow_mut().batch.put_back(index, from, output);
         }
         RunEnd::Broken { outcome, .. } => {
             let pause_ms = if outcome == CallOutcome::Overloaded {
-                FULL_RETRY_PAUSE_MS
+                OVERLOADED_RETRY_PAUSE_MS
             } else {
                 FAILED_RETRY_PAUSE_MS
             };
             let from = clock::now().plus(pause_ms);
-            local.borrow_mut().batch.put_back(index, from, text);
+            local.borrow_mut().batch.put_back(index, from, output);
         }
         RunEnd::Unprocessable => finish(&node, &local, ItemResult::errored(item.id)),
         RunEnd::Failed => {
@@ -155,7 +154,7 @@
     node.work.notify_one();
 }
 
-/// Names what an item asks, as its [requests](outgoing) do.
+/// Returns the fingerprint of an item, which equals that of its [requests](outgoing).
 pub(super) fn fingerprint(item: &Item, host: &str) -> Fingerprint {
     Fingerprint::of(Method::POST.as_str(), host, &item.path, &item.body)
 }
@@ -208,7 +207,7 @@
             return RunEnd::Blocked { why: failure.message };
         }
         Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
-        Err(_) => return broken("no head in time", CallOutcome::Failed),
+        Err(_) => return broken("no response head before the time-out", CallOutcome::Failed),
     };
     let (response, connection, marks) = opened;
     let (parts, body) = response.into_parts();
@@ -231,7 +230,7 @@
             return RunEnd::Failed;
         }
         status if !status.is_success() => {
-            return broken(&format!("answered {status}"), CallOutcome::Failed);
+            return broken(&format!("the target answered {status}"), CallOutcome::Failed);
         }
         _ => {}
     }
@@ -264,16 +263,16 @@
     }
 }
 
-/// Why a stream was not read to its end.
+/// The reason why a stream was not read to its end.
 #[derive(Debug)]
 enum ReadError {
     /// The connection broke.
     Disconnected(String),
-    /// Silence, or events that cannot be used.
+    /// A time-out, or events that cannot be used.
     Other(String),
 }
 
-/// The events of one run.
+/// The event stream of one run.
 struct TokenStream {
     body: Incoming,
     longest_gap_ms: u64,
@@ -284,7 +283,11 @@
 }
 
 impl TokenStream {
-    /// Reads events until the stream's end; an error says why it is not whole.
+    /// Reads events until the end of the stream.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the output is incomplete or cannot be used; the error says why.
     async fn read<P: Platform>(
         &mut self,
         node: &Node<P>,
@@ -292,11 +295,11 @@
         sent: &StreamRun,
     ) -> Result<(), ReadError> {
         let mut events = EventReader::default();
-        let mut max = FIRST_EVENT_TIMEOUT;
+        let mut event_timeout = FIRST_EVENT_TIMEOUT;
         let mut last_at = clock::now();
         let mut first = true;
         loop {
-            let frame = match timeout(max, self.body.frame()).await {
+            let frame = match timeout(event_timeout, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => return Err(ReadError::Disconnected(error.to_string())),
                 Ok(None) if events.is_between_events() => return Ok(()),
@@ -305,7 +308,10 @@
                     return Err(ReadError::Disconnected(why));
                 }
                 Err(_) => {
-                    return Err(ReadError::Other(format!("silent for {} ms", max.as_millis())));
+                    return Err(ReadError::Other(format!(
+                        "no event within {} ms",
+                        event_timeout.as_millis()
+                    )));
                 }
             };
             let Some(data) = frame.data_ref() else { continue };
@@ -321,7 +327,7 @@
             }
             first = false;
             last_at = now;
-            max = EVENT_TIMEOUT;
+            event_timeout = EVENT_TIMEOUT;
         }
     }
 
@@ -337,14 +343,17 @@
         let mut progress = self.progress.borrow_mut();
         let expected = progress.last_event_id.map(|last| last + 1);
         if expected.is_some() && event.id.is_some() && event.id != expected {
-            return Err(format!("event {:?} where {expected:?} is due", event.id));
+            return Err(format!("received event {:?}, expected {expected:?}", event.id));
         }
         if let Some(version) = self.version {
             if let Some(model) = &self.model {
                 node.targets.borrow_mut().record_version(&chosen.id, model, version);
             }
             if version < self.oldest_version {
-                return Err(format!("version {version} is older than {}", self.oldest_version));
+                return Err(format!(
+                    "weight version {version} is older than the oldest allowed, {}",
+                    self.oldest_version
+                ));
             }
             progress.note_version(version);
         }
