--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -1,8 +1,9 @@
-//! Whether a target ended with a request of ours under way.
+//! Detection of targets that end with a request of this node in flight.
 //!
-//! A connection breaks for many reasons: a target that crashes, one that is told to leave, a reset on
-//! the way. Only the first says something of the request, so the target's fate is found out: its address
-//! is asked at once, and the registry's word counts for some seconds after the break.
+//! A connection breaks for many reasons: the target crashes, it leaves as planned, or the
+//! connection is reset on the way. Only a crash is evidence against the request, so what happened
+//! to the target is determined: its address is probed at once, and changes of the registry count
+//! for some seconds after the break.
 
 use crate::clock;
 use crate::forward::{ChosenTarget, OutgoingRequest};
@@ -19,18 +20,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause before an address that still took a connection is asked once more: a process that ends may
+/// Pause before an address that accepted a connection is probed again: a process that ends may
 /// close its connections some milliseconds before its listener.
 const PROBE_AGAIN_AFTER: Duration = Duration::from_millis(200);
-/// A stream that has brought events for so long shows that its target survives it. Engines end with all
-/// their streams, which last for seconds; held against each, every one of them would soon have three.
+/// A stream that has delivered events for this long is taken as survived by its target. An engine
+/// that crashes interrupts all its streams, which last for seconds; if each crash counted against
+/// all of them, every stream would soon reach three.
 const SURVIVED_AFTER_MS: u64 = 1_000;
 
-/// A stream under way at a target.
+/// A stream in flight on a target.
 #[derive(Debug)]
 pub(crate) struct StreamRun {
     chosen: ChosenTarget,
-    /// When its first event came: until then it may have waited at the target.
+    /// When its first event arrived; until then it may have been queued at the target.
     first_event_at: Cell<Option<UnixMs>>,
     outgoing: OutgoingRequest,
 }
@@ -40,14 +42,14 @@
         Self { chosen, first_event_at: Cell::new(None), outgoing }
     }
 
-    /// Takes it that a part of its answer came.
+    /// Records that a part of its answer arrived.
     pub(crate) fn received(&self) {
         if self.first_event_at.get().is_none() {
             self.first_event_at.set(Some(clock::now()));
         }
     }
 
-    /// Takes it that its connection broke.
+    /// Records that its connection broke.
     pub(crate) fn connection_broke<P: Platform>(&self, node: &Rc<Node<P>>) {
         let ran_ms = self.first_event_at.get().map_or(0, |first| clock::now().since_ms(first));
         if ran_ms < SURVIVED_AFTER_MS {
@@ -57,20 +59,20 @@
         }
     }
 
-    /// Takes it that it came to its end.
+    /// Records that it ended normally.
     pub(crate) fn completed<P: Platform>(&self, node: &Rc<Node<P>>) {
         super::answer_received(node, &self.outgoing);
     }
 }
 
-/// Takes a request whose connection to its target broke while it may have run.
+/// Records that the connection to a target broke while the request may have been running.
 pub(crate) fn connection_broke<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) {
     let Some(entry) = node.targets.borrow().entry(&chosen.id).cloned() else { return };
-    // One that leaves as planned may break off what it has not finished by the end.
+    // A draining target may break connections of requests that it has not finished in time.
     if entry.draining {
         return;
     }
@@ -83,7 +85,7 @@
     }
 }
 
-/// Asks a target's address whether anybody listens there.
+/// Probes whether a target's address refuses connections, which shows that the target has ended.
 async fn probe_target<P: Platform>(
     node: Rc<Node<P>>,
     address: SocketAddr,
@@ -99,7 +101,7 @@
     }
 }
 
-/// Takes the registry's word of a target, or its own.
+/// Handles a change of a target's entry, as reported by the registry or by the target itself.
 pub(crate) fn target_changed<P: Platform>(
     node: &Node<P>,
     change: &TargetChange,
@@ -131,10 +133,10 @@
         node.note(
             "target_ended",
             json!({
-                "target": incarnation.id, "born_at_unix_ms": incarnation.started_at_unix_ms, "by": by,
-                "fingerprint": fingerprint.to_string(), "under_way": in_flight,
+                "target": incarnation.id, "born_at_unix_ms": incarnation.started_at_unix_ms,
+                "by": by, "fingerprint": fingerprint.to_string(), "under_way": in_flight,
             }),
         );
-        super::ended(node, fingerprint, incarnation);
+        super::target_ended(node, fingerprint, incarnation);
     }
 }
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -1,9 +1,10 @@
-//! Requests that end targets: what is seen of them, and that they are sent on no more.
+//! Requests that crash targets: collecting the evidence, and blocking them.
 //!
-//! What may be sent is decided by [`Quarantine`](catkinmast_quarantine::Quarantine). `detection` finds out
-//! whether a target ended with requests of this node under way; `records` keeps the evidence in the store,
-//! and reads it where a whole fleet has started anew. Between nodes evidence travels as membership's facts
-//! do: at once to all, also while the store is away, and to a node that missed it or starts within seconds.
+//! [`Quarantine`](catkinmast_quarantine::Quarantine) decides what may be sent. `detection` finds
+//! out whether a target ended with requests of this node in flight. `records` keeps the evidence in
+//! the store, and reads it after all nodes have restarted. Nodes share evidence as membership
+//! facts: it reaches all of them at once, also while the store is unavailable, and within seconds a
+//! node that missed it or has just started.
 
 mod detection;
 mod records;
@@ -23,18 +24,18 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// Tells whether there is evidence against any request.
+/// Returns whether there is evidence against any request.
 pub(crate) fn has_evidence<P: Platform>(node: &Node<P>) -> bool {
     !node.quarantine.borrow().is_empty()
 }
 
-/// Tells whether a request is free to be sent to targets.
-pub(crate) fn is_clear<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> bool {
+/// Returns whether a request may be sent to targets without a trial.
+pub(crate) fn is_allowed<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> bool {
     let status = node.quarantine.borrow().status(UnixMs::from_wall_clock(), fingerprint);
     status == RequestStatus::Allowed
 }
 
-/// Tells whether a request is sent to no target, before one is chosen or waited for.
+/// Fails if a request is blocked; called before a target is chosen or waited for.
 pub(crate) fn check<P: Platform>(
     node: &Node<P>,
     outgoing: &OutgoingRequest,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Admits a request to a target, or says why it is not sent.
+/// Admits a request to a target; fails if it is blocked or another node holds its trial.
 pub(crate) async fn admit<P: Platform>(
     node: &Rc<Node<P>>,
     outgoing: &OutgoingRequest,
@@ -78,7 +79,7 @@
         json!({ "fingerprint": fingerprint.to_string(), "number": number, "ours": is_ours,
                 "request": outgoing.request_id }),
     );
-    // The store may answer after seconds; another target may have ended meanwhile.
+    // The store may take seconds to answer, and another target may have ended meanwhile.
     let ends = node.quarantine.borrow().evidence(fingerprint).map_or(0, Evidence::unrefuted_count);
     if is_ours && ends <= number { Ok(()) } else { Err(blocked(now.plus(records::TRIAL_LEASE_MS))) }
 }
@@ -89,7 +90,7 @@
     AttemptFailure::not_run(Cause::Blocked { retry_after_ms }, message)
 }
 
-/// Takes it that a target has answered a request.
+/// Records that a target answered a request, which clears the evidence against it.
 pub(crate) fn answer_received<P: Platform>(node: &Rc<Node<P>>, outgoing: &OutgoingRequest) {
     if !has_evidence(node) && node.interrupted.borrow().is_empty() {
         return;
@@ -102,37 +103,41 @@
     }
 }
 
-/// Takes the end of a target under a request of this node.
-fn ended<P: Platform>(node: &Node<P>, fingerprint: Fingerprint, incarnation: TargetIncarnation) {
-    let was_clear = is_clear(node, fingerprint);
+/// Records that a target ended with a request of this node in flight.
+fn target_ended<P: Platform>(
+    node: &Node<P>,
+    fingerprint: Fingerprint,
+    incarnation: TargetIncarnation,
+) {
+    let was_allowed = is_allowed(node, fingerprint);
     let now = UnixMs::from_wall_clock();
     if node.quarantine.borrow_mut().record_end(now, fingerprint, incarnation) {
-        note_if_blocked(node, fingerprint, was_clear, "seen here");
+        note_if_blocked(node, fingerprint, was_allowed, "seen here");
         share_evidence(node, fingerprint);
     }
 }
 
-/// Takes what another node tells.
+/// Handles evidence from another node.
 pub(crate) fn on_evidence_received<P: Platform>(node: &Node<P>, crash: &CrashFact) {
     merge_evidence(node, crash.fingerprint, &crash.evidence, "a peer");
 }
 
-/// Takes what was seen elsewhere; returns whether it is news.
+/// Merges evidence from elsewhere; returns whether it was new.
 fn merge_evidence<P: Platform>(
     node: &Node<P>,
     fingerprint: Fingerprint,
     evidence: &Evidence,
     by: &'static str,
 ) -> bool {
-    let was_clear = is_clear(node, fingerprint);
+    let was_allowed = is_allowed(node, fingerprint);
     let is_new = node.quarantine.borrow_mut().merge(fingerprint, evidence);
     if is_new {
-        note_if_blocked(node, fingerprint, was_clear, by);
+        note_if_blocked(node, fingerprint, was_allowed, by);
     }
     is_new
 }
 
-/// Tells all nodes what this one has seen of a request, and has it kept.
+/// Sends this node's evidence against a request to all nodes, and queues it for the store.
 fn share_evidence<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
     node.unsaved_crashes.borrow_mut().insert(fingerprint);
     node.crashes_changed.notify_one();
@@ -149,15 +154,15 @@
 fn note_if_blocked<P: Platform>(
     node: &Node<P>,
     fingerprint: Fingerprint,
-    was_clear: bool,
+    was_allowed: bool,
     by: &'static str,
 ) {
-    if !was_clear || is_clear(node, fingerprint) {
+    if !was_allowed || is_allowed(node, fingerprint) {
         return;
     }
     let quarantine = node.quarantine.borrow();
-    let lives = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::unrefuted);
-    let targets: Vec<String> = lives.map(TargetIncarnation::to_string).collect();
+    let incarnations = quarantine.evidence(fingerprint).into_iter().flat_map(Evidence::unrefuted);
+    let targets: Vec<String> = incarnations.map(TargetIncarnation::to_string).collect();
     node.note(
         "request_barred",
         json!({ "fingerprint": fingerprint.to_string(), "targets": targets, "by": by,
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -1,10 +1,10 @@
-//! What of the evidence outlives the processes: records in the platform's store.
+//! Records of the evidence in the platform's store.
 //!
-//! *All nodes forget at once.* They hold evidence in memory and tell it to those that start; killed all
-//! at the same moment, they would let a request end three more targets. So evidence of two ends and more
-//! is written to the store, and the first node of a fleet that has started reads it. Of one end it is
-//! not: most are of requests that were under way by chance, and a write for each would cost more calls
-//! than all else that a crash of a target brings.
+//! Nodes hold evidence in memory and share it with nodes that start. If all were killed at the same
+//! moment, the evidence would be lost and a request could end three more targets. So evidence of
+//! two or more ends is written to the store, and one node reads it after all have restarted.
+//! Evidence of a single end is not written: most such requests were in flight by chance, and a
+//! write for each would cost more calls than everything else that follows a target's crash.
 
 use super::{has_evidence, merge_evidence, publish_evidence};
 use crate::feed;
@@ -21,25 +21,25 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Keys of the evidence.
+/// Prefix of the keys of evidence; the fingerprint follows.
 const RECORD_PREFIX: &str = "cm/q/";
-/// Keys of the trials.
+/// Prefix of the keys of trials; the fingerprint and the trial's number follow.
 const TRIAL_PREFIX: &str = "cm/qt/";
-/// How long a trial is one node's: longer than a request runs. The key lapses then, so that another one
-/// may try where that node has died.
+/// Lease time of a trial's key: longer than a request runs. After it another node may claim the
+/// trial, in case the first one has died.
 pub(super) const TRIAL_LEASE_MS: u64 = 60_000;
-/// Ends of which a record is kept.
+/// Number of ends from which evidence is stored.
 const SAVED_MIN_ENDS: usize = 2;
-/// How often records that could not be written are tried again, and old evidence is looked for.
+/// How often failed writes are repeated and old evidence is expired.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// News that come within this time are written with one call.
+/// Evidence that arrives within this time is written with one call.
 const COALESCE: Duration = Duration::from_millis(20);
-/// Records written with one call, within the store's bound of 32 keys.
+/// Most records written with one call, within the store's limit of 32 keys.
 const RECORDS_PER_CALL: usize = 30;
-/// The duty of the node that reads the records: one that watches the store anyway.
+/// The duty whose holder reads the records: a node that watches the store anyway.
 const DUTY: &str = "feeds";
 
-/// A record.
+/// The value of a record.
 #[derive(Debug, Deserialize, Serialize)]
 struct Record {
     evidence: Evidence,
@@ -50,8 +50,8 @@
     format!("{RECORD_PREFIX}{fingerprint}")
 }
 
-/// Keeps the evidence until the process ends: writes what is new, reads what an earlier fleet has left,
-/// forgets what is old.
+/// Maintains the records until the process ends: reads those of earlier processes once, writes new
+/// evidence and deletes what has expired.
 pub(crate) async fn maintain_records<P: Platform>(node: Rc<Node<P>>) {
     let mut has_loaded = false;
     loop {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Reads the records of an earlier fleet and tells the others; returns whether they were there to read.
+/// Reads the stored records and shares them with all nodes; returns whether they could be read.
 async fn load_records<P: Platform>(node: &Rc<Node<P>>) -> bool {
     let Ok((items, _)) = feed::read_whole(node, RECORD_PREFIX).await else { return false };
     for item in &items {
@@ -95,9 +95,10 @@
     true
 }
 
-/// Writes what is new; what cannot be written is tried again at the next look.
+/// Writes new evidence; what cannot be written is queued again for the next check.
 async fn save_records<P: Platform>(node: &Rc<Node<P>>) {
-    // Taken out before the call: what is seen while it waits has to be written again.
+    // Removed from the queue before the call, because evidence that arrives during it has to be
+    // written again.
     let unsaved: Vec<Fingerprint> = {
         let mut unsaved = node.unsaved_crashes.borrow_mut();
         let count = unsaved.len().min(RECORDS_PER_CALL);
@@ -122,8 +123,8 @@
     }
 }
 
-/// Forgets what is too old to matter; one node removes its records.
-async fn expire_old<P: Platform>(node: &Rc<Node<P>>, removes: bool) {
+/// Expires old evidence; deletes its records too if `deletes_records` is set, which one node does.
+async fn expire_old<P: Platform>(node: &Rc<Node<P>>, deletes_records: bool) {
     let old = node.quarantine.borrow_mut().expire(UnixMs::from_wall_clock());
     if old.is_empty() {
         return;
@@ -135,18 +136,18 @@
         Vec::new()
     });
     node.unsaved_crashes.borrow_mut().retain(|fingerprint| !old.contains(fingerprint));
-    if !removes {
+    if !deletes_records {
         return;
     }
     for part in old.chunks(RECORDS_PER_CALL) {
         let deletes = part.iter().map(|fingerprint| key(*fingerprint)).collect();
         let call = StoreCall::Transaction { deletes, expected: Vec::new(), puts: Vec::new() };
-        // A record that stays is read by a fleet that starts anew, and is forgotten there.
+        // A record that is not deleted is read after a restart of all nodes, and expires there.
         drop(node.store(&call).await);
     }
 }
 
-/// Asks for the right to try a barred request once; one node of the fleet gets it.
+/// Claims the right to send a blocked request once as a trial; only one node gets it.
 pub(super) async fn claim_trial<P: Platform>(
     node: &Rc<Node<P>>,
     fingerprint: Fingerprint,
@@ -161,6 +162,7 @@
         expected: vec![Expectation { key: key.clone(), revision: 0 }],
         puts: vec![Put { key, lease: Some(lease), value }],
     };
-    // An answer that was lost may have won it; then nobody tries until the key lapses.
+    // If the answer is lost, this node may hold the claim; no node tries then until the key
+    // expires.
     matches!(node.store(&call).await, Ok(StoreAnswer::Committed { .. }))
 }
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -148,7 +148,7 @@
     }
     // Fingerprints are computed only if there is evidence at all: computing them for all
     // candidates in every pass would cost more than the crashes that they prevent.
-    if crashes::has_evidence(node) && !crashes::is_clear(node, fingerprint(&item, &spec.host)) {
+    if crashes::has_evidence(node) && !crashes::is_allowed(node, fingerprint(&item, &spec.host)) {
         return;
     }
     let run_ms = node.expected_run_ms(&item, progress.last_event_id);
