--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -1,4 +1,4 @@
-//! Callers' calls about batches: submissions, reads, bodies of items and ends.
+//! Callers' calls about batches: submit, read results, read item bodies, and end.
 
 use crate::access::{self, Refusal};
 use crate::batches::{self, Acceptance, Lookup, Origin};
@@ -15,7 +15,7 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// Answers a call about a batch that was submitted.
+/// Answers a call about a submitted batch.
 pub(crate) async fn answer<P: Platform>(
     node: &Rc<Node<P>>,
     headers: &HeaderMap,
@@ -106,7 +106,8 @@
     };
     drop(body);
     if node.document().is_some_and(|document| document.workspaces.is_some()) {
-        // A batch lasts in the store and goes to other nodes.
+        // Keys are removed from the items' headers, because a batch is stored and sent to other
+        // nodes.
         for item in &mut submission.items {
             item.headers.retain(|(name, _)| !name.eq_ignore_ascii_case(AUTHORIZATION.as_str()));
         }
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: which route they take, how often they are tried, and what is answered.
+//! Callers' requests: routing, attempts and answers.
 
 use crate::access::{self, Refusal};
 use crate::batch_calls;
@@ -28,28 +28,31 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The body of an answer: held whole, or passed on as it arrives.
+/// The body of an answer: buffered, or passed on as it arrives.
 pub(crate) type AnswerBody<P> = Either<Full<Bytes>, crate::relay::Relay<P>>;
 /// An answer to a caller.
 pub(crate) type Answer<P> = Response<AnswerBody<P>>;
 
-/// When to come back after a refusal because this node has no configuration, or the store does
-/// not answer: about the time in which either returns after a restart.
+/// Retry-After of a refusal because this node has no configuration or the store does not answer:
+/// about the time in which either is available after a restart.
 pub(crate) const RETRY_AFTER_MS: u64 = 500;
-/// When to come back after all targets refused for load: about one usual request's time.
+/// Retry-After of a refusal because all targets are overloaded: about the time of one usual
+/// request.
 const OVERLOADED_RETRY_AFTER_MS: u64 = 100;
-/// Pause before targets that have all been tried are tried again: a slot frees about that often. Targets
-/// that do not listen refuse at once; without a pause one request made 125,784 attempts in three seconds.
+/// Pause before targets are tried again after all have been tried: a slot becomes free about this
+/// often. Targets that do not listen refuse at once; without a pause one request made 125,784
+/// attempts in 3 s.
 const RETRY_ROUND_PAUSE: Duration = Duration::from_millis(20);
-/// How long a request without a deadline is served.
+/// Deadline of a request whose caller has set none.
 const UNBOUNDED_MS: u64 = 60_000;
-/// A refusal for load is answered when less than this part of the caller's time is left.
+/// A request that finds all targets overloaded is refused once less than this part of the caller's
+/// time is left.
 const REFUSE_WITH_LEFT_PERCENT: u64 = 70;
-/// Answers a request that has run out of time this much before the caller gives up, so that it
-/// learns the outcome.
+/// How long before the caller's deadline a time-out is answered, so that the caller still receives
+/// the answer.
 const ANSWER_BEFORE_MS: u64 = 20;
 
-/// Counts a request for as long as it is served; a planned stop waits for it.
+/// Counts a request as in flight until it is dropped; a planned stop waits for these requests.
 struct ServingGuard<'a>(&'a Cell<usize>);
 
 impl<'a> ServingGuard<'a> {
@@ -65,7 +68,7 @@
     }
 }
 
-/// A refusal or failure of our own.
+/// An error that this service answers itself, rather than a target.
 #[derive(Clone, Debug)]
 pub(crate) struct ErrorAnswer {
     retry_after_ms: Option<u64>,
@@ -78,7 +81,7 @@
         Self { retry_after_ms: None, message: message.into(), status }
     }
 
-    /// Not run, and never will be.
+    /// A refusal: the request was not run and will not be, so the caller may repeat it.
     pub(crate) fn not_run(message: impl Into<String>, retry_after_ms: u64) -> Self {
         let retry_after_ms = Some(retry_after_ms);
         Self { retry_after_ms, message: message.into(), status: StatusCode::SERVICE_UNAVAILABLE }
@@ -107,7 +110,7 @@
     }
 }
 
-/// Makes an answer with a JSON body.
+/// Builds an answer with a JSON body.
 pub(crate) fn json_answer<P: Platform>(status: StatusCode, body: Bytes) -> Answer<P> {
     let mut answer = Response::new(Either::Left(Full::new(body)));
     *answer.status_mut() = status;
@@ -204,7 +207,7 @@
     }
 }
 
-/// Reads the host that a request is for, without its port.
+/// Returns the host that a request is for, without its port.
 pub(crate) fn host(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
@@ -220,7 +223,7 @@
     if feed::is_current(node, Subject::Operators) {
         ErrorAnswer::new(StatusCode::NOT_FOUND, message)
     } else {
-        // A newer version may have the route, and no caller asks again after a 404.
+        // A newer version may have the route, and callers do not repeat a request after a 404.
         ErrorAnswer::not_run(message, RETRY_AFTER_MS)
     }
 }
@@ -241,7 +244,7 @@
     }
 }
 
-/// Writes the line of a request that ends without a target's answer, and its answer.
+/// Records the failure of a request's last attempt in the trail, and builds its answer.
 pub(crate) fn end_with_failure<P: Platform>(
     node: &Node<P>,
     id: Option<&str>,
@@ -266,6 +269,7 @@
     }
 }
 
+/// Records in the trail that a request ends with an error of this service, and builds its answer.
 pub(crate) fn end_with_error<P: Platform>(
     node: &Node<P>,
     id: Option<&str>,
@@ -302,7 +306,8 @@
     response
 }
 
-/// Tries a request at targets until one answers, the attempts are used up or the time is over.
+/// Attempts a request on targets until one answers, the attempts are used up or the deadline is
+/// near.
 async fn serve<P: Platform>(
     node: &Rc<Node<P>>,
     route: &Route,
@@ -369,13 +374,14 @@
     }
 }
 
-/// Returns when a request that all targets refuse for load is refused: a later answer would leave its
-/// caller no time to go elsewhere.
+/// Returns when a request is refused for which all targets are overloaded: a later refusal would
+/// leave the caller no time to try elsewhere.
 const fn refuse_at(deadline_at: UnixMs, budget_ms: u64) -> UnixMs {
     UnixMs(deadline_at.0.saturating_sub(budget_ms * REFUSE_WITH_LEFT_PERCENT / 100))
 }
 
-/// How a request ends that is sent to no more targets: a target of this very call may have run it.
+/// Returns the answer to a blocked request, which depends on whether a target may have run it
+/// during this call.
 fn blocked(failure: &AttemptFailure, may_have_run: bool) -> ErrorAnswer {
     if may_have_run {
         return ErrorAnswer::new(StatusCode::BAD_GATEWAY, failure.message.clone());
@@ -388,7 +394,7 @@
     targets.usable(service).all(|entry| tried.contains(&entry.id))
 }
 
-/// Chooses a target of a service, not one of `tried` if there is another.
+/// Chooses a target of a service, preferably not one of `tried`.
 pub(crate) fn choose<P: Platform>(
     node: &Node<P>,
     service: &str,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to a target and says what is certain about it afterwards.
+//! Sends requests to targets, with a verdict on whether a failed one may have run.
 
 use crate::clock;
 use crate::crashes;
@@ -21,11 +21,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Answers up to this size are read whole before any of them is passed on, so that one that is
-/// cut can be asked for again; a usual answer is a thousandth of it.
+/// Answers up to this size are read completely before any part is passed on, so that the request
+/// can be repeated if the answer is cut off. Usual answers have a thousandth of this size.
 pub(crate) const BUFFERED_ANSWER_MAX_BYTES: usize = 1 << 20;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern one connection only.
 const HOP_BY_HOP: [HeaderName; 7] = [
     http::header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -36,7 +36,7 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes what concerns one connection only, the headers that `Connection` names among them.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(http::header::CONNECTION)
@@ -50,7 +50,7 @@
     }
 }
 
-/// A request as it goes to a target.
+/// A request as sent to a target.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingRequest {
     pub body: Bytes,
@@ -60,58 +60,61 @@
     pub last_event_id: Option<u64>,
     pub method: Method,
     pub path: String,
-    /// Its rank among the requests that wait; 0 is the most urgent.
+    /// Its priority in the wait queue; 0 is the most urgent.
     pub priority: u32,
     pub request_id: Option<String>,
-    /// The workspace that it is from; none where no key was asked for.
+    /// The workspace that it belongs to; none where no key was required.
     pub workspace: Option<String>,
 }
 
 impl OutgoingRequest {
-    /// Names what it asks, whatever its id.
+    /// Returns the fingerprint of its method, host, path and body, regardless of its id.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let host = self.headers.get(http::header::HOST).and_then(|host| host.to_str().ok());
         let method = self.method.as_str();
         Fingerprint::of(method, host.unwrap_or_default(), &self.path, &self.body)
     }
 
-    /// The same for the trail, of an attempt that may have run; the others tell nothing of it.
+    /// Returns the fingerprint for the trail, if the attempt may have run; other attempts are no
+    /// evidence against the request.
     pub(crate) fn fingerprint_if(&self, verdict: Verdict) -> Option<String> {
         verdict.may_have_run().then(|| self.fingerprint().to_string())
     }
 }
 
-/// A target that was chosen.
+/// A target chosen for an attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct ChosenTarget {
     pub address: SocketAddr,
     pub id: String,
 }
 
-/// A target's answer, whole.
+/// A target's answer with its complete body.
 #[derive(Clone, Debug)]
 pub(crate) struct CompleteAnswer {
     pub body: Bytes,
     pub headers: HeaderMap,
-    pub marks: TargetResponseMetadata,
+    pub metadata: TargetResponseMetadata,
     pub status: StatusCode,
 }
 
-/// What kept an attempt from an answer.
+/// The cause of a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Cause {
-    /// It was not sent: targets have ended under the same request.
+    /// The request was not sent: it is blocked, because targets ended while running the same
+    /// request.
     Blocked {
-        /// After how long it may be tried again.
+        /// The time after which it may be attempted again.
         retry_after_ms: u64,
     },
     /// The target refused for load.
     Overloaded,
-    /// Nothing opened, the connection broke, the time was over, or the answer was not the target's.
+    /// The connection could not be opened or broke, the deadline passed, or the answer was not the
+    /// target's.
     Other,
 }
 
-/// Why an attempt gave no answer that may be passed on.
+/// An attempt that gave no answer that may be passed on.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptFailure {
     pub cause: Cause,
@@ -132,12 +135,12 @@
         Self { cause, message: message.into(), verdict: Verdict::NotRun }
     }
 
-    /// Whether it was not sent because targets have ended under the same request.
+    /// Returns whether the request was not sent because it is blocked.
     pub(crate) const fn is_blocked(&self) -> bool {
         matches!(self.cause, Cause::Blocked { .. })
     }
 
-    /// What it says of its target.
+    /// Returns the outcome that is counted for the target.
     pub(crate) const fn outcome(&self) -> CallOutcome {
         match self.cause {
             Cause::Blocked { .. } => CallOutcome::Cancelled,
@@ -147,13 +150,14 @@
     }
 }
 
-/// Counts a call at a target for as long as it lives; dropped early, it counts as cancelled.
+/// Counts a call as in flight on a target until it is dropped. Dropped without
+/// [`end`](Self::end), the call counts as cancelled.
 #[derive(Debug)]
 pub(crate) struct InFlight<P: Platform> {
     ended: bool,
     id: String,
     node: Rc<Node<P>>,
-    /// The number under which a run is counted, where it is one of an item.
+    /// The load balancer's number of the run, if the call is a run of an item.
     run: Option<u64>,
 }
 
@@ -163,7 +167,7 @@
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: None }
     }
 
-    /// Counts a run of an item, which is expected to end at about `end`.
+    /// Counts a run of an item that is expected to end at about `end`.
     pub(crate) fn begin_run(node: &Rc<Node<P>>, id: &str, end: UnixMs) -> Self {
         let run = node.load.borrow_mut().run_started(id, end);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: Some(run) }
@@ -194,8 +198,9 @@
 
 /// Sends a request and reads the head of the answer.
 ///
-/// All work reaches targets through here: callers' requests, streams, items, second runs and scoring
-/// calls, also those of a batch that was taken over. So a request that ends targets is stopped here.
+/// All work reaches targets through this function: callers' requests, streams, items, second runs
+/// and scoring calls, also those of a batch that was taken over. So blocked requests are stopped
+/// here.
 pub(crate) async fn open<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
@@ -211,12 +216,12 @@
         }
         AttemptFailure::of(error)
     })?;
-    let marks = P::response_metadata(response.headers());
-    // A late answer to an abandoned request may stand where ours is expected.
-    if marks.request_id.is_some() && marks.request_id != outgoing.request_id {
+    let metadata = P::response_metadata(response.headers());
+    // A late answer to an abandoned request may arrive in place of the expected one.
+    if metadata.request_id.is_some() && metadata.request_id != outgoing.request_id {
         return Err(AttemptFailure::may_have_run("the answer belongs to another request"));
     }
-    Ok((response, connection, marks))
+    Ok((response, connection, metadata))
 }
 
 fn build_request<P: Platform>(
@@ -228,36 +233,37 @@
         .uri(outgoing.path.as_str())
         .body(Full::new(outgoing.body.clone()))?;
     *request.headers_mut() = outgoing.headers.clone();
-    let marks = TargetRequestMetadata {
+    let metadata = TargetRequestMetadata {
         deadline_ms: Some(outgoing.deadline_at.since_ms(clock::now())),
         expected_target: Some(&chosen.id),
         last_event_id: outgoing.last_event_id,
         request_id: outgoing.request_id.as_deref(),
         workspace: outgoing.workspace.as_deref(),
     };
-    P::set_request_metadata(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &metadata);
     Ok(request)
 }
 
-/// What a refusing answer says, if it is one: the target did not run the request.
+/// Returns the failure that an answer stands for, if it is a refusal: the target did not run the
+/// request.
 pub(crate) fn refusal(
     status: StatusCode,
-    marks: &TargetResponseMetadata,
+    metadata: &TargetResponseMetadata,
 ) -> Option<AttemptFailure> {
-    let moved = status == StatusCode::MISDIRECTED_REQUEST;
-    let cause = if moved { Cause::Other } else { Cause::Overloaded };
-    (marks.not_run || moved)
+    let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
+    let cause = if misdirected { Cause::Other } else { Cause::Overloaded };
+    (metadata.not_run || misdirected)
         .then(|| AttemptFailure::not_run(cause, format!("refused with {status}")))
 }
 
-/// Sends a request and reads its answer whole, within the caller's time.
+/// Sends a request and reads its complete answer, within the caller's deadline.
 pub(crate) async fn attempt<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<CompleteAnswer, AttemptFailure> {
     let in_flight = InFlight::begin(node, &chosen.id);
-    let counted = CountedRequest::sent(node, outgoing.workspace.as_deref());
+    let usage = CountedRequest::sent(node, outgoing.workspace.as_deref());
     let started_at = clock::now();
     let left_ms = outgoing.deadline_at.since_ms(started_at);
     let exchange = exchange(node, chosen, outgoing);
@@ -270,10 +276,10 @@
         Err(failure) => failure.outcome(),
     };
     in_flight.end(outcome);
-    if let (Some(counted), Err(failure)) = (counted, &result)
+    if let (Some(usage), Err(failure)) = (usage, &result)
         && failure.verdict == Verdict::NotRun
     {
-        counted.not_run();
+        usage.not_run();
     }
     let label = match &result {
         Ok(_) => "answered",
@@ -303,7 +309,7 @@
     chosen: &ChosenTarget,
     outgoing: &OutgoingRequest,
 ) -> Result<CompleteAnswer, AttemptFailure> {
-    let (response, connection, marks) = open(node, chosen, outgoing).await?;
+    let (response, connection, metadata) = open(node, chosen, outgoing).await?;
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         let change = node.targets.borrow_mut().mark_left(&chosen.id);
@@ -314,11 +320,12 @@
         AttemptFailure::of(error)
     })?;
     node.pool.release(connection, &head.headers);
-    if let Some(refusal) = refusal(head.status, &marks) {
+    if let Some(refusal) = refusal(head.status, &metadata) {
         return Err(refusal);
     }
-    // Bytes that are no target's answer come from a target that fails; they are not passed on.
-    let unsigned = marks.signature.is_none() || marks.request_id.is_none();
+    // An answer without a signature is not the target's own: the target is failing, and the answer
+    // is not passed on.
+    let unsigned = metadata.signature.is_none() || metadata.request_id.is_none();
     let encoded = head.headers.contains_key(http::header::CONTENT_ENCODING);
     if head.status.is_success() && (unsigned || encoded) {
         return Err(AttemptFailure::may_have_run("an answer without a target's signature"));
@@ -327,5 +334,5 @@
         crashes::answer_received(node, outgoing);
     }
     strip_hop_by_hop(&mut head.headers);
-    Ok(CompleteAnswer { body, headers: head.headers, marks, status: head.status })
+    Ok(CompleteAnswer { body, headers: head.headers, metadata, status: head.status })
 }
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the connections that they accept.
+//! Listeners for callers, peers, operators and metrics, and the connections that they accept.
 
 use crate::caller::{self, Answer};
 use crate::node::Node;
@@ -23,20 +23,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Head and idle bounds before a configuration is known.
+/// Limits of connections of which the configuration sets none, or before one is known.
 const HEADER_MAX_BYTES: usize = 16 << 10;
 const IDLE_MAX_MS: u64 = 15_000;
-/// The smallest read buffer that the library takes.
+/// The smallest read buffer that hyper accepts.
 const BUFFER_MIN_BYTES: usize = 8 << 10;
-/// Addresses in one answer.
+/// Most addresses in one answer.
 const ADDRESSES_MAX: usize = 64;
-/// How long callers keep an answer with addresses: short, because a leaving node must serve until
-/// three times this long after it was last named, and a planned stop has few seconds.
+/// How long callers may cache an answer with addresses. It is short because a leaving node has to
+/// serve for three times this long after its address was last handed out, and a planned stop has
+/// only a few seconds.
 pub(crate) const ADDRESSES_TTL_MS: u64 = 1_000;
-/// Pause after an accept that failed, e.g. for want of descriptors.
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts connections until the process closes.
+/// Accepts connections until the process shuts down.
 pub(crate) async fn accept<P, S, F>(node: Rc<Node<P>>, listener: TcpListener, serve: S)
 where
     P: Platform,
@@ -72,8 +73,8 @@
     builder
 }
 
-/// Serves a caller's connection. When the caller leaves, the request in progress is dropped with
-/// everything that it has opened.
+/// Serves a caller's connection. When the caller disconnects, the request in progress is dropped
+/// with everything that it has opened.
 pub(crate) async fn serve_caller<P: Platform>(node: Rc<Node<P>>, stream: TcpStream) {
     let limits = node.document().map(|document| document.limits);
     let header_max_bytes =
@@ -84,7 +85,7 @@
     let connection =
         builder(header_max_bytes, idle_ms).serve_connection(TokioIo::new(stream), handle);
     let mut connection = pin!(connection);
-    // An error here is a caller that left or sent what is no request; it got its answer.
+    // An error means that the caller disconnected or sent an invalid request, which hyper answers.
     tokio::select! {
         ended = connection.as_mut() => return drop(ended),
         _ = closing.wait_for(|closing| *closing) => {}
@@ -101,7 +102,7 @@
     );
 }
 
-/// Serves the platform's questions for readiness, callers' questions for addresses, and metrics.
+/// Serves the platform's readiness checks and callers' requests for addresses.
 pub(crate) async fn serve_operators<P: Platform>(node: Rc<Node<P>>, stream: TcpStream) {
     let handle = service_fn(move |request: Request<Incoming>| {
         let answer: Answer<P> = answer_operators(&node, &request.into_parts().0);
@@ -128,8 +129,8 @@
     caller::json_answer(StatusCode::NOT_FOUND, Bytes::new())
 }
 
-/// Returns the addresses to hand out: nodes that live; if none is known to, those that leave or
-/// are suspected still serve better than nothing.
+/// Returns the addresses to hand out: those of live nodes, or, if none is known to be live, those
+/// of leaving and suspected nodes, which may still serve.
 fn addresses<P: Platform>(node: &Node<P>) -> Vec<SocketAddr> {
     let members = node.members.borrow();
     let Some(members) = members.as_ref() else { return Vec::new() };
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to targets, peers and the store.
 //!
-//! A connection carries one request at a time. It is kept for the next one only after the whole
-//! answer was read and nothing else came; a caller that leaves drops it, which closes it at once,
-//! so that the target stops working.
+//! A connection carries one request at a time. It is reused only after the complete answer was read
+//! and nothing else arrived. When a caller disconnects, its connection is dropped, which closes it
+//! at once so that the target stops working on the request.
 
 use crate::clock;
 use bytes::Bytes;
@@ -24,27 +24,28 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// How long a connection may take to open. Within a region a round trip takes a millisecond; a
-/// dropped opening packet is sent again after a second, which is too late for a lookup.
+/// Time-out for opening a connection. Within a region a round trip takes 1 ms; a lost SYN packet is
+/// retransmitted after 1 s, which is too late for a lookup.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long sent bytes may stay unacknowledged: longer than any pause of a live target's machine
-/// that a request could still survive.
+/// How long sent bytes may stay unacknowledged: longer than any pause of a target's machine that a
+/// request could still survive.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection may go silent for good without a reset; probes show it after about 2 s.
+/// Interval of keepalive probes. A connection may go silent without a reset; probes detect it after
+/// about 2 s.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
-/// An idle connection is used again within this time unless its target names a shorter one.
+/// How long an idle connection may be reused, unless its target states another time.
 const IDLE_MAX_MS: u64 = 8_000;
-/// Connections kept idle for one address.
+/// Most idle connections kept for one address.
 const IDLE_PER_ADDRESS_MAX: usize = 24;
-/// A connection that was given back is ready within a turn of the loop; one that still sends a
-/// body that its target did not want is not.
+/// A released connection is ready within one iteration of the event loop, unless it is still
+/// sending a body that its target did not read.
 const READY_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// the call failed ({verdict}): {message}
 #[derive(Clone, Debug, Display)]
 pub(crate) struct CallError {
-    /// What was seen.
+    /// The error as observed.
     pub message: String,
     /// Whether the request may have run.
     pub verdict: Verdict,
@@ -66,7 +67,7 @@
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// Whether it had carried a request before.
+    /// Whether it has carried a request before.
     reused: bool,
 }
 
@@ -96,8 +97,8 @@
 
     /// Sends a request and returns the head of its answer.
     ///
-    /// The verdict of an error is computed from how far the bytes got: a connection that never
-    /// opened, or that had closed before the request was handed to it, cannot have run anything.
+    /// The verdict of an error depends on how far the request got: it cannot have run if the
+    /// connection never opened, or had closed before the request was handed to it.
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Gives a connection back whose answer was read whole.
+    /// Returns a connection to the pool after its answer was read completely.
     pub(crate) fn release(&self, mut connection: Connection, answer: &HeaderMap) {
         let closes = answer
             .get(http::header::CONNECTION)
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Tells whether an idle connection to an address is kept.
+    /// Returns whether the pool has an idle connection to an address.
     pub(crate) fn has_idle(&self, address: SocketAddr) -> bool {
         let idle = self.idle.borrow();
         let now = clock::now();
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Tells whether nobody listens at an address: the process that did has ended. One that does not
-    /// answer may be cut off.
+    /// Returns whether an address refuses connections, which shows that the process listening there
+    /// has ended. An address that does not answer may only be cut off, and counts as not refusing.
     pub(crate) async fn refuses_connections(&self, address: SocketAddr) -> bool {
         self.opened.inc();
         let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -185,14 +186,14 @@
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (sender, connection) =
             handshake.map_err(|error| CallError::not_run(error.to_string()))?;
-        // Its errors reach the request that it carries.
+        // Errors of the connection are reported to the request that it carries.
         let task = tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(Connection { address, reused: false, sender, task: task.abort_handle() })
     }
 }
 
-/// A peer that lost power, or is cut off, sends nothing: without these a call on the connection
-/// hangs for good. It is noticed as requests that take until their deadline.
+/// Sets socket options that detect a silent peer. A peer that lost power or is cut off sends
+/// nothing; without these options calls on the connection hang until their deadline.
 pub(crate) fn set_timeouts_and_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -204,8 +205,8 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Reads the time for which the other side keeps an idle connection, less a second, because it
-/// may be closing when our next request arrives.
+/// Returns how long an idle connection may be reused: the time stated in `Keep-Alive` less a
+/// second, because the other side may be closing it when the next request arrives.
 fn idle_max_ms(answer: &HeaderMap) -> u64 {
     let stated_s = answer
         .get("keep-alive")
@@ -215,7 +216,7 @@
     stated_s.map_or(IDLE_MAX_MS, |seconds| (seconds * 1_000).saturating_sub(1_000))
 }
 
-/// Reads a whole body of at most `max_bytes`.
+/// Reads a complete body of at most `max_bytes`.
 pub(crate) async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, CallError> {
     let limited = http_body_util::Limited::new(body, max_bytes);
     match limited.collect().await {
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -1,4 +1,4 @@
-//! Streams of events, passed on as they arrive.
+//! Event streams, passed on to callers as they arrive.
 
 use crate::caller::{self, Answer};
 use crate::clock;
@@ -25,15 +25,15 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The body of a stream. It ends as whole only where the target's own body did; the connection to
-/// the target closes with it, or as soon as the caller leaves.
+/// The body of a stream. It ends as complete only if the target's own body did. If it breaks or the
+/// caller disconnects, the connection to the target is closed.
 #[derive(Debug)]
 pub(crate) struct Relay<P: Platform> {
     body: Incoming,
     connection: Option<Connection>,
-    /// Its use, until its first event: only then has it begun.
-    counted: Option<CountedRequest<P>>,
-    head: HeaderMap,
+    /// Its usage record until the first event arrives, when the request counts as started.
+    usage: Option<CountedRequest<P>>,
+    headers: HeaderMap,
     in_flight: Option<InFlight<P>>,
     latency_ms: u64,
     node: Rc<Node<P>>,
@@ -54,8 +54,8 @@
             Poll::Ready(Some(Err(_))) => self.finish(false),
             Poll::Ready(Some(Ok(_))) => {
                 self.run.received();
-                if let Some(counted) = self.counted.take() {
-                    counted.began_now();
+                if let Some(usage) = self.usage.take() {
+                    usage.began_now();
                 }
             }
             Poll::Pending => {}
@@ -71,8 +71,8 @@
 impl<P: Platform> Relay<P> {
     fn finish(&mut self, complete: bool) {
         let latency_ms = self.latency_ms;
-        if let Some(counted) = self.counted.take() {
-            counted.not_run();
+        if let Some(usage) = self.usage.take() {
+            usage.not_run();
         }
         if let Some(in_flight) = self.in_flight.take() {
             let answered = CallOutcome::Answered { latency_ms };
@@ -86,13 +86,13 @@
         if let Some(connection) = self.connection.take()
             && complete
         {
-            self.node.pool.release(connection, &self.head);
+            self.node.pool.release(connection, &self.headers);
         }
         count(&self.node.metrics.answers, if complete { "streamed" } else { "stream_broken" });
     }
 }
 
-/// Sends a stream's request to one target after the other until one runs it.
+/// Sends a stream's request to one target after another until one runs it.
 pub(crate) async fn stream<P: Platform>(
     node: &Rc<Node<P>>,
     route: &Route,
@@ -135,7 +135,7 @@
         Ok(opened) => opened,
         Err(_) => Err(AttemptFailure::may_have_run("no answer within the caller's time")),
     };
-    let (response, connection, marks) = match opened {
+    let (response, connection, metadata) = match opened {
         Ok(opened) => opened,
         Err(failure) => {
             in_flight.end(failure.outcome());
@@ -150,11 +150,11 @@
     };
     let latency_ms = clock::now().since_ms(started_at);
     let (mut head, body) = response.into_parts();
-    if let Some(refusal) = forward::refusal(head.status, &marks) {
+    if let Some(refusal) = forward::refusal(head.status, &metadata) {
         in_flight.end(CallOutcome::Overloaded);
         return Err(refusal);
     }
-    if head.status.is_success() && marks.signature.is_none() {
+    if head.status.is_success() && metadata.signature.is_none() {
         in_flight.end(CallOutcome::Failed);
         return Err(AttemptFailure::may_have_run("an answer without a target's signature"));
     }
@@ -164,8 +164,8 @@
         let relay = Relay {
             body,
             connection: Some(connection),
-            counted: CountedRequest::sent(node, outgoing.workspace.as_deref()),
-            head: answer_headers,
+            usage: CountedRequest::sent(node, outgoing.workspace.as_deref()),
+            headers: answer_headers,
             in_flight: Some(in_flight),
             latency_ms,
             node: Rc::clone(node),
@@ -176,7 +176,7 @@
     in_flight.end(CallOutcome::Answered { latency_ms });
     let body = read_body(body, forward::BUFFERED_ANSWER_MAX_BYTES).await.unwrap_or_default();
     node.pool.release(connection, &answer_headers);
-    let answer = CompleteAnswer { body, headers: head.headers, marks, status: head.status };
+    let answer = CompleteAnswer { body, headers: head.headers, metadata, status: head.status };
     Ok(pass_on_error(answer))
 }
 
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -97,7 +97,7 @@
         });
         if let Some(chosen) = chosen {
             match forward::attempt(node, &chosen, &score_request(reward)).await {
-                Ok(answer) if answer.status.is_success() => return answer.marks.signature,
+                Ok(answer) if answer.status.is_success() => return answer.metadata.signature,
                 Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => {
                     failures += 1;
                     let line =
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -209,9 +209,9 @@
         Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
         Err(_) => return broken("no response head before the time-out", CallOutcome::Failed),
     };
-    let (response, connection, marks) = opened;
+    let (response, connection, metadata) = opened;
     let (parts, body) = response.into_parts();
-    if let Some(refusal) = forward::refusal(parts.status, &marks) {
+    if let Some(refusal) = forward::refusal(parts.status, &metadata) {
         if parts.status == StatusCode::MISDIRECTED_REQUEST {
             let change = node.targets.borrow_mut().mark_left(&chosen.id);
             node.target_changed(&change, "another target answered at its address");
@@ -234,7 +234,7 @@
         }
         _ => {}
     }
-    if marks.signature.is_none() || marks.request_id.is_none() {
+    if metadata.signature.is_none() || metadata.request_id.is_none() {
         return broken("an answer without a target's signature", CallOutcome::Failed);
     }
     let progress = Rc::clone(progress);
@@ -244,7 +244,7 @@
         model: spec.model.clone(),
         oldest_version: spec.oldest_version,
         progress,
-        version: marks.version,
+        version: metadata.version,
     };
     let read = stream.read(node, chosen, &sent).await;
     longest_gap_ms.set(stream.longest_gap_ms);
--- a/crates/serve/src/wait_queue.rs
+++ b/crates/serve/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! A request's wait for its turn while all targets of its service refuse for load.
+//! Waiting of requests while all targets of their service are overloaded.
 
 use crate::clock;
 use crate::node::Node;
@@ -7,7 +7,8 @@
 use catkinmast_model::UnixMs;
 use std::rc::Rc;
 
-/// A request that waits; it leaves when this is dropped.
+/// A request's place in the wait queue of a service; dropping it removes the request from the
+/// queue.
 #[derive(Debug)]
 pub(crate) struct QueuePlace<P: Platform> {
     id: WaiterId,
@@ -16,7 +17,7 @@
 }
 
 impl<P: Platform> QueuePlace<P> {
-    /// Begins to wait for a request that came `since`.
+    /// Adds a request that arrived at `since` to the wait queue.
     pub(crate) fn wait(
         node: &Rc<Node<P>>,
         service: &str,
@@ -24,28 +25,28 @@
         workspace: Option<&str>,
         priority: u32,
     ) -> Self {
-        let mut turns = node.wait_queues.borrow_mut();
-        let id = turns.entry(service.to_owned()).or_default().enqueue(since, workspace, priority);
+        let mut queues = node.wait_queues.borrow_mut();
+        let id = queues.entry(service.to_owned()).or_default().enqueue(since, workspace, priority);
         Self { id, node: Rc::clone(node), service: service.to_owned() }
     }
 
-    /// Tells whether it is this request's turn.
+    /// Returns whether the request is next in the queue and may be sent.
     pub(crate) fn is_due(&self) -> bool {
-        let mut turns = self.node.wait_queues.borrow_mut();
-        turns.get_mut(&self.service).is_none_or(|turns| turns.is_due(clock::now(), self.id))
+        let mut queues = self.node.wait_queues.borrow_mut();
+        queues.get_mut(&self.service).is_none_or(|queue| queue.is_due(clock::now(), self.id))
     }
 }
 
 impl<P: Platform> Drop for QueuePlace<P> {
     fn drop(&mut self) {
-        if let Some(turns) = self.node.wait_queues.borrow_mut().get_mut(&self.service) {
-            turns.remove(self.id);
+        if let Some(queue) = self.node.wait_queues.borrow_mut().get_mut(&self.service) {
+            queue.remove(self.id);
         }
     }
 }
 
-/// Takes it that a request of a workspace was served.
+/// Records that a request of a workspace was served, for fair queueing between workspaces.
 pub(crate) fn request_served<P: Platform>(node: &Node<P>, service: &str, workspace: Option<&str>) {
-    let mut turns = node.wait_queues.borrow_mut();
-    turns.entry(service.to_owned()).or_default().record_served(clock::now(), workspace);
+    let mut queues = node.wait_queues.borrow_mut();
+    queues.entry(service.to_owned()).or_default().record_served(clock::now(), workspace);
 }
