--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,6 @@
 //! Benchmarks of the decisions, in virtual time.
 //!
-//! [`World`] runs the real aggregate of a trainer's steps in a small model of engines, trainer,
+//! [`Simulation`] runs the real aggregate of a trainer's steps in a small model of engines, trainer,
 //! ledger and faults. `policy` compares policies in it. The same seed gives the same bytes on any
 //! machine, so the tests bound the figures exactly.
 
@@ -25,4 +25,4 @@
 };
 pub use routing::{ChoiceRow, Chooser, OverloadRow, SCENES, Scene, run_choice, run_overload};
 pub use slope::Slope;
-pub use world::{Fault, Outcome, Recovery, World, WorldSettings};
+pub use world::{Fault, Outcome, Recovery, Simulation, WorldSettings};
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policy benchmark: idle time, staleness, waste and recovery, against named baselines.
 
 use crate::engines::{EngineModel, SwapMode, length_of};
-use crate::world::{Fault, Outcome, Recovery, World, WorldSettings};
+use crate::world::{Fault, Outcome, Recovery, Simulation, WorldSettings};
 use catkinmast_model::{SampleId, UnixMs};
 use catkinmast_rollout::{OrderSettings, Registration, ScheduleSettings};
 use displaydoc::Display;
@@ -150,7 +150,7 @@
             let mut settings = deployment.settings(seed);
             (variant.change)(&mut settings);
             steps = settings.steps;
-            World::open(settings, faults).run(UnixMs(RUN_MAX_MS))
+            Simulation::open(settings, faults).run(UnixMs(RUN_MAX_MS))
         })
         .collect();
     Row::of(variant.name, &outcomes, steps)
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -1,7 +1,7 @@
 //! The trainer of a world: it submits ahead, fetches, claims, trains and publishes, and checks what
 //! it is given.
 
-use crate::world::{Happening, World};
+use crate::world::{Happening, Simulation};
 use catkinmast_model::{SampleId, UnixMs, Version};
 use catkinmast_rollout::{Attempt, Command, GroupSpec, Reply, StepSpec};
 use indexmap::IndexMap;
@@ -37,7 +37,7 @@
     pub waiting_since: Option<UnixMs>,
 }
 
-impl World {
+impl Simulation {
     fn ask(&mut self, next: &Next, command: Command) {
         self.reply_to += 1;
         self.trainer.asked = Some((self.reply_to, next.clone()));
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -5,7 +5,7 @@
 //! publishes, a ledger with compare-and-swap, and the faults. It is no cluster simulator: nodes
 //! are names that can die with what they hold. The same seed gives the same bytes on any machine.
 //!
-//! Every claim is checked as it is confirmed ([`World::violations`]); the randomised tests and the
+//! Every claim is checked as it is confirmed ([`Simulation::violations`]); the randomised tests and the
 //! benchmark use the same checks.
 
 use crate::engines::{EngineModel, EngineSim, Finish};
@@ -192,7 +192,7 @@
 
 /// A world.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     pub(crate) claimed: IndexMap<SampleId, u64>,
     pub(crate) current: usize,
     pub(crate) engines: Vec<EngineSim>,
@@ -225,7 +225,7 @@
     name.as_str().trim_start_matches("node-").parse().unwrap_or(0)
 }
 
-impl World {
+impl Simulation {
     /// Makes a world in which `faults` happen at their times.
     pub fn open(settings: WorldSettings, faults: &[(UnixMs, Fault)]) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
--- a/tests/all/rollout_faults.rs
+++ b/tests/all/rollout_faults.rs
@@ -6,7 +6,7 @@
 //! seeds are fixed, so the result is the same on every run; `CATKINMAST_SCHEDULES` sets the number
 //! of schedules.
 
-use catkinmast_bench::{EngineModel, Fault, Recovery, World, WorldSettings};
+use catkinmast_bench::{EngineModel, Fault, Recovery, Simulation, WorldSettings};
 use catkinmast_model::UnixMs;
 use catkinmast_rollout::{OrderSettings, Registration, ScheduleSettings};
 use proptest::prelude::*;
@@ -72,7 +72,7 @@
     let inputs = (schedule(), 0..1_000_u64, 0..3_u64, 0..101_u32);
 
     let outcome = runner.run(&inputs, |(faults, seed, bound, weight)| {
-        let world = World::open(small_world(seed, bound, weight), &faults);
+        let world = Simulation::open(small_world(seed, bound, weight), &faults);
         let violations = world.run(ENDS_AT).violations;
         prop_assert!(violations.is_empty(), "{violations:?}");
         Ok(())
@@ -88,7 +88,7 @@
 #[test]
 fn the_same_seed_gives_the_same_outcome() {
     let faults = [(UnixMs(4_000), Fault::OwnerCrash), (UnixMs(9_000), Fault::LoseReplies(2))];
-    let run = || World::open(small_world(3, 1, 50), &faults).run(ENDS_AT);
+    let run = || Simulation::open(small_world(3, 1, 50), &faults).run(ENDS_AT);
 
     let (first, second) = (run(), run());
 
@@ -105,7 +105,7 @@
     // The schedule in which the randomised test found the failure.
     let faults = [(UnixMs(15_468), Fault::OwnerPause)];
 
-    let outcome = World::open(small_world(157, 2, 50), &faults).run(ENDS_AT);
+    let outcome = Simulation::open(small_world(157, 2, 50), &faults).run(ENDS_AT);
 
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
 }
