--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -25,4 +25,4 @@
 };
 pub use routing::{ChoiceRow, Chooser, OverloadRow, SCENES, Scene, run_choice, run_overload};
 pub use slope::Slope;
-pub use world::{Fault, Outcome, Recovery, Simulation, WorldSettings};
+pub use world::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policy benchmark: idle time, staleness, waste and recovery, against named baselines.
 
 use crate::engines::{EngineModel, SwapMode, length_of};
-use crate::world::{Fault, Outcome, Recovery, Simulation, WorldSettings};
+use crate::world::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
 use catkinmast_model::{SampleId, UnixMs};
 use catkinmast_rollout::{OrderSettings, Registration, ScheduleSettings};
 use displaydoc::Display;
@@ -44,12 +44,12 @@
 
 impl Deployment {
     /// Returns the world of this deployment with the policy that ships.
-    pub fn settings(self, seed: u64) -> WorldSettings {
+    pub fn settings(self, seed: u64) -> SimulationSettings {
         let (engines, bound, weight) = match self {
             Self::Registre => (9, 2, 20),
             Self::Cooperative => (12, 3, 90),
         };
-        WorldSettings {
+        SimulationSettings {
             engine: EngineModel { lengths_seed: seed, ..EngineModel::default() },
             engines,
             groups: 48,
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
     /// What it changes.
-    pub change: fn(&mut WorldSettings),
+    pub change: fn(&mut SimulationSettings),
     /// Its name in the table.
     pub name: &'static str,
 }
@@ -233,7 +233,7 @@
 
 /// Returns the time in which no schedule can make one step: all tokens at full speed, or the
 /// longest sample alone on an engine.
-pub fn step_bound_ms(settings: &WorldSettings) -> u64 {
+pub fn step_bound_ms(settings: &SimulationSettings) -> u64 {
     let model = settings.engine;
     let lengths = (1..=settings.steps).flat_map(|step| {
         (0..settings.groups).flat_map(move |group| {
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -46,7 +46,7 @@
 
 /// Everything a world is made of.
 #[derive(Clone, Debug)]
-pub struct WorldSettings {
+pub struct SimulationSettings {
     /// How engines behave.
     pub engine: EngineModel,
     /// How many engines there are.
@@ -209,7 +209,7 @@
     pub(crate) queue: BinaryHeap<Reverse<Queued>>,
     pub(crate) reply_to: u64,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) settings: WorldSettings,
+    pub(crate) settings: SimulationSettings,
     pub(crate) stored: IndexMap<(u64, String), StepSpec>,
     pub(crate) trainer: TrainerSim,
 }
@@ -227,7 +227,7 @@
 
 impl Simulation {
     /// Makes a world in which `faults` happen at their times.
-    pub fn open(settings: WorldSettings, faults: &[(UnixMs, Fault)]) -> Self {
+    pub fn open(settings: SimulationSettings, faults: &[(UnixMs, Fault)]) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let engines = (0..settings.engines)
             .map(|number| EngineSim::open(number, settings.engine, rng.random()))
--- a/tests/all/rollout_faults.rs
+++ b/tests/all/rollout_faults.rs
@@ -6,7 +6,7 @@
 //! seeds are fixed, so the result is the same on every run; `CATKINMAST_SCHEDULES` sets the number
 //! of schedules.
 
-use catkinmast_bench::{EngineModel, Fault, Recovery, Simulation, WorldSettings};
+use catkinmast_bench::{EngineModel, Fault, Recovery, Simulation, SimulationSettings};
 use catkinmast_model::UnixMs;
 use catkinmast_rollout::{OrderSettings, Registration, ScheduleSettings};
 use proptest::prelude::*;
@@ -17,8 +17,8 @@
 /// The end of each simulation, in virtual time.
 const ENDS_AT: UnixMs = UnixMs(3_600_000);
 
-fn small_world(seed: u64, bound: u64, idle_weight_percent: u32) -> WorldSettings {
-    WorldSettings {
+fn small_world(seed: u64, bound: u64, idle_weight_percent: u32) -> SimulationSettings {
+    SimulationSettings {
         engine: EngineModel { max_batch: 6, median_tokens: 120, ..EngineModel::default() },
         engines: 4,
         groups: 6,
