--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -59,7 +59,7 @@
 
 /// What targets are like in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct Scenario {
     /// How many calls are made.
     pub calls: u32,
     /// Targets that refuse every connection.
@@ -115,7 +115,7 @@
     order: u64,
     report_at_us: u64,
     rng: Pcg64Mcg,
-    scene: Scene,
+    scene: Scenario,
     targets: Vec<TargetSim>,
     turn: usize,
 }
@@ -133,7 +133,7 @@
 }
 
 impl Run {
-    fn open(scene: Scene, chooser: Chooser, seed: u64) -> Self {
+    fn open(scene: Scenario, chooser: Chooser, seed: u64) -> Self {
         let names: Vec<Name> = (0..scene.targets).map(target_name).collect();
         let policy = match chooser {
             Chooser::Least => PickPolicy::LeastInFlight,
@@ -314,7 +314,7 @@
 }
 
 /// Runs one way of choosing through a scene.
-pub fn run_choice(scene: Scene, chooser: Chooser, seed: u64) -> ChoiceRow {
+pub fn run_choice(scene: Scenario, chooser: Chooser, seed: u64) -> ChoiceRow {
     Run::open(scene, chooser, seed).run()
 }
 
@@ -451,7 +451,7 @@
 }
 
 /// Nine targets before six nodes: the users' size of today.
-const TODAY: Scene = Scene {
+const TODAY: Scenario = Scenario {
     calls: 60_000,
     dead: 0,
     load_percent: 70,
@@ -462,16 +462,16 @@
 };
 
 /// The scenes of the table of choices, with their names.
-pub const SCENES: [(&str, Scene); 5] = [
+pub const SCENES: [(&str, Scenario); 5] = [
     ("even targets, 70 % load", TODAY),
-    ("a third four times slower, 70 % load", Scene { slow: 3, ..TODAY }),
-    ("a third dead, 70 % load, protected", Scene { dead: 3, ..TODAY }),
+    ("a third four times slower, 70 % load", Scenario { slow: 3, ..TODAY }),
+    ("a third dead, 70 % load, protected", Scenario { dead: 3, ..TODAY }),
     (
         "a third dead, 70 % load, no budget and no ejection",
-        Scene { dead: 3, protected: false, ..TODAY },
+        Scenario { dead: 3, protected: false, ..TODAY },
     ),
     (
         "320 nodes, 870 targets, a tenth four times slower, 70 % load",
-        Scene { calls: 1_200_000, nodes: 320, slow: 87, targets: 870, ..TODAY },
+        Scenario { calls: 1_200_000, nodes: 320, slow: 87, targets: 870, ..TODAY },
     ),
 ];
--- a/tests/all/routing.rs
+++ b/tests/all/routing.rs
@@ -1,8 +1,8 @@
 //! Bounds on the routing benchmark, on counts and virtual times.
 
-use catkinmast_bench::{Chooser, SCENES, Scene, run_choice, run_overload};
+use catkinmast_bench::{Chooser, SCENES, Scenario, run_choice, run_overload};
 
-fn scene(name: &str) -> Scene {
+fn scene(name: &str) -> Scenario {
     let found = SCENES.iter().find(|(title, _)| *title == name);
     found.expect("a scene").1
 }
