--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -6,7 +6,7 @@
     Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, SWAPS, Variant, WEIGHTS,
     run_variant, step_bound_ms,
 };
-use crate::routing::{Chooser, SCENES, run_choice, run_overload};
+use crate::routing::{Chooser, SCENARIOS, run_choice, run_overload};
 use crate::world::Fault;
 use argh::FromArgs;
 use catkinmast_model::UnixMs;
@@ -93,7 +93,7 @@
     [Chooser::RoundRobin, Chooser::LaggingReport, Chooser::Least, Chooser::TwoChoices];
 
 fn run_route(route: &Route) -> ExitCode {
-    for (title, scene) in SCENES {
+    for (title, scene) in SCENARIOS {
         let rows = CHOOSERS.map(|chooser| run_choice(scene, chooser, route.seed));
         if route.json {
             println!("{}", serde_json::json!({ "table": title, "rows": rows }));
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -23,6 +23,6 @@
     Deployment, DeploymentError, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, SWAPS,
     Variant, WEIGHTS, run_variant, step_bound_ms,
 };
-pub use routing::{ChoiceRow, Chooser, OverloadRow, SCENES, Scenario, run_choice, run_overload};
+pub use routing::{ChoiceRow, Chooser, OverloadRow, SCENARIOS, Scenario, run_choice, run_overload};
 pub use slope::Slope;
 pub use world::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -462,7 +462,7 @@
 };
 
 /// The scenes of the table of choices, with their names.
-pub const SCENES: [(&str, Scenario); 5] = [
+pub const SCENARIOS: [(&str, Scenario); 5] = [
     ("even targets, 70 % load", TODAY),
     ("a third four times slower, 70 % load", Scenario { slow: 3, ..TODAY }),
     ("a third dead, 70 % load, protected", Scenario { dead: 3, ..TODAY }),
--- a/tests/all/routing.rs
+++ b/tests/all/routing.rs
@@ -1,9 +1,9 @@
 //! Bounds on the routing benchmark, on counts and virtual times.
 
-use catkinmast_bench::{Chooser, SCENES, Scenario, run_choice, run_overload};
+use catkinmast_bench::{Chooser, SCENARIOS, Scenario, run_choice, run_overload};
 
 fn scene(name: &str) -> Scenario {
-    let found = SCENES.iter().find(|(title, _)| *title == name);
+    let found = SCENARIOS.iter().find(|(title, _)| *title == name);
     found.expect("a scene").1
 }
 
