--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -3,8 +3,8 @@
 use crate::capacity::{counted, table, timed};
 use crate::plot;
 use crate::policy::{
-    Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, SWAPS, Variant, WEIGHTS,
-    run_variant, step_bound_ms,
+    Deployment, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE, SWAPS, Variant,
+    WEIGHTS, run_variant, step_bound_ms,
 };
 use crate::routing::{Chooser, SCENARIOS, run_choice, run_overload};
 use crate::world::Fault;
@@ -192,7 +192,7 @@
         let run = |variant: &Variant| {
             run_variant(policy.deployment, policy.seed, policy.seeds, faults, *variant)
         };
-        let rows: Vec<Row> = variants.iter().map(run).collect();
+        let rows: Vec<PolicyRow> = variants.iter().map(run).collect();
         if title == WEIGHTS_TITLE
             && let Some(file) = &policy.plot
             && let Err(error) = plot::weights(file, policy.deployment, &rows)
@@ -211,7 +211,7 @@
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn print_table(title: &str, rows: &[Row], bound_ms: u64) {
+fn print_table(title: &str, rows: &[PolicyRow], bound_ms: u64) {
     println!("\n{title} (no schedule makes a step in less than {bound_ms} ms)");
     println!(
         "{:<42} {:>7} {:>6} {:>4} {:>4} {:>8} {:>8} {:>7} {:>7} {:>6}",
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,6 +1,6 @@
 //! Pictures of tables, for the docs.
 
-use crate::policy::{Deployment, Row};
+use crate::policy::{Deployment, PolicyRow};
 use plotters::prelude::{
     ChartBuilder, Circle, Color, IntoDrawingArea, LineSeries, RED, SVGBackend, Text, WHITE,
 };
@@ -10,14 +10,18 @@
 const SIZE: (u32, u32) = (640, 420);
 
 /// Draws idle time against staleness, a point for each weight.
-pub(crate) fn weights(file: &str, deployment: Deployment, rows: &[Row]) -> Result<(), String> {
+pub(crate) fn weights(
+    file: &str,
+    deployment: Deployment,
+    rows: &[PolicyRow],
+) -> Result<(), String> {
     draw(file, deployment, rows).map_err(|error| error.to_string())
 }
 
 fn draw(
     file: &str,
     deployment: Deployment,
-    rows: &[Row],
+    rows: &[PolicyRow],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -82,7 +82,7 @@
 
 /// One row of a table: the mean over the seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
+pub struct PolicyRow {
     /// Mean age of claimed samples, in versions.
     pub age_mean_versions: f64,
     /// Age that 99 of 100 samples do not exceed.
@@ -109,7 +109,7 @@
     (value * 100.0).round() / 100.0
 }
 
-impl Row {
+impl PolicyRow {
     fn of(variant: &str, outcomes: &[Outcome], steps: u64) -> Self {
         let count = outcomes.len().max(1) as f64;
         let mean =
@@ -143,7 +143,7 @@
     seeds: u64,
     faults: &[(UnixMs, Fault)],
     variant: Variant,
-) -> Row {
+) -> PolicyRow {
     let mut steps = 1;
     let outcomes: Vec<Outcome> = (seed..seed + seeds)
         .map(|seed| {
@@ -153,7 +153,7 @@
             Simulation::open(settings, faults).run(UnixMs(RUN_MAX_MS))
         })
         .collect();
-    Row::of(variant.name, &outcomes, steps)
+    PolicyRow::of(variant.name, &outcomes, steps)
 }
 
 /// The baselines, from the plainest to the policy that ships.
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -2,11 +2,11 @@
 //! machine.
 
 use catkinmast_bench::{
-    Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, Variant, WEIGHTS,
+    Deployment, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE, Variant, WEIGHTS,
     run_variant,
 };
 
-fn row(deployment: Deployment, variants: &[Variant], name: &str) -> Row {
+fn row(deployment: Deployment, variants: &[Variant], name: &str) -> PolicyRow {
     let variant = variants.iter().find(|variant| variant.name == name).expect("a variant");
     let row = run_variant(deployment, 1, 1, &[], *variant);
     assert_eq!(row.violations, 0, "{row:?}");
@@ -41,7 +41,7 @@
 fn copies_save_most_tokens_when_the_owner_crashes() {
     let run =
         |variant: &Variant| run_variant(Deployment::Cooperative, 1, 1, &OWNER_CRASHES, *variant);
-    let rows: Vec<Row> = RECOVERIES.iter().map(run).collect();
+    let rows: Vec<PolicyRow> = RECOVERIES.iter().map(run).collect();
     assert!(rows.iter().all(|row| row.violations == 0));
     let wasted: Vec<f64> = rows.iter().map(|row| row.tokens_wasted_percent).collect();
     assert!(wasted[1] * 2.0 <= wasted[0], "copies of finished samples: {wasted:?}");
