--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -300,7 +300,7 @@
     }
 
     /// Cuts the two regions from each other, or joins them.
-    pub const fn set_cut(&mut self, cut: bool) {
+    pub const fn set_partitioned(&mut self, cut: bool) {
         self.cut = cut;
     }
 
--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -237,10 +237,10 @@
     let mut fleet = settled(20, 6, 0);
 
     // Act
-    fleet.set_cut(true);
+    fleet.set_partitioned(true);
     fleet.run_until(fleet.now().plus(3_600_000));
     let forgotten = fleet.state(0, 3);
-    fleet.set_cut(false);
+    fleet.set_partitioned(false);
     let healed_at = fleet.now();
     let agreed = fleet.run_until_holds(healed_at.plus(60_000), VirtualFleet::all_agree);
 
