--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -49,7 +49,7 @@
 
 /// A counted figure with its slope.
 #[derive(Clone, Debug, Serialize)]
-pub struct Counted {
+pub struct CountedFigure {
     /// What is counted, with its unit.
     pub figure: &'static str,
     /// The unit of size.
@@ -281,13 +281,13 @@
 }
 
 /// Counts everything that is the same on every machine.
-pub fn counted() -> Vec<Counted> {
+pub fn counted() -> Vec<CountedFigure> {
     let mut rows = count_messages();
     rows.extend(count_state());
     rows
 }
 
-fn count_messages() -> Vec<Counted> {
+fn count_messages() -> Vec<CountedFigure> {
     let calm: Vec<(usize, f64)> = FLEET_SIZES.map(|nodes| (nodes, calm_bytes(nodes))).to_vec();
     let worst = |nodes: usize| {
         let runs = (1..=3).map(|seed| spread(nodes, seed, 1));
@@ -302,7 +302,7 @@
     let second = |runs: &[(usize, (f64, f64))]| -> Vec<(usize, f64)> {
         runs.iter().map(|(nodes, (_, second))| (*nodes, *second)).collect()
     };
-    let row = |figure, points: &[(usize, f64)]| Counted {
+    let row = |figure, points: &[(usize, f64)]| CountedFigure {
         figure,
         per: "log2 node",
         slope: over_log2(points),
@@ -317,8 +317,8 @@
     ]
 }
 
-fn count_state() -> Vec<Counted> {
-    let counted = |figure, per, slope, users_size| Counted { figure, per, slope, users_size };
+fn count_state() -> Vec<CountedFigure> {
+    let counted = |figure, per, slope, users_size| CountedFigure { figure, per, slope, users_size };
     vec![
         counted(
             "facts about nodes, bytes of state",
@@ -530,7 +530,7 @@
 }
 
 /// Writes the counted figures as a table in Markdown.
-pub fn table(rows: &[Counted]) -> String {
+pub fn table(rows: &[CountedFigure]) -> String {
     let heading = "| counted | measured at growing sizes | slope | error | at the users' size |";
     let mut lines = vec![heading.to_owned(), "| --- | --- | ---: | ---: | ---: |".to_owned()];
     for row in rows {
