--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -373,7 +373,7 @@
 
 /// Processor time of one event, beside a reference operation in the same run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Timed {
+pub struct TimedEvent {
     /// The event.
     pub event: &'static str,
     /// Nanoseconds for each, on this machine.
@@ -393,14 +393,14 @@
 }
 
 /// Measures the processor time of the events that a node handles.
-pub fn timed() -> Vec<Timed> {
+pub fn timed() -> Vec<TimedEvent> {
     let block = [7_u8; 1_024];
     let reference = nanoseconds(2_000, |_| {
         std::hint::black_box(blake3::hash(&block));
     });
     let mut rows = Vec::new();
     let mut add = |event, nanoseconds: f64| {
-        rows.push(Timed { event, nanoseconds, references: nanoseconds / reference });
+        rows.push(TimedEvent { event, nanoseconds, references: nanoseconds / reference });
     };
     add("reference: BLAKE3 of 1 KiB", reference);
     time_membership(&mut add);
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -15,7 +15,7 @@
 mod trainer;
 mod world;
 
-pub use capacity::{CountedFigure, Timed, counted, table, timed};
+pub use capacity::{CountedFigure, TimedEvent, counted, table, timed};
 pub use command::main;
 pub use engines::{EngineModel, SwapMode};
 pub use fleet::{Traffic, VirtualFleet};
