--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -4,7 +4,7 @@
 use crate::plot;
 use crate::policy::{
     Deployment, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE, SWAPS, Variant,
-    WEIGHTS, run_variant, step_bound_ms,
+    WEIGHTS, run_variant, step_lower_bound_ms,
 };
 use crate::routing::{Chooser, SCENARIOS, run_choice, run_overload};
 use crate::world::Fault;
@@ -178,7 +178,7 @@
         }
     };
     let seeds = policy.seed..policy.seed + policy.seeds;
-    let bounds = seeds.map(|seed| step_bound_ms(&policy.deployment.settings(seed)));
+    let bounds = seeds.map(|seed| step_lower_bound_ms(&policy.deployment.settings(seed)));
     let bound_ms = bounds.sum::<u64>() / policy.seeds.max(1);
     let tables = [
         ("schedule", &SCHEDULES[..], faults),
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -21,7 +21,7 @@
 pub use fleet::{Traffic, VirtualFleet};
 pub use policy::{
     Deployment, DeploymentError, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE,
-    SWAPS, Variant, WEIGHTS, run_variant, step_bound_ms,
+    SWAPS, Variant, WEIGHTS, run_variant, step_lower_bound_ms,
 };
 pub use routing::{ChoiceRow, Chooser, OverloadRow, SCENARIOS, Scenario, run_choice, run_overload};
 pub use slope::Slope;
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -233,7 +233,7 @@
 
 /// Returns the time in which no schedule can make one step: all tokens at full speed, or the
 /// longest sample alone on an engine.
-pub fn step_bound_ms(settings: &SimulationSettings) -> u64 {
+pub fn step_lower_bound_ms(settings: &SimulationSettings) -> u64 {
     let model = settings.engine;
     let lengths = (1..=settings.steps).flat_map(|step| {
         (0..settings.groups).flat_map(move |group| {
