--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -7,7 +7,7 @@
     WEIGHTS, run_variant, step_lower_bound_ms,
 };
 use crate::routing::{Chooser, SCENARIOS, run_choice, run_overload};
-use crate::world::Fault;
+use crate::simulation::Fault;
 use argh::FromArgs;
 use catkinmast_model::UnixMs;
 use std::process::ExitCode;
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -11,9 +11,9 @@
 mod plot;
 mod policy;
 mod routing;
+mod simulation;
 mod slope;
 mod trainer;
-mod world;
 
 pub use capacity::{CountedFigure, TimedEvent, counted, table, timed};
 pub use command::main;
@@ -24,5 +24,5 @@
     SWAPS, Variant, WEIGHTS, run_variant, step_lower_bound_ms,
 };
 pub use routing::{ChoiceRow, Chooser, OverloadRow, SCENARIOS, Scenario, run_choice, run_overload};
+pub use simulation::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
 pub use slope::Slope;
-pub use world::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policy benchmark: idle time, staleness, waste and recovery, against named baselines.
 
 use crate::engines::{EngineModel, SwapMode, length_of};
-use crate::world::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
+use crate::simulation::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
 use catkinmast_model::{SampleId, UnixMs};
 use catkinmast_rollout::{OrderSettings, Registration, ScheduleSettings};
 use displaydoc::Display;
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -1,7 +1,7 @@
 //! The trainer of a world: it submits ahead, fetches, claims, trains and publishes, and checks what
 //! it is given.
 
-use crate::world::{Happening, Simulation};
+use crate::simulation::{Happening, Simulation};
 use catkinmast_model::{SampleId, UnixMs, Version};
 use catkinmast_rollout::{Attempt, Command, GroupSpec, Reply, StepSpec};
 use indexmap::IndexMap;
