--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -281,7 +281,7 @@
 }
 
 /// Counts everything that is the same on every machine.
-pub fn counted() -> Vec<CountedFigure> {
+pub fn count_figures() -> Vec<CountedFigure> {
     let mut rows = count_messages();
     rows.extend(count_state());
     rows
@@ -393,7 +393,7 @@
 }
 
 /// Measures the processor time of the events that a node handles.
-pub fn timed() -> Vec<TimedEvent> {
+pub fn time_events() -> Vec<TimedEvent> {
     let block = [7_u8; 1_024];
     let reference = nanoseconds(2_000, |_| {
         std::hint::black_box(blake3::hash(&block));
@@ -530,7 +530,7 @@
 }
 
 /// Writes the counted figures as a table in Markdown.
-pub fn table(rows: &[CountedFigure]) -> String {
+pub fn markdown_table(rows: &[CountedFigure]) -> String {
     let heading = "| counted | measured at growing sizes | slope | error | at the users' size |";
     let mut lines = vec![heading.to_owned(), "| --- | --- | ---: | ---: | ---: |".to_owned()];
     for row in rows {
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -1,6 +1,6 @@
 //! The command line of the benchmarks.
 
-use crate::capacity::{counted, table, timed};
+use crate::capacity::{count_figures, markdown_table, time_events};
 use crate::plot;
 use crate::policy::{
     Deployment, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE, SWAPS, Variant,
@@ -152,13 +152,13 @@
 }
 
 fn run_capacity(capacity: &Capacity) -> ExitCode {
-    let counted = counted();
-    let timed = if capacity.counted { Vec::new() } else { timed() };
+    let counted = count_figures();
+    let timed = if capacity.counted { Vec::new() } else { time_events() };
     if capacity.json {
         println!("{}", serde_json::json!({ "counted": counted, "timed": timed }));
         return ExitCode::SUCCESS;
     }
-    print!("{}", table(&counted));
+    print!("{}", markdown_table(&counted));
     if !timed.is_empty() {
         println!("\n| timed | ns | references |\n| --- | ---: | ---: |");
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -15,7 +15,7 @@
 mod slope;
 mod trainer;
 
-pub use capacity::{CountedFigure, TimedEvent, counted, table, timed};
+pub use capacity::{CountedFigure, TimedEvent, count_figures, markdown_table, time_events};
 pub use command::main;
 pub use engines::{EngineModel, SwapMode};
 pub use fleet::{Traffic, VirtualFleet};
