--- a/tests/all/processes/bad_requests.rs
+++ b/tests/all/processes/bad_requests.rs
@@ -122,7 +122,7 @@
     // Assert
     let url = format!("http://{}/metrics", node.http);
     fleet
-        .until("garbage was counted", async || {
+        .poll_until("garbage was counted", async || {
             let (_, text) = fleet.send("GET", OPERATOR, &url, None).await;
             let line =
                 text.lines().find(|line| line.starts_with("catkinmast_frames_refused_total"))?;
--- a/tests/all/processes/broken_network.rs
+++ b/tests/all/processes/broken_network.rs
@@ -23,7 +23,7 @@
             targets.iter().filter(|t| t["name"].as_str().is_some_and(|n| n.starts_with("behind")));
         (all.count() == count as usize && targets.len() == count as usize).then_some(())
     };
-    fleet.until("the node knows the forwarders", known).await;
+    fleet.poll_until("the node knows the forwarders", known).await;
     (fleet, forwarders)
 }
 
--- a/tests/all/processes/calls.rs
+++ b/tests/all/processes/calls.rs
@@ -45,7 +45,7 @@
     let first = fleet.call(0, "/award", "badge-7", Some(&ticket));
     let hung_up = tokio::time::timeout(std::time::Duration::from_millis(500), first).await;
     let through_other = fleet
-        .until("the recorded answer comes", async || {
+        .poll_until("the recorded answer comes", async || {
             let (status, body) = fleet.call(1, "/award", "badge-7", Some(&ticket)).await;
             (status == 200).then_some(body)
         })
@@ -96,7 +96,7 @@
     // Act
     fleet.replace_node(0);
     let (status, body) = fleet
-        .until("the new life serves", async || {
+        .poll_until("the new life serves", async || {
             let (status, body) = fleet.call(0, "/award", "badge-11", Some(&ticket)).await;
             (status != 0 && verdict(&body) != "not_run").then_some((status, body))
         })
@@ -121,7 +121,7 @@
         let status = fleet.status(0).await;
         (status["targets"].as_array().map_or(0, Vec::len) == 1).then_some(())
     };
-    fleet.until("the target is known", known).await;
+    fleet.poll_until("the target is known", known).await;
 
     // Act
     let (status, body) = fleet.call(0, "/award", "badge-9", None).await;
@@ -144,7 +144,7 @@
     };
     fleet.list("absent", "service", address, "live").await;
     fleet
-        .until("the target is known", async || {
+        .poll_until("the target is known", async || {
             let status = fleet.status(0).await;
             (status["targets"].as_array().map_or(0, Vec::len) == 1).then_some(())
         })
@@ -173,7 +173,7 @@
 
     // Act: calls through one node until the target's refusal was seen.
     fleet
-        .until("one node sees the refusal", async || {
+        .poll_until("one node sees the refusal", async || {
             let (status, body) = fleet.call(0, "/progress", "youth-1", None).await;
             assert_eq!(status, 200, "a refused idempotent call goes to another target: {body}");
             let known = fleet.status(0).await;
@@ -185,7 +185,7 @@
     // Assert: every node knows it by the rumour, while the platform still lists it as live.
     for node in 0..fleet.nodes.len() {
         fleet
-            .until("the rumour has arrived", async || {
+            .poll_until("the rumour has arrived", async || {
                 let known = fleet.status(node).await;
                 let targets = known["targets"].as_array().cloned().unwrap_or_default();
                 let found = targets.iter().find(|target| target["name"] == "service-0")?;
--- a/tests/all/processes/configuration.rs
+++ b/tests/all/processes/configuration.rs
@@ -54,7 +54,7 @@
     let winner = if codes[0] == 0 { "timeout_ms = 7000" } else { "timeout_ms = 6000" };
     for node in 0..3 {
         let text = fleet
-            .until("revision 2 is in force", async || {
+            .poll_until("revision 2 is in force", async || {
                 let (_, shown) = fleet.operator("GET", node, "/v1/config", None).await;
                 let text = shown["text"].as_str()?.to_owned();
                 (shown["revision"] == 2).then_some(text)
@@ -63,7 +63,7 @@
         assert!(text.contains(winner));
     }
     let results = fleet
-        .until("the audit trail has all three", async || {
+        .poll_until("the audit trail has all three", async || {
             let (_, audit) = fleet.operator("GET", 2, "/v1/audit", None).await;
             let entries = audit.as_array()?.clone();
             let text = |entry: &Value, field: &str| entry[field].as_str().map(str::to_owned);
@@ -92,7 +92,7 @@
         fleet.send("GET", TRAINER, &url, None).await.0
     };
     let served = async || (progress().await == 200).then_some(());
-    fleet.until("the trainer is served", served).await;
+    fleet.poll_until("the trainer is served", served).await;
     let text = document();
     let without = text.split("[[trainers]]").next().expect("the part before").to_owned();
     let apply = async |base: u64, text: &str| {
@@ -104,9 +104,9 @@
     // Act, assert
     assert_eq!(apply(1, &without).await, 200);
     let unknown = async || (progress().await == 404).then_some(());
-    fleet.until("the trainer is no longer known", unknown).await;
+    fleet.poll_until("the trainer is no longer known", unknown).await;
     assert_eq!(apply(2, &text).await, 200);
-    fleet.until("the trainer is served again", served).await;
+    fleet.poll_until("the trainer is served again", served).await;
 }
 
 /// Symptom: a document is put in force twice, or an operator is told "not run" although it was.
@@ -123,7 +123,7 @@
 
     // Act: the operator repeats the same operation until it is settled.
     let revision = fleet
-        .until("the operation is settled", async || {
+        .poll_until("the operation is settled", async || {
             let (status, answer) = fleet.operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then(|| answer["revision"].as_u64())
         })
@@ -152,7 +152,7 @@
     assert_eq!(status, 200);
     for node in 0..3 {
         fleet
-            .until("revision 2 is in force", async || {
+            .poll_until("revision 2 is in force", async || {
                 (fleet.status(node).await["config_revision"] == 2).then_some(())
             })
             .await;
@@ -165,7 +165,7 @@
         let status = fleet.status(3).await;
         (status["ready"] == true).then(|| status["config_revision"].as_u64())
     };
-    let revision = fleet.until("the new node is ready", ready).await;
+    let revision = fleet.poll_until("the new node is ready", ready).await;
     let (called, _) = fleet.call(3, "/progress", "during-outage", None).await;
     let (refused, answer) = fleet.operator("PUT", 3, "/v1/config", Some(&body)).await;
 
--- a/tests/all/processes/graceful_stop.rs
+++ b/tests/all/processes/graceful_stop.rs
@@ -54,7 +54,7 @@
     let (status, _) = fleet.operator("POST", 0, &path, None).await;
     let url = format!("http://{}/v1/addresses", fleet.nodes[1].http);
     fleet
-        .until("the node is no longer named", async || {
+        .poll_until("the node is no longer named", async || {
             let (_, text) = fleet.send("GET", CALLER, &url, None).await;
             let answer: Value = serde_json::from_str(&text).ok()?;
             let entries = answer["addresses"].as_array()?;
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -47,7 +47,7 @@
 
     async fn until_done(&self, method: &str, path: &str, body: Option<&Value>) {
         self.fleet
-            .until(path, async || {
+            .poll_until(path, async || {
                 let (status, text) = self.send(method, path, body).await;
                 assert!(status != 400 && status != 422, "{path}: {text}");
                 (200..300).contains(&status).then_some(())
@@ -79,7 +79,7 @@
         let body = json!({ "at_version": self.version });
         let samples = self
             .fleet
-            .until("the batch is claimed", async || {
+            .poll_until("the batch is claimed", async || {
                 let (status, text) = self.send("GET", &path, None).await;
                 if status == 410 {
                     return Some(None);
@@ -193,7 +193,7 @@
     // Act
     fleet.nodes[owner].process.signal("TERM");
     fleet
-        .until("another node owns the trainer", async || {
+        .poll_until("another node owns the trainer", async || {
             (fleet.owner(other).await != owner).then_some(())
         })
         .await;
@@ -220,7 +220,7 @@
     // Act: the pause ends only when another node has taken the trainer over.
     fleet.nodes[owner].process.signal("STOP");
     fleet
-        .until("another node owns the trainer", async || {
+        .poll_until("another node owns the trainer", async || {
             (fleet.owner(other).await != owner).then_some(())
         })
         .await;
@@ -232,7 +232,7 @@
     // Assert: the woken node knows its successor, and the trainer can go on through it.
     assert!(next > 1);
     fleet
-        .until("the woken node knows the new owner", async || {
+        .poll_until("the woken node knows the new owner", async || {
             (fleet.owner(owner).await != owner).then_some(())
         })
         .await;
@@ -256,7 +256,7 @@
         let progress: Value = serde_json::from_str(&text).ok()?;
         (progress["samples_running"].as_u64()? > 0).then_some(())
     };
-    fleet.until("samples run", running).await;
+    fleet.poll_until("samples run", running).await;
 
     // Act
     fleet.engines[0].0.signal("KILL");
@@ -299,7 +299,7 @@
         let status = fleet.status(0).await;
         (status["targets"].as_array().map_or(0, Vec::len) == 6).then_some(())
     };
-    fleet.until("the engine is known", targets).await;
+    fleet.poll_until("the engine is known", targets).await;
 
     // Act
     trainer.submit(1).await;
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -151,7 +151,7 @@
     /// Puts the tests' configuration in force through the first node.
     async fn apply_first(&self) {
         let body = json!({ "base_revision": 0, "operation_id": "first", "text": document() });
-        self.until("the first configuration is accepted", async || {
+        self.poll_until("the first configuration is accepted", async || {
             let (status, answer) = self.operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then_some(answer)
         })
@@ -161,7 +161,7 @@
     /// Waits until every node is ready, knows all targets, and all nodes.
     async fn wait_ready(&self, targets: &usize) {
         for node in 0..self.nodes.len() {
-            self.until("the node is ready", async || {
+            self.poll_until("the node is ready", async || {
                 let status = self.status(node).await;
                 let count = |list: &str| status[list].as_array().map_or(0, Vec::len);
                 let whole = count("targets") == *targets && count("nodes") == self.nodes.len();
@@ -243,7 +243,7 @@
     }
 
     /// Polls until `look` finds something.
-    pub(crate) async fn until<T>(&self, what: &str, look: impl AsyncFn() -> Option<T>) -> T {
+    pub(crate) async fn poll_until<T>(&self, what: &str, look: impl AsyncFn() -> Option<T>) -> T {
         let began = Instant::now();
         loop {
             if let Some(found) = look().await {
@@ -292,7 +292,7 @@
 
     /// Returns the place, among the started nodes, of the node that owns the trainer.
     pub(crate) async fn owner(&self, asked: usize) -> usize {
-        self.until("some node owns the trainer", async || {
+        self.poll_until("some node owns the trainer", async || {
             let status = self.status(asked).await;
             let owner = status["owners"][0]["node"].as_str()?.to_owned();
             self.nodes.iter().position(|node| node.name == owner)
