--- a/tests/all/processes/broken_network.rs
+++ b/tests/all/processes/broken_network.rs
@@ -12,8 +12,10 @@
     for (number, (_, address)) in fleet.services.iter().enumerate() {
         let near = "127.0.0.1:0".parse().expect("an address");
         let forwarder = Forwarder::spawn(near, *address).await.expect("a forwarder");
-        fleet.list(&format!("service-{number}"), "service", *address, "gone").await;
-        fleet.list(&format!("behind-{number}"), "service", forwarder.address(), "live").await;
+        fleet.set_instance(&format!("service-{number}"), "service", *address, "gone").await;
+        fleet
+            .set_instance(&format!("behind-{number}"), "service", forwarder.address(), "live")
+            .await;
         forwarders.push(forwarder);
     }
     let known = async || {
--- a/tests/all/processes/calls.rs
+++ b/tests/all/processes/calls.rs
@@ -116,7 +116,7 @@
     // Arrange: the only target closes.
     let fleet = Fleet::start(&FleetSize { engines: 0, nodes: 1, services: 0 }).await;
     let (address, requests) = closing_target();
-    fleet.list("closing", "service", address, "live").await;
+    fleet.set_instance("closing", "service", address, "live").await;
     let known = async || {
         let status = fleet.status(0).await;
         (status["targets"].as_array().map_or(0, Vec::len) == 1).then_some(())
@@ -142,7 +142,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         listener.local_addr().expect("the bound address")
     };
-    fleet.list("absent", "service", address, "live").await;
+    fleet.set_instance("absent", "service", address, "live").await;
     fleet
         .poll_until("the target is known", async || {
             let status = fleet.status(0).await;
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -293,7 +293,7 @@
 async fn an_answer_without_its_last_line_is_not_a_sample() {
     // Arrange: the emptiest engine is always the one that says nothing.
     let fleet = Fleet::start(&size()).await;
-    fleet.list("engine-silent", "engine", silent_engine(), "live").await;
+    fleet.set_instance("engine-silent", "engine", silent_engine(), "live").await;
     let mut trainer = Trainer::register(&fleet, 0).await;
     let targets = async || {
         let status = fleet.status(0).await;
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -132,12 +132,12 @@
         };
         for number in 0..size.engines {
             let started = standin(&[&["engine"], engine].concat());
-            fleet.list(&format!("engine-{number}"), "engine", started.1, "live").await;
+            fleet.set_instance(&format!("engine-{number}"), "engine", started.1, "live").await;
             fleet.engines.push(started);
         }
         for number in 0..size.services {
             let started = standin(&[&["service"], service].concat());
-            fleet.list(&format!("service-{number}"), "service", started.1, "live").await;
+            fleet.set_instance(&format!("service-{number}"), "service", started.1, "live").await;
             fleet.services.push(started);
         }
         for number in 0..size.nodes {
@@ -219,7 +219,13 @@
     }
 
     /// Lets the platform list an instance.
-    pub(crate) async fn list(&self, name: &str, kind: &str, address: SocketAddr, state: &str) {
+    pub(crate) async fn set_instance(
+        &self,
+        name: &str,
+        kind: &str,
+        address: SocketAddr,
+        state: &str,
+    ) {
         let app = if kind == "engine" { "citation" } else { "registre" };
         let instance = json!({
             "address": address,
