--- a/tests/all/processes/configuration.rs
+++ b/tests/all/processes/configuration.rs
@@ -119,7 +119,7 @@
     let text = edited("timeout_ms = 8000", "timeout_ms = 7500");
     let body = json!({ "base_revision": 1, "operation_id": "lost-reply", "text": text });
     // The first write is the body, whose loss is answered at once; the second is the head.
-    fleet.faults(&json!({ "lose_write_replies": 2 })).await;
+    fleet.set_platform_faults(&json!({ "lose_write_replies": 2 })).await;
 
     // Act: the operator repeats the same operation until it is settled.
     let revision = fleet
@@ -157,7 +157,7 @@
             })
             .await;
     }
-    fleet.faults(&json!({ "outage": true })).await;
+    fleet.set_platform_faults(&json!({ "outage": true })).await;
 
     // Act
     fleet.start_node(3);
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -317,7 +317,7 @@
     // Arrange
     let fleet = Fleet::start(&size()).await;
     let owner = fleet.owner(0).await;
-    fleet.faults(&json!({ "slow_ms": 700 })).await;
+    fleet.set_platform_faults(&json!({ "slow_ms": 700 })).await;
 
     // Act
     let mut trainer = Trainer::register(&fleet, 0).await;
@@ -342,14 +342,14 @@
     trainer.submit(1).await;
 
     // Act
-    fleet.faults(&json!({ "lose_write_replies": 3 })).await;
+    fleet.set_platform_faults(&json!({ "lose_write_replies": 3 })).await;
     assert!(trainer.take(1).await);
-    fleet.faults(&json!({ "outage": true })).await;
+    fleet.set_platform_faults(&json!({ "outage": true })).await;
     let (status, body) =
         trainer.send("POST", "/batches/2/claim", Some(&json!({ "at_version": 0 }))).await;
     let (call, _) = fleet.call(1, "/progress", "during-outage", None).await;
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
-    fleet.faults(&json!({})).await;
+    fleet.set_platform_faults(&json!({})).await;
     trainer.take_steps(2, 1).await;
 
     // Assert: application calls went on; the claim was refused, or its outcome left open, but it
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -242,7 +242,7 @@
     }
 
     /// Switches faults of the platform on or off.
-    pub(crate) async fn faults(&self, faults: &Value) {
+    pub(crate) async fn set_platform_faults(&self, faults: &Value) {
         let url = format!("http://{}/faults", self.platform);
         let sent = self.client.post(url).json(faults).send().await;
         assert!(sent.expect("the platform answers").status().is_success());
