--- a/tests/all/processes/configuration.rs
+++ b/tests/all/processes/configuration.rs
@@ -85,7 +85,7 @@
 async fn a_trainer_that_is_taken_out_is_given_up_and_can_come_back() {
     // Arrange
     let fleet = Fleet::start(&FleetSize { engines: 1, nodes: 2, services: 1 }).await;
-    fleet.owner(0).await;
+    fleet.owner_index(0).await;
     let progress = async || {
         let node = fleet.nodes[1].http;
         let url = format!("http://{node}/v1/trainers/citation-trainer/progress");
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -164,7 +164,7 @@
 async fn killing_the_owner_in_the_middle_of_a_step_loses_and_doubles_nothing() {
     // Arrange
     let fleet = Fleet::start(&size()).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
     let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
 
@@ -175,7 +175,7 @@
     trainer.take_steps(next, 2).await;
 
     // Assert: every sample was checked as it was claimed.
-    assert_ne!(fleet.owner(other).await, owner);
+    assert_ne!(fleet.owner_index(other).await, owner);
 }
 
 /// Symptom: a planned stop costs a trainer its samples, or the stop never ends.
@@ -186,7 +186,7 @@
 async fn stopping_the_owner_hands_its_trainer_over_and_ends_in_order() {
     // Arrange: slow engines, so that the stop meets the step in its middle.
     let mut fleet = Fleet::start_with(&size(), &["--tick-ms", "40"], &[]).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
     let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
 
@@ -194,7 +194,7 @@
     fleet.nodes[owner].process.signal("TERM");
     fleet
         .poll_until("another node owns the trainer", async || {
-            (fleet.owner(other).await != owner).then_some(())
+            (fleet.owner_index(other).await != owner).then_some(())
         })
         .await;
     let next = trainer.take_steps(2, 1).await;
@@ -213,7 +213,7 @@
 async fn an_owner_paused_past_its_lease_changes_nothing_when_it_wakes() {
     // Arrange
     let fleet = Fleet::start(&size()).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
     let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
 
@@ -221,7 +221,7 @@
     fleet.nodes[owner].process.signal("STOP");
     fleet
         .poll_until("another node owns the trainer", async || {
-            (fleet.owner(other).await != owner).then_some(())
+            (fleet.owner_index(other).await != owner).then_some(())
         })
         .await;
     let next = trainer.take_steps(2, 1).await;
@@ -233,7 +233,7 @@
     assert!(next > 1);
     fleet
         .poll_until("the woken node knows the new owner", async || {
-            (fleet.owner(owner).await != owner).then_some(())
+            (fleet.owner_index(owner).await != owner).then_some(())
         })
         .await;
     trainer.node = owner;
@@ -316,7 +316,7 @@
 async fn a_slow_key_value_service_slows_a_step_and_no_more() {
     // Arrange
     let fleet = Fleet::start(&size()).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     fleet.set_platform_faults(&json!({ "slow_ms": 700 })).await;
 
     // Act
@@ -327,7 +327,7 @@
 
     // Assert
     assert_eq!(call, 200);
-    assert_eq!(fleet.owner(0).await, owner, "nobody had to take over");
+    assert_eq!(fleet.owner_index(0).await, owner, "nobody had to take over");
 }
 
 /// Symptom: a batch is used twice, or a claim is lost.
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -297,7 +297,7 @@
     }
 
     /// Returns the place, among the started nodes, of the node that owns the trainer.
-    pub(crate) async fn owner(&self, asked: usize) -> usize {
+    pub(crate) async fn owner_index(&self, asked: usize) -> usize {
         self.poll_until("some node owns the trainer", async || {
             let status = self.status(asked).await;
             let owner = status["owners"][0]["node"].as_str()?.to_owned();
