--- a/tests/all/processes/bad_requests.rs
+++ b/tests/all/processes/bad_requests.rs
@@ -101,7 +101,7 @@
     assert_eq!(answer, catkinmast_standin::answer_of("/progress", &long));
     // The refusal comes while the caller is still sending; it may see the connection close.
     assert!(refused == 413 || refused == 0, "{refused}: {problem}");
-    assert_eq!(fleet.runs("/progress", &over_long).await, 0);
+    assert_eq!(fleet.count_runs("/progress", &over_long).await, 0);
 }
 
 #[tokio::test]
--- a/tests/all/processes/broken_network.rs
+++ b/tests/all/processes/broken_network.rs
@@ -56,7 +56,7 @@
     // Assert
     assert_eq!((status, verdict(&body).as_str()), (502, "may_have_run"), "{body}");
     assert_eq!(after, 200, "the target is used again");
-    assert!(fleet.runs("/award", "held").await <= 1);
+    assert!(fleet.count_runs("/award", "held").await <= 1);
 }
 
 /// Symptom: a lookup fails although another target could have answered it.
@@ -89,7 +89,7 @@
     assert_eq!(lookup, 200, "{answer}");
     assert_eq!(answer, catkinmast_standin::answer_of("/progress", "cut"));
     assert_eq!((act, verdict(&problem).as_str()), (502, "may_have_run"), "{problem}");
-    assert_eq!(fleet.runs("/award", "cut").await, 1);
+    assert_eq!(fleet.count_runs("/award", "cut").await, 1);
 }
 
 /// Symptom: the answer to one call is given to another.
--- a/tests/all/processes/calls.rs
+++ b/tests/all/processes/calls.rs
@@ -57,7 +57,7 @@
     assert_eq!(status, 200);
     assert_eq!(through_other, through_third, "every sending gets the one answer");
     assert!(through_other.contains("\"whole\":true"));
-    assert_eq!(fleet.runs("/award", "badge-7").await, 1);
+    assert_eq!(fleet.count_runs("/award", "badge-7").await, 1);
 }
 
 /// Symptom: a call is run twice, or its caller is told "not run" although it ran.
@@ -79,7 +79,7 @@
     // Assert
     assert_eq!(first, 200);
     assert_eq!((status, verdict(&body).as_str()), (502, "may_have_run"), "{body}");
-    assert_eq!(fleet.runs("/award", "badge-8").await, 1);
+    assert_eq!(fleet.count_runs("/award", "badge-8").await, 1);
 }
 
 /// Symptom: a call is run twice.
@@ -105,7 +105,7 @@
     // Assert
     assert_eq!(first, 200);
     assert_eq!((status, verdict(&body).as_str()), (502, "may_have_run"), "{body}");
-    assert_eq!(fleet.runs("/award", "badge-11").await, 1);
+    assert_eq!(fleet.count_runs("/award", "badge-11").await, 1);
 }
 
 /// Symptom: a call that may not be repeated reaches the target twice.
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -307,7 +307,7 @@
     }
 
     /// Returns how often the services ran each body at a path, by their own records.
-    pub(crate) async fn runs(&self, path: &str, body: &str) -> usize {
+    pub(crate) async fn count_runs(&self, path: &str, body: &str) -> usize {
         let mut count = 0;
         for (_, address) in &self.services {
             let url = format!("http://{address}/standin/runs");
