--- a/tests/all/processes/configuration.rs
+++ b/tests/all/processes/configuration.rs
@@ -55,7 +55,7 @@
     for node in 0..3 {
         let text = fleet
             .poll_until("revision 2 is in force", async || {
-                let (_, shown) = fleet.operator("GET", node, "/v1/config", None).await;
+                let (_, shown) = fleet.send_as_operator("GET", node, "/v1/config", None).await;
                 let text = shown["text"].as_str()?.to_owned();
                 (shown["revision"] == 2).then_some(text)
             })
@@ -64,7 +64,7 @@
     }
     let results = fleet
         .poll_until("the audit trail has all three", async || {
-            let (_, audit) = fleet.operator("GET", 2, "/v1/audit", None).await;
+            let (_, audit) = fleet.send_as_operator("GET", 2, "/v1/audit", None).await;
             let entries = audit.as_array()?.clone();
             let text = |entry: &Value, field: &str| entry[field].as_str().map(str::to_owned);
             let results: Vec<String> =
@@ -98,7 +98,7 @@
     let apply = async |base: u64, text: &str| {
         let operation = format!("change-{base}");
         let body = json!({ "base_revision": base, "operation_id": operation, "text": text });
-        fleet.operator("PUT", 0, "/v1/config", Some(&body)).await.0
+        fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await.0
     };
 
     // Act, assert
@@ -124,16 +124,17 @@
     // Act: the operator repeats the same operation until it is settled.
     let revision = fleet
         .poll_until("the operation is settled", async || {
-            let (status, answer) = fleet.operator("PUT", 0, "/v1/config", Some(&body)).await;
+            let (status, answer) =
+                fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then(|| answer["revision"].as_u64())
         })
         .await;
-    let (_, again) = fleet.operator("PUT", 1, "/v1/config", Some(&body)).await;
+    let (_, again) = fleet.send_as_operator("PUT", 1, "/v1/config", Some(&body)).await;
 
     // Assert
     assert_eq!(revision, Some(2));
     assert_eq!(again["revision"].as_u64(), Some(2), "the same operation is the same revision");
-    let (_, history) = fleet.operator("GET", 0, "/v1/config/history", None).await;
+    let (_, history) = fleet.send_as_operator("GET", 0, "/v1/config/history", None).await;
     let operations = history.as_array().expect("a list");
     let ours = operations.iter().filter(|entry| entry["operation_id"] == "lost-reply");
     assert_eq!((operations.len(), ours.count()), (2, 1));
@@ -148,7 +149,7 @@
     let mut fleet = Fleet::start(&FleetSize { engines: 0, nodes: 3, services: 1 }).await;
     let text = edited("timeout_ms = 8000", "timeout_ms = 7000");
     let body = json!({ "base_revision": 1, "operation_id": "second", "text": text });
-    let (status, _) = fleet.operator("PUT", 0, "/v1/config", Some(&body)).await;
+    let (status, _) = fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
     assert_eq!(status, 200);
     for node in 0..3 {
         fleet
@@ -167,7 +168,7 @@
     };
     let revision = fleet.poll_until("the new node is ready", ready).await;
     let (called, _) = fleet.call(3, "/progress", "during-outage", None).await;
-    let (refused, answer) = fleet.operator("PUT", 3, "/v1/config", Some(&body)).await;
+    let (refused, answer) = fleet.send_as_operator("PUT", 3, "/v1/config", Some(&body)).await;
 
     // Assert: it serves, and refuses truthfully what needs the service.
     assert_eq!(revision, Some(2));
--- a/tests/all/processes/graceful_stop.rs
+++ b/tests/all/processes/graceful_stop.rs
@@ -51,7 +51,7 @@
     let path = format!("/v1/nodes/{}/drain", fleet.nodes[2].name);
 
     // Act
-    let (status, _) = fleet.operator("POST", 0, &path, None).await;
+    let (status, _) = fleet.send_as_operator("POST", 0, &path, None).await;
     let url = format!("http://{}/v1/addresses", fleet.nodes[1].http);
     fleet
         .poll_until("the node is no longer named", async || {
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -152,7 +152,7 @@
     async fn apply_first(&self) {
         let body = json!({ "base_revision": 0, "operation_id": "first", "text": document() });
         self.poll_until("the first configuration is accepted", async || {
-            let (status, answer) = self.operator("PUT", 0, "/v1/config", Some(&body)).await;
+            let (status, answer) = self.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then_some(answer)
         })
         .await;
@@ -279,7 +279,7 @@
     }
 
     /// Sends an operator's request to a node.
-    pub(crate) async fn operator(
+    pub(crate) async fn send_as_operator(
         &self,
         method: &str,
         node: usize,
@@ -293,7 +293,7 @@
 
     /// Returns a node's status.
     pub(crate) async fn status(&self, node: usize) -> Value {
-        self.operator("GET", node, "/v1/status", None).await.1
+        self.send_as_operator("GET", node, "/v1/status", None).await.1
     }
 
     /// Returns the place, among the started nodes, of the node that owns the trainer.
