--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -143,13 +143,13 @@
         for number in 0..size.nodes {
             fleet.start_node(number);
         }
-        fleet.apply_first().await;
+        fleet.apply_initial_document().await;
         fleet.wait_ready(&size.targets()).await;
         fleet
     }
 
     /// Puts the tests' configuration in force through the first node.
-    async fn apply_first(&self) {
+    async fn apply_initial_document(&self) {
         let body = json!({ "base_revision": 0, "operation_id": "first", "text": document() });
         self.poll_until("the first configuration is accepted", async || {
             let (status, answer) = self.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
