--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -72,7 +72,7 @@
 }
 
 /// Starts a stand-in and returns it with its address.
-pub(crate) fn standin(arguments: &[&str]) -> (Process, SocketAddr) {
+pub(crate) fn start_standin(arguments: &[&str]) -> (Process, SocketAddr) {
     let arguments: Vec<String> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
     let process = Process::start(env!("CARGO_BIN_EXE_catkinmast-standin"), &arguments);
     let address = process.first_line.parse().expect("the first line is the address");
@@ -117,7 +117,7 @@
 
     /// Starts a fleet whose engines and services get further arguments.
     pub(crate) async fn start_with(size: &FleetSize, engine: &[&str], service: &[&str]) -> Self {
-        let (platform_process, platform) = standin(&["platform", "--list-lag-ms", "100"]);
+        let (platform_process, platform) = start_standin(&["platform", "--list-lag-ms", "100"]);
         let mut fleet = Self {
             client: reqwest::Client::builder()
                 .no_proxy()
@@ -131,12 +131,12 @@
             _platform_process: platform_process,
         };
         for number in 0..size.engines {
-            let started = standin(&[&["engine"], engine].concat());
+            let started = start_standin(&[&["engine"], engine].concat());
             fleet.set_instance(&format!("engine-{number}"), "engine", started.1, "live").await;
             fleet.engines.push(started);
         }
         for number in 0..size.services {
-            let started = standin(&[&["service"], service].concat());
+            let started = start_standin(&[&["service"], service].concat());
             fleet.set_instance(&format!("service-{number}"), "service", started.1, "live").await;
             fleet.services.push(started);
         }
