--- a/crates/node/src/api/call.rs
+++ b/crates/node/src/api/call.rs
@@ -1,7 +1,7 @@
 //! Calls of plain services: `/v1/call/<service>/<path>`, any method, bodies streamed.
 
 use crate::api::answer::Problem;
-use crate::api::guard::Asking;
+use crate::api::guard::RequestContext;
 use crate::api::ticket;
 use crate::auth::Role;
 use crate::edge::calls::{Answer, AnswerBody, CallBody, CallRequest, call_service, find_call};
@@ -61,10 +61,10 @@
 }
 
 async fn serve(request: &Request<'_>, data: Data<'_>) -> Result<Answer, Problem> {
-    let asking = Asking::from_request(request).await.succeeded();
-    let asking = asking.ok_or_else(|| Problem::with_status(500, "the node is not set up"))?;
-    let workspace = asking.as_role(Role::Caller)?;
-    let shared = &asking.shared;
+    let context = RequestContext::from_request(request).await.succeeded();
+    let context = context.ok_or_else(|| Problem::with_status(500, "the node is not set up"))?;
+    let workspace = context.require_role(Role::Caller)?;
+    let shared = &context.shared;
     let (service, path) = split_path(request)?;
     let snapshot = shared.snapshot();
     let (_, call) = find_call(&snapshot, &service, &path)?;
--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -5,7 +5,7 @@
 //! not whole, and a caller must treat it so.
 
 use crate::api::answer::{Problem, read_json};
-use crate::api::guard::Asking;
+use crate::api::guard::RequestContext;
 use crate::auth::Role;
 use crate::edge::calls::{Permit, admit, pick};
 use crate::shared::Shared;
@@ -59,13 +59,13 @@
 /// Generates text on an engine of a model.
 #[post("/v1/generate/<model>?<selector>", data = "<data>")]
 pub(crate) async fn generate(
-    asking: Asking,
+    context: RequestContext,
     model: &str,
     selector: Option<&str>,
     data: Data<'_>,
 ) -> Result<TextStream![String], Problem> {
-    let workspace = asking.as_role(Role::Caller)?;
-    let shared = Arc::clone(&asking.shared);
+    let workspace = context.require_role(Role::Caller)?;
+    let shared = Arc::clone(&context.shared);
     let model: Name =
         model.parse().map_err(|error| Problem::invalid("model", format!("{error}")))?;
     let selector: Selector = selector
@@ -86,7 +86,7 @@
     let first = match lines.recv().await {
         Some(Line::Refused { message, verdict }) => {
             let refusal = Refusal { message, retry_at_unix_ms: None, verdict };
-            return Err(refusal.retry_at(asking.shared.now().plus(500)).into());
+            return Err(refusal.retry_at(context.shared.now().plus(500)).into());
         }
         first => first,
     };
--- a/crates/node/src/api/guard.rs
+++ b/crates/node/src/api/guard.rs
@@ -10,13 +10,13 @@
 
 /// The bearer of the request's token, none when there is no token that we know.
 #[derive(Debug)]
-pub(crate) struct Asking {
+pub(crate) struct RequestContext {
     pub identity: Option<Identity>,
     pub shared: Arc<Shared>,
 }
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Asking {
+impl<'r> FromRequest<'r> for RequestContext {
     type Error = Infallible;
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, Infallible> {
@@ -28,9 +28,9 @@
     }
 }
 
-impl Asking {
+impl RequestContext {
     /// Checks that the bearer may act in a role, and returns the bearer's name.
-    pub(crate) fn as_role(&self, role: Role) -> Result<String, Problem> {
+    pub(crate) fn require_role(&self, role: Role) -> Result<String, Problem> {
         if self.shared.may(self.identity.as_ref(), role) {
             let name = self.identity.as_ref().map_or("anybody", |identity| identity.name.as_str());
             return Ok(name.to_owned());
@@ -45,8 +45,8 @@
     }
 
     /// Checks that the bearer is the trainer itself.
-    pub(crate) fn as_trainer(&self, trainer: &str) -> Result<(), Problem> {
-        let name = self.as_role(Role::Trainer)?;
+    pub(crate) fn require_trainer(&self, trainer: &str) -> Result<(), Problem> {
+        let name = self.require_role(Role::Trainer)?;
         if name == trainer || self.shared.is_open() {
             return Ok(());
         }
--- a/crates/node/src/api/operator.rs
+++ b/crates/node/src/api/operator.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::needless_pass_by_value, reason = "the framework hands guards over by value")]
 
 use crate::api::answer::{Problem, read_json};
-use crate::api::guard::Asking;
+use crate::api::guard::RequestContext;
 use crate::auth::Role;
 use crate::control::Input;
 use crate::edge::peer::{PeerReply, PeerRequest, ask};
@@ -46,9 +46,9 @@
 
 /// Shows the configuration in force here.
 #[get("/v1/config")]
-pub(crate) fn show(asking: Asking) -> Result<Json<ConfigView>, Problem> {
-    asking.as_role(Role::Operator)?;
-    let snapshot = asking.shared.snapshot();
+pub(crate) fn show(context: RequestContext) -> Result<Json<ConfigView>, Problem> {
+    context.require_role(Role::Operator)?;
+    let snapshot = context.shared.snapshot();
     let view = snapshot.config.as_ref().map_or_else(
         || ConfigView { revision: 0, text: String::new() },
         |config| ConfigView { revision: config.revision.0, text: config.text.clone() },
@@ -59,15 +59,15 @@
 /// Puts a configuration in force.
 #[put("/v1/config", data = "<data>")]
 pub(crate) async fn apply(
-    asking: Asking,
+    context: RequestContext,
     data: Data<'_>,
 ) -> Result<(Status, Json<ApplyResult>), Problem> {
-    let author = asking.as_role(Role::Operator)?;
+    let author = context.require_role(Role::Operator)?;
     let request: ApplyRequest = read_json(data, REQUEST_MAX_BYTES).await?;
     if request.operation_id.is_empty() || request.operation_id.len() > 128 {
         return Err(Problem::invalid("operation_id", "is empty or longer than 128 bytes"));
     }
-    let result = publish::apply(&asking.shared, &author, &request).await;
+    let result = publish::apply(&context.shared, &author, &request).await;
     let (status, outcome, to) = match &result {
         ApplyResult::Accepted { revision, .. } => (Status::Ok, "accepted", *revision),
         ApplyResult::Conflict { in_force_revision, .. } => {
@@ -83,7 +83,7 @@
     };
     let what = format!("config apply, operation {}", request.operation_id);
     record(
-        &asking.shared,
+        &context.shared,
         AuditEntry::now(&author, what, outcome).revisions(request.base_revision, to),
     );
     Ok((status, Json(result)))
@@ -91,11 +91,11 @@
 
 /// Lists the accepted operations, newest last.
 #[get("/v1/config/history")]
-pub(crate) async fn history(asking: Asking) -> Result<Json<Vec<Accepted>>, Problem> {
-    asking.as_role(Role::Operator)?;
-    let head = read_head(&asking.shared).await.map_err(|error| {
+pub(crate) async fn history(context: RequestContext) -> Result<Json<Vec<Accepted>>, Problem> {
+    context.require_role(Role::Operator)?;
+    let head = read_head(&context.shared).await.map_err(|error| {
         let refusal = Refusal::not_run(error.to_string());
-        Problem::from(refusal.retry_at(asking.shared.now().plus(1_000)))
+        Problem::from(refusal.retry_at(context.shared.now().plus(1_000)))
     })?;
     Ok(Json(head.map_or_else(Vec::new, |(head, _)| head.operations().to_vec())))
 }
@@ -110,12 +110,12 @@
 /// Compares a document with the configuration in force here.
 #[post("/v1/config/diff", data = "<data>")]
 pub(crate) async fn diff_config(
-    asking: Asking,
+    context: RequestContext,
     data: Data<'_>,
 ) -> Result<Json<Vec<Change>>, Problem> {
-    asking.as_role(Role::Operator)?;
+    context.require_role(Role::Operator)?;
     let DiffBody { text } = read_json(data, REQUEST_MAX_BYTES).await?;
-    let snapshot = asking.shared.snapshot();
+    let snapshot = context.shared.snapshot();
     let in_force = snapshot.config.as_ref().map_or("", |config| config.text.as_str());
     Ok(Json(diff(in_force, &text)))
 }
@@ -137,9 +137,9 @@
 
 /// Shows members, targets, owners and load, as this node sees them.
 #[get("/v1/status")]
-pub(crate) fn status(asking: Asking) -> Result<Json<StatusView>, Problem> {
-    asking.as_role(Role::Operator)?;
-    let shared = &asking.shared;
+pub(crate) fn status(context: RequestContext) -> Result<Json<StatusView>, Problem> {
+    context.require_role(Role::Operator)?;
+    let shared = &context.shared;
     let snapshot = shared.snapshot();
     let (in_flight, waiting) = {
         let admission = crate::shared::lock(&shared.traffic.admission);
@@ -161,9 +161,9 @@
 
 /// Lets a node leave: it serves what it has, and its process ends when it is done.
 #[post("/v1/nodes/<node>/drain")]
-pub(crate) async fn drain_node(asking: Asking, node: &str) -> Result<Status, Problem> {
-    let who = asking.as_role(Role::Operator)?;
-    let shared = &asking.shared;
+pub(crate) async fn drain_node(context: RequestContext, node: &str) -> Result<Status, Problem> {
+    let who = context.require_role(Role::Operator)?;
+    let shared = &context.shared;
     let name: Name = node.parse().map_err(|error| Problem::invalid("node", format!("{error}")))?;
     if name == *shared.me() {
         shared.drain_wanted.notify_one();
@@ -184,16 +184,16 @@
 
 /// Lets no new work go to a target, for as long as it keeps its life.
 #[post("/v1/targets/<target>/drain")]
-pub(crate) async fn drain_target(asking: Asking, target: &str) -> Result<Status, Problem> {
-    let who = asking.as_role(Role::Operator)?;
+pub(crate) async fn drain_target(context: RequestContext, target: &str) -> Result<Status, Problem> {
+    let who = context.require_role(Role::Operator)?;
     let name: Name =
         target.parse().map_err(|error| Problem::invalid("target", format!("{error}")))?;
     let (reply, known) = oneshot::channel();
-    asking.shared.tell(Input::DrainTarget { reply, target: name });
+    context.shared.tell(Input::DrainTarget { reply, target: name });
     if known.await != Ok(true) {
         return Err(Problem::with_status(404, format!("target '{target}' is not known")));
     }
-    record(&asking.shared, AuditEntry::now(&who, format!("drain target {target}"), "accepted"));
+    record(&context.shared, AuditEntry::now(&who, format!("drain target {target}"), "accepted"));
     Ok(Status::Accepted)
 }
 
@@ -256,10 +256,10 @@
 /// Reads the newest entries of the audit trail, oldest first.
 #[get("/v1/audit?<last>")]
 pub(crate) async fn audit(
-    asking: Asking,
+    context: RequestContext,
     last: Option<usize>,
 ) -> Result<Json<Vec<AuditEntry>>, Problem> {
-    asking.as_role(Role::Operator)?;
+    context.require_role(Role::Operator)?;
     let wanted = last.unwrap_or(AUDIT_SHOWN);
     let today = UnixMs::from_wall_clock().0;
     let mut entries: Vec<AuditEntry> = Vec::new();
@@ -268,10 +268,10 @@
             break;
         }
         let prefix = format!("audit/{}/", audit_day(UnixMs(today.saturating_sub(day * DAY_MS))));
-        asking.shared.metrics.count_kv_call("audit");
-        let listed = asking.shared.clients.store.list(&prefix).await.map_err(|error| {
+        context.shared.metrics.count_kv_call("audit");
+        let listed = context.shared.clients.store.list(&prefix).await.map_err(|error| {
             let refusal = Refusal::not_run(error.to_string());
-            Problem::from(refusal.retry_at(asking.shared.now().plus(1_000)))
+            Problem::from(refusal.retry_at(context.shared.now().plus(1_000)))
         })?;
         let of_day = listed.iter().filter_map(|entry| serde_json::from_str(&entry.value).ok());
         entries = of_day.chain(entries).collect();
--- a/crates/node/src/api/public.rs
+++ b/crates/node/src/api/public.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::needless_pass_by_value, reason = "the framework hands guards over by value")]
 
 use crate::api::answer::Problem;
-use crate::api::guard::Asking;
+use crate::api::guard::RequestContext;
 use crate::auth::Role;
 use catkinmast_model::{Name, Refusal, UnixMs};
 use catkinmast_route::{AddressAnswer, address_answer};
@@ -13,15 +13,15 @@
 /// Tells which addresses to use, those of the caller's data centre first.
 #[get("/v1/addresses?<data_centre>")]
 pub(crate) fn addresses(
-    asking: Asking,
+    context: RequestContext,
     data_centre: Option<&str>,
 ) -> Result<Json<AddressAnswer>, Problem> {
-    if !asking.shared.is_open() && asking.identity.is_none() {
-        asking.as_role(Role::Caller)?;
+    if !context.shared.is_open() && context.identity.is_none() {
+        context.require_role(Role::Caller)?;
     }
-    let snapshot = asking.shared.snapshot();
+    let snapshot = context.shared.snapshot();
     let Some(document) = snapshot.document() else {
-        let retry_at = asking.shared.now().plus(500);
+        let retry_at = context.shared.now().plus(500);
         return Err(Refusal::not_run("this node knows no configuration yet")
             .retry_at(retry_at)
             .into());
@@ -30,7 +30,7 @@
         Some(text) => {
             text.parse().map_err(|error| Problem::invalid("data_centre", format!("{error}")))?
         }
-        None => asking.shared.settings.data_centre.clone(),
+        None => context.shared.settings.data_centre.clone(),
     };
     let region_of = |name: &Name| document.region(name).cloned();
     Ok(Json(address_answer(
@@ -51,8 +51,8 @@
 
 /// Tells whether new callers should come here.
 #[get("/readyz")]
-pub(crate) fn readyz(asking: Asking) -> Result<&'static str, Problem> {
-    let snapshot = asking.shared.snapshot();
+pub(crate) fn readyz(context: RequestContext) -> Result<&'static str, Problem> {
+    let snapshot = context.shared.snapshot();
     if snapshot.leaving_until.is_some() {
         return Err(Problem::with_status(503, "this node leaves"));
     }
@@ -67,8 +67,8 @@
 
 /// Gives the counters as OpenMetrics text.
 #[get("/metrics")]
-pub(crate) fn metrics(asking: Asking) -> (rocket::http::ContentType, String) {
+pub(crate) fn metrics(context: RequestContext) -> (rocket::http::ContentType, String) {
     let kind = rocket::http::ContentType::new("application", "openmetrics-text")
         .with_params([("version", "1.0.0"), ("charset", "utf-8")]);
-    (kind, asking.shared.metrics.text())
+    (kind, context.shared.metrics.text())
 }
--- a/crates/node/src/api/trainer.rs
+++ b/crates/node/src/api/trainer.rs
@@ -1,7 +1,7 @@
 //! Trainers: register, submit a step, fetch a batch, claim it, publish a version, see progress.
 
 use crate::api::answer::{Problem, read_json};
-use crate::api::guard::Asking;
+use crate::api::guard::RequestContext;
 use crate::auth::Role;
 use crate::edge::content;
 use crate::edge::holdings::{Content, ContentKey};
@@ -27,19 +27,19 @@
 const READS_AT_ONCE: usize = 8;
 
 /// Checks the token and the trainer's name against the configuration.
-fn known_trainer(asking: &Asking, trainer: &str) -> Result<Name, Problem> {
-    asking.as_trainer(trainer)?;
-    listed_trainer(asking, trainer)
+fn known_trainer(context: &RequestContext, trainer: &str) -> Result<Name, Problem> {
+    context.require_trainer(trainer)?;
+    listed_trainer(context, trainer)
 }
 
 /// Checks a trainer's name against the configuration.
-fn listed_trainer(asking: &Asking, trainer: &str) -> Result<Name, Problem> {
+fn listed_trainer(context: &RequestContext, trainer: &str) -> Result<Name, Problem> {
     let name: Name =
         trainer.parse().map_err(|error| Problem::invalid("trainer", format!("{error}")))?;
-    let snapshot = asking.shared.snapshot();
+    let snapshot = context.shared.snapshot();
     let Some(document) = snapshot.document() else {
         let refusal = Refusal::not_run("this node knows no configuration yet");
-        return Err(refusal.retry_at(asking.shared.now().plus(500)).into());
+        return Err(refusal.retry_at(context.shared.now().plus(500)).into());
     };
     match document.trainer(trainer) {
         Some(_) => Ok(name),
@@ -66,13 +66,13 @@
 /// Sets the trainer's bound and sizes.
 #[put("/v1/trainers/<trainer>", data = "<data>")]
 pub(crate) async fn register(
-    asking: Asking,
+    context: RequestContext,
     trainer: &str,
     data: Data<'_>,
 ) -> Result<Json<Registration>, Problem> {
-    let name = known_trainer(&asking, trainer)?;
+    let name = known_trainer(&context, trainer)?;
     let registration = read_json(data, SMALL_MAX_BYTES).await?;
-    let reply = command_owner(&asking.shared, &name, Command::Register(registration)).await;
+    let reply = command_owner(&context.shared, &name, Command::Register(registration)).await;
     settle(reply, |reply| match reply {
         Reply::Registered(registration) => Some(Json(registration)),
         _ => None,
@@ -88,14 +88,14 @@
 /// Adds a step; the same step again changes nothing.
 #[put("/v1/trainers/<trainer>/steps/<step>", data = "<data>")]
 pub(crate) async fn submit(
-    asking: Asking,
+    context: RequestContext,
     trainer: &str,
     step: u64,
     data: Data<'_>,
 ) -> Result<Json<StepAccepted>, Problem> {
-    let name = known_trainer(&asking, trainer)?;
+    let name = known_trainer(&context, trainer)?;
     let spec: StepSpec = read_json(data, STEP_MAX_BYTES).await?;
-    let reply = command_owner(&asking.shared, &name, Command::Submit { step, spec }).await;
+    let reply = command_owner(&context.shared, &name, Command::Submit { step, spec }).await;
     settle(reply, |reply| match reply {
         Reply::Accepted { step } => Some(Json(StepAccepted { step })),
         _ => None,
@@ -118,14 +118,14 @@
 /// Takes the right to use a batch; the same claim again is the same right.
 #[post("/v1/trainers/<trainer>/batches/<batch>/claim", data = "<data>")]
 pub(crate) async fn claim(
-    asking: Asking,
+    context: RequestContext,
     trainer: &str,
     batch: u64,
     data: Data<'_>,
 ) -> Result<Json<BatchClaimed>, Problem> {
-    let name = known_trainer(&asking, trainer)?;
+    let name = known_trainer(&context, trainer)?;
     let ClaimBody { at_version } = read_json(data, SMALL_MAX_BYTES).await?;
-    let reply = command_owner(&asking.shared, &name, Command::Claim { at_version, batch }).await;
+    let reply = command_owner(&context.shared, &name, Command::Claim { at_version, batch }).await;
     settle(reply, |reply| match reply {
         Reply::Claimed { batch } => Some(Json(BatchClaimed { batch })),
         _ => None,
@@ -141,13 +141,13 @@
 /// Announces weights that stand in the weight store.
 #[put("/v1/trainers/<trainer>/versions/<version>")]
 pub(crate) async fn publish(
-    asking: Asking,
+    context: RequestContext,
     trainer: &str,
     version: u64,
 ) -> Result<Json<VersionPublished>, Problem> {
-    let name = known_trainer(&asking, trainer)?;
+    let name = known_trainer(&context, trainer)?;
     let command = Command::Publish { version: Version(version) };
-    let reply = command_owner(&asking.shared, &name, command).await;
+    let reply = command_owner(&context.shared, &name, command).await;
     settle(reply, |reply| match reply {
         Reply::Published { version } => Some(Json(VersionPublished { version })),
         _ => None,
@@ -157,15 +157,15 @@
 /// Tells how far the trainer's steps are, to the trainer and to operators.
 #[get("/v1/trainers/<trainer>/progress")]
 pub(crate) async fn progress(
-    asking: Asking,
+    context: RequestContext,
     trainer: &str,
 ) -> Result<Json<catkinmast_rollout::Progress>, Problem> {
-    let name = if asking.as_role(Role::Operator).is_ok() {
-        listed_trainer(&asking, trainer)?
+    let name = if context.require_role(Role::Operator).is_ok() {
+        listed_trainer(&context, trainer)?
     } else {
-        known_trainer(&asking, trainer)?
+        known_trainer(&context, trainer)?
     };
-    let reply = command_owner(&asking.shared, &name, Command::Progress).await;
+    let reply = command_owner(&context.shared, &name, Command::Progress).await;
     settle(reply, |reply| match reply {
         Reply::Progress(progress) => Some(Json(progress)),
         _ => None,
@@ -184,20 +184,20 @@
 /// Reads a batch as JSON lines; the last line counts the samples.
 #[get("/v1/trainers/<trainer>/batches/<batch>?<wait_ms>")]
 pub(crate) async fn fetch(
-    asking: Asking,
+    context: RequestContext,
     trainer: &str,
     batch: u64,
     wait_ms: Option<u64>,
 ) -> Result<TextStream![String], Problem> {
-    let name = known_trainer(&asking, trainer)?;
+    let name = known_trainer(&context, trainer)?;
     let wait_ms = wait_ms.unwrap_or(0).min(WAIT_MAX_MS);
-    let until = asking.shared.now().plus(wait_ms);
-    let reply = command_owner(&asking.shared, &name, Command::Fetch { batch, until }).await;
+    let until = context.shared.now().plus(wait_ms);
+    let reply = command_owner(&context.shared, &name, Command::Fetch { batch, until }).await;
     let view = settle(reply, |reply| match reply {
         Reply::Batch(view) => Some(view),
         _ => None,
     })?;
-    let shared = Arc::clone(&asking.shared);
+    let shared = Arc::clone(&context.shared);
     Ok(TextStream! {
         let BatchView { batch, samples, step } = view;
         let count = samples.len();
