--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -1,9 +1,9 @@
 //! A randomized soak test: runs the real processes under injected faults, and checks the guarantees
 //! from what callers and targets observe.
 //!
-//! A seed determines the faults, which overlap. CI runs a few seeds; to run more: `SOAK_SEEDS=50
-//! cargo test --release --test all soak -- --nocapture`, with `SOAK_FROM` as the first seed. Seeds
-//! that have failed stay in [`FAILED_SEEDS`], each with its cause.
+//! A seed determines the faults, which overlap. CI runs a few seeds. To run more:
+//! `SOAK_SEEDS=50 cargo test --release --test all soak -- --nocapture`, with `SOAK_FROM` as the first
+//! seed. Seeds that have failed stay in [`FAILED_SEEDS`], each with its cause.
 
 use super::harness::{Site, complete_output, document, submission, until};
 use super::proxy::Link;
@@ -44,11 +44,11 @@
 async fn guarantees_hold_under_seeded_faults() {
     let count = std::env::var("SOAK_SEEDS").ok().and_then(|count| count.parse::<u64>().ok());
     let from = std::env::var("SOAK_FROM").ok().and_then(|from| from.parse::<u64>().ok());
-    let drawn: Vec<u64> = match count {
+    let seeds: Vec<u64> = match count {
         Some(count) => (from.unwrap_or(100)..).take(count as usize).collect(),
         None => SEEDS.to_vec(),
     };
-    for seed in drawn.into_iter().chain(FAILED_SEEDS) {
+    for seed in seeds.into_iter().chain(FAILED_SEEDS) {
         println!("soak seed {seed}");
         run_seed(seed).await;
     }
@@ -70,20 +70,19 @@
     for worker in &site.plain {
         worker.set_back_after(RESTART_AFTER);
     }
-    let lines = futures::future::join4(
+    let callers = futures::future::join4(
         trainer(&site, &observed, "a"),
         trainer(&site, &observed, "b"),
         caller(&site, &observed),
         crashing_caller(&site, &observed),
     );
-    let ((), _) = tokio::join!(faults_in_turn, lines);
+    let ((), _) = tokio::join!(faults_in_turn, callers);
     end_all_faults(&mut site).await;
     check_guarantees(&site, &observed, seed).await;
     check_blocked(&site, seed).await;
 }
 
-/// Injects one inject_fault; a lasting inject_fault is ended by a task of its own, so that faults
-/// overlap.
+/// Injects one fault; a lasting fault is ended by a task of its own, so that faults overlap.
 fn inject_fault(site: &Site, rng: &mut StdRng, seed: u64) {
     let node = &site.nodes[rng.random_range(0..NODES)];
     let lasts = Duration::from_millis(rng.random_range(100..2_500));
@@ -128,14 +127,14 @@
             site.store.put("op/version/model-a", &value);
         }
         _ => {
-            let conduct = [
+            let behaviour = [
                 Behaviour::Full,
                 Behaviour::OmitsStamp,
                 Behaviour::LosesAnswers,
                 Behaviour::SilentAfter(2),
                 Behaviour::WrongId,
             ][rng.random_range(0..5)];
-            worker.set_behaviour_for(conduct, lasts);
+            worker.set_behaviour_for(behaviour, lasts);
         }
     }
 }
@@ -156,9 +155,9 @@
             }
         }
         observed.batches.borrow_mut().insert(id.clone(), Vec::new());
-        for turn in 0..12 {
+        for round in 0..12 {
             let have = observed.batches.borrow()[&id].len();
-            let node = &site.nodes[(step + turn) % NODES];
+            let node = &site.nodes[(step + round) % NODES];
             // From an earlier position, so that results are read twice and compared.
             let after = have.saturating_sub(2);
             if let Some(page) = site.read(node, &id, after).await {
@@ -194,12 +193,12 @@
         if let Ok(answer) = site.call(node, "/lookup/a", &id).await
             && answer.status() == 200
         {
-            let body = answer.text().await.expect("a whole body");
+            let body = answer.text().await.expect("a complete body");
             assert!(body.starts_with(&format!("{id} by plain-")), "{id} was answered {body}");
         }
         let id = format!("c{number}");
         observed.calls.borrow_mut().push(id.clone());
-        if let Ok(answer) = site.call(node, "/check_guarantees/a", &id).await
+        if let Ok(answer) = site.call(node, "/check/a", &id).await
             && answer.status() == 503
         {
             observed.refused_calls.borrow_mut().push(id);
@@ -230,7 +229,7 @@
     sleep(BLOCKED_EVERYWHERE_WITHIN).await;
     let mut ran = 0;
     for (number, node) in site.nodes.iter().enumerate() {
-        let id = format!("known{number}");
+        let id = format!("held{number}");
         drop(site.call_with(node, "/lookup/a", &id, CRASHING_BODY).await);
         ran += site.runs.of(&id).len();
     }
