--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -201,7 +201,7 @@
     }
 }
 
-/// Runs the items of a batch whose owner is dead until it has another one, if it has a copy.
+/// Runs the items of a batch whose owner is dead until it has another one, if this node has a copy.
 pub(super) fn start_interim<P: Platform>(node: &Rc<Node<P>>, batch: &str) {
     let copy = node.batches.standby.copies.borrow_mut().swap_remove(batch);
     let Some(ReceivedCopy { copy: BatchCopy { record, submission }, outputs, .. }) = copy else {
--- a/crates/serve/src/batches/write.rs
+++ b/crates/serve/src/batches/write.rs
@@ -86,15 +86,16 @@
             return;
         }
         let now = clock::now();
-        let waits = local.borrow_mut().batch.chunk_to_write(now, part_max_bytes(&node)).is_none();
-        if waits {
+        let nothing_to_write =
+            local.borrow_mut().batch.chunk_to_write(now, part_max_bytes(&node)).is_none();
+        if nothing_to_write {
             if local.borrow().batch.is_settled() {
                 local.borrow_mut().settled_at.get_or_insert_with(clock::now);
                 return;
             }
-            let list_by = local.borrow().batch.next_listing_at();
-            if let Some(list_by) = list_by {
-                let left = Duration::from_millis(list_by.since_ms(now));
+            let listing_at = local.borrow().batch.next_listing_at();
+            if let Some(listing_at) = listing_at {
+                let left = Duration::from_millis(listing_at.since_ms(now));
                 if timeout(left, finished.notified()).await.is_err() {
                     continue;
                 }
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -44,7 +44,7 @@
 /// attempts in 3 s.
 const RETRY_ROUND_PAUSE: Duration = Duration::from_millis(20);
 /// Deadline of a request whose caller has set none.
-const UNBOUNDED_MS: u64 = 60_000;
+const DEFAULT_DEADLINE_MS: u64 = 60_000;
 /// A request that finds all targets overloaded is refused once less than this part of the caller's
 /// time is left.
 const REFUSE_WITH_LEFT_PERCENT: u64 = 70;
@@ -144,8 +144,8 @@
     body: Incoming,
     started_at: UnixMs,
 ) -> Answer<P> {
-    let terms = P::caller_options(&head.headers);
-    let id = terms.request_id.clone();
+    let options = P::caller_options(&head.headers);
+    let id = options.request_id.clone();
     let Some(document) = node.document() else {
         return end_with_error(
             node,
@@ -168,7 +168,7 @@
     let workspace_priority = workspace.as_ref().and_then(|workspace| workspace.priority);
     let priority = workspace_priority.unwrap_or(route.priority);
     let workspace = workspace.map(|workspace| workspace.name);
-    let deadline_ms = terms.deadline_ms.unwrap_or(UNBOUNDED_MS);
+    let deadline_ms = options.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let timeout_ms = route.timeout_ms.unwrap_or(u64::MAX);
     let deadline_at = started_at.plus(deadline_ms.min(timeout_ms));
     let body = match read_body(body, document.limits.body_max_bytes, deadline_at).await {
@@ -232,7 +232,7 @@
     let left_ms = until.since_ms(clock::now());
     let read = Limited::new(body, max_bytes as usize).collect();
     match tokio::time::timeout(Duration::from_millis(left_ms), read).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let message = format!("the body is larger than {max_bytes} bytes");
             Err(ErrorAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, message))
@@ -316,7 +316,7 @@
     let started_at = clock::now();
     let budget_ms = outgoing.deadline_at.since_ms(started_at);
     let mut tried: Vec<String> = Vec::new();
-    let mut runs_started = 0;
+    let mut possible_runs = 0;
     let mut may_have_run = false;
     loop {
         let left_ms = outgoing.deadline_at.since_ms(clock::now());
@@ -347,11 +347,11 @@
             return Err(blocked(&failure, may_have_run));
         }
         if failure.verdict.may_have_run() {
-            runs_started += 1;
+            possible_runs += 1;
             may_have_run = true;
         }
         let repeatable = route.repeatable() || !may_have_run;
-        if runs_started >= route.attempts.max(1) || !repeatable {
+        if possible_runs >= route.attempts.max(1) || !repeatable {
             return Err(error_of(&failure));
         }
         let refuse_at = refuse_at(outgoing.deadline_at, budget_ms);
@@ -404,7 +404,9 @@
     let chosen = node.pick(
         service,
         |_| true,
-        |load, now, picks| load.choose(now, picks, tried, random).map(|pick| pick.id.to_owned()),
+        |load, now, candidates| {
+            load.choose(now, candidates, tried, random).map(|candidate| candidate.id.to_owned())
+        },
     );
     chosen.map(|(id, address)| ChosenTarget { address, id })
 }
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -220,7 +220,7 @@
 pub(crate) async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, CallError> {
     let limited = http_body_util::Limited::new(body, max_bytes);
     match limited.collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(error) => Err(CallError::may_have_run(error.to_string())),
     }
 }
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -30,11 +30,11 @@
     next: NextItem,
 ) {
     let NextItem { index, progress } = next;
-    let text = progress.clone();
+    let output = progress.clone();
     let (node, shared) = (Rc::clone(node), Rc::clone(local));
     let task = tokio::task::spawn_local(async move {
         let item = shared.borrow().batch.submission().items[index].clone();
-        score_item(&node, &shared, index, &item, text).await;
+        score_item(&node, &shared, index, &item, output).await;
         shared.borrow_mut().runs.swap_remove(&index);
     });
     let run = Run {
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -28,8 +28,8 @@
 /// Time-out between two events. Over a day of 3,000 runs, some on targets four times slower, the
 /// longest gap of a live target was 266 ms. A false time-out costs reading the prompt again.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a run may take if its caller has set no limit.
-const UNBOUNDED_RUN_MS: u64 = 30_000;
+/// The longest time that a run may take, also if its batch allows more.
+const RUN_MAX_MS: u64 = 30_000;
 /// How often a blocked item is checked again: it may have to be given up, or may be allowed again
 /// because an engine has survived it.
 const BLOCKED_PAUSE_MS: u64 = 1_000;
@@ -175,7 +175,7 @@
     headers.remove(http::header::CONTENT_LENGTH);
     OutgoingRequest {
         body: item.body.clone().into(),
-        deadline_at: spec.give_up_at.min(clock::now().plus(UNBOUNDED_RUN_MS)),
+        deadline_at: spec.give_up_at.min(clock::now().plus(RUN_MAX_MS)),
         headers,
         last_event_id: after,
         method: Method::POST,
