--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -12,8 +12,8 @@
 /// Weight of a new answer in the mean latency, as one part in this many. About the last ten answers
 /// count, so a single long request changes the mean little.
 const LATENCY_SMOOTHING: u64 = 8;
-/// A target's latency counts as at most this many times that of the fastest. At four times, one
-/// call in flight there weighs as much as four elsewhere, so the target is still tried.
+/// A target's latency counts as at most this many times that of the fastest, so that slow targets
+/// are still tried: at four times, one call in flight there weighs as much as four elsewhere.
 const SLOWDOWN_MAX: u64 = 6;
 
 /// Cost of a hop between data centres, in hundredths of a target's slots. It only decides between
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -1,8 +1,8 @@
 //! Plans which target loads which weight version, and when.
 //!
-//! A load takes a target out of a model's work for about a second. Loads beyond one per version for
-//! each target of a fair share add to the cost, and the weight store slows down when many targets
-//! load at once. Targets are therefore divided among the models by their work ([`Demand`]), a
+//! A load takes a target out of a model's work for about a second, each load beyond one per version
+//! and target of a fair share has a price, and the weight store slows down when many targets load
+//! at once. Targets are therefore divided among the models by their work ([`Demand`]), a
 //! target loads only for its own model, the target that lags most goes first, and only a part of a
 //! model's targets load at once.
 
@@ -268,7 +268,7 @@
         sorted.sort_by(|a, b| (&a.data_centre, &a.id).cmp(&(&b.data_centre, &b.id)));
         for (target, share_index) in sorted.iter().zip(interleave(&shares, targets.len())) {
             if !self.assigned.contains_key(&target.id) {
-                let model = self.freshest(target, &models).unwrap_or(&models[share_index]);
+                let model = self.most_current(target, &models).unwrap_or(&models[share_index]);
                 self.assigned.insert(target.id.clone(), model.clone());
             }
         }
@@ -276,15 +276,15 @@
     }
 
     /// Returns the model that a target is more current for than for any other.
-    fn freshest<'a>(&self, target: &RolloutTarget, models: &'a [String]) -> Option<&'a String> {
+    fn most_current<'a>(&self, target: &RolloutTarget, models: &'a [String]) -> Option<&'a String> {
         let lag = |model: &String| {
             let published = self.published.get(model).copied().unwrap_or(0);
             published.saturating_sub(target.version(model)).saturating_sub(1)
         };
         let least = models.iter().map(lag).min()?;
-        let mut fresh = models.iter().filter(|model| lag(model) == least);
-        let first = fresh.next();
-        first.filter(|_| fresh.next().is_none())
+        let mut candidates = models.iter().filter(|model| lag(model) == least);
+        let first = candidates.next();
+        first.filter(|_| candidates.next().is_none())
     }
 
     /// Moves targets until no two models differ by two targets in their surplus over their shares.
--- a/crates/dispatch/src/targets.rs
+++ b/crates/dispatch/src/targets.rs
@@ -174,11 +174,11 @@
         if entry.sequence < known.entry.sequence {
             return TargetChange::None;
         }
-        let was_usable = known.usable();
+        let was_present = known.is_present();
         known.presence = Presence::Listed;
         known.left |= entry.draining;
         known.entry = entry;
-        match (was_usable, known.usable()) {
+        match (was_present, known.is_present()) {
             (true, false) => TargetChange::Left(known.entry.id.clone()),
             (false, true) => TargetChange::Joined(known.entry.id.clone()),
             _ => TargetChange::None,
@@ -200,19 +200,19 @@
 
     fn remove_entry(&mut self, now: UnixMs, id: &str, may_return: bool) -> TargetChange {
         let Some(known) = self.known.get_mut(id) else { return TargetChange::None };
-        let was_usable = known.usable();
+        let was_present = known.is_present();
         known.presence = if may_return {
             Presence::MayReturn { until: now.plus(RETURN_GRACE_MS) }
         } else {
             Presence::Missing
         };
-        if was_usable && !known.usable() {
+        if was_present && !known.is_present() {
             return TargetChange::Left(id.to_owned());
         }
         TargetChange::None
     }
 
-    /// Removes the targets whose time to reappear has passed.
+    /// Marks the targets as missing whose time to reappear has passed.
     pub fn expire(&mut self, now: UnixMs) -> Vec<TargetChange> {
         let mut changes = Vec::new();
         for (id, known) in &mut self.known {
@@ -264,7 +264,7 @@
     /// answered at its address.
     pub fn mark_left(&mut self, id: &str) -> TargetChange {
         match self.known.get_mut(id) {
-            Some(known) if known.usable() => {
+            Some(known) if known.is_present() => {
                 known.left = true;
                 TargetChange::Left(id.to_owned())
             }
@@ -290,7 +290,7 @@
     }
 
     const fn is_usable(&self, known: &KnownTarget) -> bool {
-        known.usable()
+        known.is_present()
             && (known.entry.started_at_unix_ms.is_some() || !self.most_report_start_times())
     }
 
@@ -356,9 +356,9 @@
     fn restart(&mut self, entry: TargetEntry) -> TargetChange {
         let id = entry.id.clone();
         let left = entry.draining;
-        let was_usable = self.usable();
+        let was_present = self.is_present();
         *self = Self { entry, left, presence: Presence::Listed };
-        match (was_usable, left) {
+        match (was_present, left) {
             (_, false) => TargetChange::Restarted(id),
             (true, true) => TargetChange::Left(id),
             (false, true) => TargetChange::None,
@@ -367,12 +367,12 @@
 
     /// Marks the entry as missing after another program overwrote it.
     fn mark_overwritten(&mut self) -> TargetChange {
-        let was_usable = self.usable();
+        let was_present = self.is_present();
         self.presence = Presence::Missing;
-        if was_usable { TargetChange::Left(self.entry.id.clone()) } else { TargetChange::None }
+        if was_present { TargetChange::Left(self.entry.id.clone()) } else { TargetChange::None }
     }
 
-    const fn usable(&self) -> bool {
+    const fn is_present(&self) -> bool {
         !self.left && !matches!(self.presence, Presence::Missing)
     }
 }
--- a/crates/usage/src/counts.rs
+++ b/crates/usage/src/counts.rs
@@ -45,7 +45,7 @@
         id
     }
 
-    /// Records that a target started a request, at a later time than it was sent if `at` is given.
+    /// Records that a target started a request, at `at` or else when it was sent.
     pub fn request_started(&mut self, id: OpenRequestId, at: Option<UnixMs>) {
         if let Some(open) = self.open.swap_remove(&id) {
             self.count(at.unwrap_or(open.sent_at), open.workspace);
--- a/tests/all/dispatch/copies.rs
+++ b/tests/all/dispatch/copies.rs
@@ -66,8 +66,8 @@
     ) {
         let (mut sent, mut copy) = (SentTexts::default(), CopiedTexts::default());
         let mut run = 0;
-        for (events, begins_anew, is_lost) in steps {
-            run += u64::from(begins_anew);
+        for (events, restarts, is_lost) in steps {
+            run += u64::from(restarts);
             let news = sent.updates(&[text("a", 1..=events, &format!("run{run}"))]);
             if !is_lost && !copy.apply(news) {
                 sent.forget();
--- a/tests/all/dispatch/wait_queue.rs
+++ b/tests/all/dispatch/wait_queue.rs
@@ -37,7 +37,7 @@
 
 /// Simulates a node whose targets have `slots_per_tick` free slots every [`TICK_MS`]. Waiting
 /// requests take them in a seeded random order; with `is_fair`, only requests that are due may.
-fn play(senders: &[Sender], slots_per_tick: usize, is_fair: bool) -> Vec<Served> {
+fn simulate(senders: &[Sender], slots_per_tick: usize, is_fair: bool) -> Vec<Served> {
     let mut queue = WaitQueue::default();
     let mut waiting: Vec<Request> = Vec::new();
     let mut results: Vec<Served> = senders.iter().map(|_| Served::default()).collect();
@@ -101,8 +101,8 @@
     let senders = senders(72, 1, 710);
     let slots_per_tick = 4;
 
-    let without = play(&senders, slots_per_tick, false);
-    let with = play(&senders, slots_per_tick, true);
+    let without = simulate(&senders, slots_per_tick, false);
+    let with = simulate(&senders, slots_per_tick, true);
 
     assert!(least_share(&without[1..]) < 0.5, "{}", least_share(&without[1..]));
     assert!(least_share(&with[1..]) > 0.9, "{}", least_share(&with[1..]));
@@ -116,7 +116,7 @@
 fn a_workspace_that_sends_ten_times_its_share_leaves_others_their_share() {
     let senders = senders(72, 5, 50);
 
-    let results = play(&senders, 4, true);
+    let results = simulate(&senders, 4, true);
 
     let (served, all) = results.iter().fold((0, 0), |(served, all), result| {
         (served + result.served, all + result.served + result.refused)
@@ -132,7 +132,7 @@
     let sender = |name: &str, priority| Sender { name: name.to_owned(), per_s: 100, priority };
     let senders = [sender("urgent", 0), sender("patient", 2)];
 
-    let results = play(&senders, 2, true);
+    let results = simulate(&senders, 2, true);
 
     assert!(results[0].share() > 0.7, "{}", results[0].share());
     assert!(results[1].share() > 0.15, "{}", results[1].share());
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -41,12 +41,12 @@
     fn a_minority_of_wrong_clocks_does_not_move_the_estimate_beyond_the_others(
         correct_off_ms in prop::collection::vec(-25_i64..25, 3..40),
         wrong_off_ms in prop::collection::vec(-86_400_000_i64..86_400_000, 0..40),
-        turn in any::<prop::sample::Index>(),
+        rotation in any::<prop::sample::Index>(),
     ) {
         let wrong_count = wrong_off_ms.len().min((correct_off_ms.len() - 1) / 2);
         let mut off_ms: Vec<i64> =
             correct_off_ms.iter().chain(&wrong_off_ms[..wrong_count]).copied().collect();
-        let places = turn.index(off_ms.len());
+        let places = rotation.index(off_ms.len());
         off_ms.rotate_left(places);
         let mut time = FleetClock::default();
 
