--- a/crates/access/src/workspaces.rs
+++ b/crates/access/src/workspaces.rs
@@ -27,19 +27,19 @@
 /// Why a configuration's workspaces are rejected.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum WorkspaceError {
-    /// the name of workspace {index} is {name:?}, which is empty or no text for a header
+    /// the name of workspace {index} is {name:?}, which is empty or not valid in a header
     BadName {
         /// Position in the list, from 0.
         index: usize,
         /// The name as configured.
         name: String,
     },
-    /// the name {name} stands for two workspaces
+    /// the workspace name {name} is used twice
     DuplicateName {
         /// The name.
         name: String,
     },
-    /// the key with the digest {digest} stands in the workspaces {first} and {second}
+    /// the key with the digest {digest} is listed for the workspaces {first} and {second}
     SharedKey {
         /// Short form of the key's digest.
         digest: String,
--- a/crates/scaling/src/config.rs
+++ b/crates/scaling/src/config.rs
@@ -13,7 +13,7 @@
     pub min: u32,
 }
 
-/// scaling has min {min} over max {max}
+/// scaling min {min} is above max {max}
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub struct ScalingError {
     /// The largest number.
--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -167,11 +167,11 @@
     empty_name = { json!([{ "name": "", "apiKeys": ["k"] }]), "the name of workspace 0 is \"\"" },
     name_that_is_no_header = { json!([{ "name": "a\nb", "apiKeys": [] }]), "workspace 0 is \"a\\nb\"" },
     name_twice = {
-        json!([{ "name": "a", "apiKeys": [] }, { "name": "a", "apiKeys": [] }]), "the name a stands"
+        json!([{ "name": "a", "apiKeys": [] }, { "name": "a", "apiKeys": [] }]), "the workspace name a is used twice"
     },
     key_in_two = {
         json!([{ "name": "a", "apiKeys": ["k"] }, { "name": "b", "apiKeys": ["k"] }]),
-        "stands in the workspaces a and b"
+        "is listed for the workspaces a and b"
     },
     no_list = { json!("hule930"), "tenants cannot be read" },
 )]
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -142,7 +142,7 @@
     let error = ScalingConfig { min: 5, max: 4, ..CONFIG }.validated().expect_err("unfit");
 
     assert_eq!(error, ScalingError { min: 5, max: 4 });
-    assert_eq!(error.to_string(), "scaling has min 5 over max 4");
+    assert_eq!(error.to_string(), "scaling min 5 is above max 4");
 }
 
 proptest! {
