--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -127,7 +127,7 @@
     }
 
     /// Records that this node has asked for a trial, so that it does not ask for the same one again
-    /// within [`TRIAL_RETRY_MS`].
+    /// within `TRIAL_RETRY_MS`.
     pub fn record_trial_request(&mut self, now: UnixMs, fingerprint: Fingerprint, number: usize) {
         self.requested_trials.insert(fingerprint, (number, now));
     }
@@ -139,7 +139,7 @@
         self.evidence.keys().filter(|fingerprint| !is_allowed(fingerprint)).count()
     }
 
-    /// Removes evidence past its retention time, and above [`REQUESTS_MAX`] the oldest evidence,
+    /// Removes evidence past its retention time, and above `REQUESTS_MAX` the oldest evidence,
     /// that of blocked requests last. Returns the requests whose evidence was removed.
     pub fn expire(&mut self, now: UnixMs) -> Vec<Fingerprint> {
         let is_expired = |evidence: &Evidence| {
--- a/crates/rollout/src/recovery.rs
+++ b/crates/rollout/src/recovery.rs
@@ -283,7 +283,7 @@
         self.give_up_run(id, attempt, &run);
     }
 
-    /// Requests one more copy if fewer than [`HOLDERS_WANTED`] nodes that are not leaving hold a
+    /// Requests one more copy if fewer than `HOLDERS_WANTED` nodes that are not leaving hold a
     /// sample.
     pub(crate) fn ensure_copies(&mut self, id: SampleId) {
         let Some(sample) = self.samples.get(&id) else { return };
--- a/crates/rollout/src/runs.rs
+++ b/crates/rollout/src/runs.rs
@@ -63,18 +63,19 @@
         let duplicates_max = (self.samples.len() * percent).div_ceil(100);
         for _ in duplicates..duplicates_max {
             let Some(id) = straggler(&self.samples, &self.lengths, now) else { return };
-            let Some((attempt, on)) = self.samples.get(&id).and_then(|sample| {
+            let Some((attempt, current_engine)) = self.samples.get(&id).and_then(|sample| {
                 sample.runs.first().map(|(attempt, run)| (*attempt, run.engine.clone()))
             }) else {
                 return;
             };
             let trainer = self.ledger.trainer_version;
-            let busy = self.engines.get(&on).map_or(0, |engine| engine.in_flight);
+            let current_load =
+                self.engines.get(&current_engine).map_or(0, |engine| engine.in_flight);
             // Only an engine with much less load, hence faster for each sample, makes it
             // worthwhile.
             let fits = |engine: &EngineView| {
-                engine.info.name != on
-                    && engine.in_flight * 2 < busy
+                engine.info.name != current_engine
+                    && engine.in_flight * 2 < current_load
                     && run_ahead.allows(0, versions_behind(engine, trainer))
             };
             let engine = choose_engine(&self.engines, id, now, self.schedule, fits);
--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -33,7 +33,7 @@
 
 /// A ledger write that is not confirmed yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingWrite {
     /// The changes in the write, each with the samples of the batch that it settles.
     pub intents: Vec<(Intent, SettledSamples)>,
     pub ledger: Ledger,
@@ -49,7 +49,7 @@
     pub busy: bool,
     pub intents: Vec<Intent>,
     pub name: String,
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingWrite>,
     pub retry_at: Option<UnixMs>,
     pub sequence: u64,
     /// The last confirmed version of the ledger's key.
@@ -71,16 +71,16 @@
 
     /// Returns whether a pending change already claims or voids a batch.
     pub(crate) fn is_settling(&self, batch: u64) -> bool {
-        self.waiting().any(|intent| {
+        self.pending_intents().any(|intent| {
             matches!(intent, Intent::Claim { batch: b, .. } | Intent::Void { batch: b, .. } if *b == batch)
         })
     }
 
     pub(crate) fn pending_binds(&self) -> usize {
-        self.waiting().filter(|intent| matches!(intent, Intent::Bind { .. })).count()
+        self.pending_intents().filter(|intent| matches!(intent, Intent::Bind { .. })).count()
     }
 
-    fn waiting(&self) -> impl Iterator<Item = &Intent> {
+    fn pending_intents(&self) -> impl Iterator<Item = &Intent> {
         let pending = self.pending.iter().flat_map(|pending| &pending.intents);
         self.intents.iter().chain(pending.map(|(intent, _)| intent))
     }
@@ -105,7 +105,7 @@
         self.writer.sequence += 1;
         ledger.fence = fence;
         ledger.write_id = format!("{}/{}", self.writer.name, self.writer.sequence);
-        self.writer.pending = Some(Pending { intents: applied, ledger });
+        self.writer.pending = Some(PendingWrite { intents: applied, ledger });
         self.send_pending();
     }
 
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -186,23 +186,23 @@
 
 #[test]
 fn a_broken_connection_counts_only_if_its_target_is_found_to_have_ended() {
-    let mut broken = InterruptedRequests::default();
-    assert!(broken.record(NOW, request("p"), &incarnation(1)), "the first at this target");
-    assert!(!broken.record(NOW, request("s"), &incarnation(1)));
-    assert!(broken.record(NOW, request("t"), &incarnation(2)));
+    let mut interrupted = InterruptedRequests::default();
+    assert!(interrupted.record(NOW, request("p"), &incarnation(1)), "the first at this target");
+    assert!(!interrupted.record(NOW, request("s"), &incarnation(1)));
+    assert!(interrupted.record(NOW, request("t"), &incarnation(2)));
 
-    broken.forget(request("s"));
-    let ended = broken.resolve(NOW.plus(10), TargetOutcome::Ended(&incarnation(1)));
+    interrupted.forget(request("s"));
+    let ended = interrupted.resolve(NOW.plus(10), TargetOutcome::Ended(&incarnation(1)));
 
     assert_eq!(ended, [(request("p"), incarnation(1))]);
     assert_eq!(
-        broken.resolve(NOW.plus(20), TargetOutcome::Ended(&incarnation(1))),
+        interrupted.resolve(NOW.plus(20), TargetOutcome::Ended(&incarnation(1))),
         [],
         "each end counts once"
     );
     let late = NOW.plus(MINUTE_MS);
     assert_eq!(
-        broken.resolve(late, TargetOutcome::Gone { id: &incarnation(2).id }),
+        interrupted.resolve(late, TargetOutcome::Gone { id: &incarnation(2).id }),
         [],
         "the connection broke for another reason"
     );
@@ -212,12 +212,12 @@
 fn a_restart_ends_only_the_earlier_incarnation() {
     let former = TargetIncarnation { started_at_unix_ms: Some(1), ..incarnation(1) };
     let present = TargetIncarnation { started_at_unix_ms: Some(2), ..incarnation(1) };
-    let mut broken = InterruptedRequests::default();
-    broken.record(NOW, request("p"), &former);
-    broken.record(NOW, request("s"), &present);
+    let mut interrupted = InterruptedRequests::default();
+    interrupted.record(NOW, request("p"), &former);
+    interrupted.record(NOW, request("s"), &present);
 
-    let fate = TargetOutcome::Restarted { started_at_unix_ms: Some(2), id: &present.id };
-    let ended = broken.resolve(NOW, fate);
+    let outcome = TargetOutcome::Restarted { started_at_unix_ms: Some(2), id: &present.id };
+    let ended = interrupted.resolve(NOW, outcome);
 
     assert_eq!(ended, [(request("p"), former)]);
 }
--- a/tests/all/site/web.rs
+++ b/tests/all/site/web.rs
@@ -27,14 +27,14 @@
 /// A listening server. Dropping it closes the listener and all its connections.
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
-    cut: watch::Sender<u64>,
+    close: watch::Sender<u64>,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
         self.task.abort();
-        self.cut_connections();
+        self.close_connections();
     }
 }
 
@@ -54,12 +54,12 @@
     {
         let listener = TcpListener::bind(address).await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
-        let (cut, cuts) = watch::channel(0);
+        let (close, closes) = watch::channel(0);
         let handle = Arc::new(handle);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (handle, mut cuts) = (Arc::clone(&handle), cuts.clone());
-                cuts.mark_unchanged();
+                let (handle, mut closes) = (Arc::clone(&handle), closes.clone());
+                closes.mark_unchanged();
                 tokio::spawn(async move {
                     let service = service_fn(move |request| {
                         let answer = handle(request);
@@ -69,16 +69,16 @@
                         .serve_connection(TokioIo::new(stream), service);
                     tokio::select! {
                         _ = connection => {}
-                        _ = cuts.changed() => {}
+                        _ = closes.changed() => {}
                     }
                 });
             }
         });
-        Self { address, cut, task }
+        Self { address, close, task }
     }
 
     /// Closes all open connections.
-    pub(crate) fn cut_connections(&self) {
-        self.cut.send_modify(|count| *count += 1);
+    pub(crate) fn close_connections(&self) {
+        self.close.send_modify(|count| *count += 1);
     }
 }
