--- a/tests/all/site/configuration.rs
+++ b/tests/all/site/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: in force everywhere within seconds, never reverting.
+//! The operators' configuration is in force on every node within seconds and never reverts.
 
 use super::harness::{CHANGE_BOUND_MS, Node, Site, document, until};
 use super::store::StoreMode;
@@ -17,7 +17,7 @@
 
 async fn wait_for_route(site: &Site, path: &str) {
     for node in &site.nodes {
-        until("the route is there", || async {
+        until("the route is served", || async {
             let answer = site.call(node, path, "q1").await.ok()?;
             (answer.status() == 200).then_some(())
         })
@@ -33,7 +33,7 @@
 
     wait_for_route(&site, "/new/a").await;
     let watchers = site.store.calls("kv-watch");
-    assert!(watchers > 0, "somebody watches");
+    assert!(watchers > 0, "at least one node watches");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -52,15 +52,14 @@
             .iter()
             .filter_map(|line| line["version"].as_u64())
             .collect();
-        assert!(versions.is_sorted(), "versions only rise: {versions:?}");
+        assert!(versions.is_sorted(), "a version went back: {versions:?}");
         assert!(!versions.contains(&5));
     }
 }
 
-// Symptom: nodes go by an old configuration for ten seconds.
-// Sequence: the store makes a change that no watch hears of, drops its history and cuts the
-// watches; it tells of the lost history only with the next change or when a watch's time is up.
-// Cause: the cut watch is asked again from its revision, instead of reading the whole.
+// Guards against nodes that use an old configuration for ten seconds. The store makes a change that
+// no watch reports, drops its history and cuts the watches. It reports the lost history only with
+// the next change or at the end of a watch, so a watch resumed at its revision would wait for that.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_in_a_lost_history_is_applied_at_once() {
     let site = Site::start(3, 0, 1).await;
@@ -69,18 +68,14 @@
     site.store.lose_history_with("op/config", &with_route(7, "/new/"));
 
     wait_for_route(&site, "/new/a").await;
-    // A watch that went on would learn it with its time-out; the whole was read instead, and no
-    // watch has told of the lost history.
-    // The trail is written a quarter of a second late.
+    // The trail is written up to a quarter of a second late.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     let restarted: usize = site.nodes.iter().map(|node| node.lines("feed_restarted").len()).sum();
     assert_eq!(restarted, 0);
     assert!(site.store.calls("kv-range") > before);
 }
 
-// Symptom: fifty nodes make fifty times the calls of one.
-// Sequence: targets' entries change while all nodes are calm.
-// Cause: each node watches for itself.
+// Guards against calls of the store that grow with the fleet because each node watches for itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_two_nodes_watch_the_store() {
     let mut site = Site::start(6, 1, 0).await;
@@ -92,7 +87,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
     }
 
-    // Ten changes cost each watcher at most ten calls and one for each two seconds.
+    // Per watcher at most one call for each of ten changes, and one for every two seconds.
     let calls = site.store.calls("kv-watch") - before;
     assert!(calls <= 2 * (10 + 2 * 3), "{calls} watches in four seconds");
 }
@@ -106,23 +101,23 @@
     assert!(site.runs.of("q1").is_empty());
 }
 
-/// Returns the steady clock of the trail, in milliseconds.
+/// Returns the time by the clock of `at_ms` in the audit trail.
 fn trail_now_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-/// Returns the indices of the nodes that watch the store, and of the others.
+/// Returns the indices of the nodes that watch the store, and of the other nodes.
 async fn watchers_and_others(site: &Site) -> (Vec<usize>, Vec<usize>) {
-    // Longer than any wait for changes.
-    const LOOK: Duration = Duration::from_millis(2_200);
+    // Longer than any watch.
+    const OBSERVATION: Duration = Duration::from_millis(2_200);
     let watches = |index: usize| {
         let calls = site.store.calls_at(site.nodes[index].store_endpoint);
         calls.iter().filter(|call| call.starts_with("kv-watch")).count()
     };
-    until("two nodes that watch", || async {
+    until("exactly two nodes watch", || async {
         let before: Vec<usize> = (0..site.nodes.len()).map(watches).collect();
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(OBSERVATION).await;
         let parts: (Vec<usize>, Vec<usize>) =
             (0..site.nodes.len()).partition(|index| watches(*index) > before[*index]);
         (parts.0.len() == 2).then_some(parts)
@@ -130,7 +125,8 @@
     .await
 }
 
-/// Waits until a node has a version in force; returns how long after `since_ms` that was.
+/// Waits until a version is in force on a node. Returns the time from `since_ms` to that, in
+/// milliseconds.
 async fn in_force_after_ms(node: &Node, version: u64, since_ms: u64) -> u64 {
     let at_ms = until("the version is in force", || async {
         let lines = node.lines("document_in_force");
@@ -141,13 +137,13 @@
     at_ms.saturating_sub(since_ms)
 }
 
-/// Brings a version into force, then cuts nodes off from the store just after all have heard of it.
+/// Puts a version in force on all nodes, then cuts some nodes off from the store.
 async fn cut_off_after_version(site: &Site, cut: &[usize], version: u64) {
     site.store.put("op/config", &document(version));
     for node in &site.nodes {
         in_force_after_ms(node, version, 0).await;
     }
-    // The watchers wait for changes again by then.
+    // Until then the watchers have sent their next watch.
     tokio::time::sleep(Duration::from_millis(200)).await;
     for index in cut {
         site.store.set_mode(site.nodes[*index].store_endpoint, StoreMode::Unresponsive);
@@ -186,7 +182,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_cut_off_from_the_store_receive_changes_from_the_one_that_reaches_it() {
-    // Calls of the store that wait for an answer by then.
+    // Long enough that calls of the store are waiting for an answer.
     const CALLS_WAIT: Duration = Duration::from_millis(2_500);
     let site = Site::start(6, 0, 1).await;
     let (mut cut, mut others) = watchers_and_others(&site).await;
@@ -217,7 +213,7 @@
 
     for index in others {
         let node = &site.nodes[index];
-        let at_ms = until("the target has left", || async {
+        let at_ms = until("the target is out of use", || async {
             node.lines("target_left").first()?["at_ms"].as_u64()
         })
         .await;
@@ -240,6 +236,6 @@
         assert_eq!(answer.status(), 503);
         assert!(answer.headers().contains_key("Retry-After"));
         let known = site.call(node, "/lookup/a", "q2").await.expect("an answer");
-        assert_eq!(known.status(), 200, "what it knows is served");
+        assert_eq!(known.status(), 200, "a known route is still served");
     }
 }
--- a/tests/all/site/duties.rs
+++ b/tests/all/site/duties.rs
@@ -1,4 +1,5 @@
-//! Duties towards the provider: usage reported once a window, whoever dies or is cut off.
+//! The duty towards the provider: usage is reported once per window, although holders die or are
+//! cut off, and lost targets are ordered again.
 
 use super::harness::{HOST, Site, document, until};
 use super::provider::ProviderMode;
@@ -15,7 +16,7 @@
     document
 }
 
-/// A site of nodes that report usage, in windows of a second.
+/// Starts a site whose nodes report usage in windows of one second.
 async fn site(nodes: usize) -> Site {
     let site = Site::start_with_duties(nodes, 2).await;
     site.store.put("op/config", &with_keys(5));
@@ -41,7 +42,7 @@
     request.send().await.map_or(0, |answer| answer.status().as_u16())
 }
 
-/// Waits until some node holds the duty and has reported; returns its index.
+/// Waits until a node holds the duty and has reported. Returns its index.
 async fn holder(site: &Site) -> usize {
     let holds = |node: &super::harness::Node| {
         let mine = |event: &str| node.duty_lines(event, "platform").len();
@@ -60,15 +61,15 @@
         tokio::time::sleep(Duration::from_millis(40)).await;
     }
 
-    until("all are reported", || async {
+    until("all requests are reported", || async {
         (site.provider.reported("a") == 20 && site.provider.reported("b") == 10).then_some(())
     })
     .await;
     site.provider.check();
 }
 
-// Symptom: requests that no target ran are billed.
-// Sequence: all targets refuse for load, or the key is unknown.
+// Guards against billing requests that no target ran: all targets are overloaded, or the key is
+// unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_no_target_began_are_not_reported() {
     let site = site(1).await;
@@ -88,8 +89,8 @@
     assert_eq!(site.provider.reported("a"), 0);
 }
 
-// Symptom: requests are missing in a report.
-// Sequence: a node serves callers, tells of it, and is killed before the window ends.
+// Guards against requests missing in a report: a node serves callers, shares its counts, and is
+// killed before the window ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn counts_of_a_killed_node_are_reported() {
     let site = site(4).await;
@@ -106,9 +107,8 @@
     site.provider.check();
 }
 
-// Symptom: one window is reported in two ways.
-// Sequence: the holder writes a report, the provider takes it without an answer, and the holder dies; its
-// successor has heard of other requests.
+// Guards against two different reports of one window: the holder stores a report, the provider
+// accepts it without answering, and the holder dies; its successor has received other counts.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_report_of_a_killed_holder_is_sent_unchanged_by_its_successor() {
     let site = site(3).await;
@@ -131,9 +131,8 @@
     site.provider.check();
 }
 
-// Symptom: no usage is reported while the provider is well.
-// Sequence: the provider cannot be reached from the holder alone, whose way to the store is open.
-// Cause: the holder keeps its lease.
+// Guards against usage that is not reported although the provider works: only the holder cannot
+// reach the provider, but it reaches the store and so keeps its lease.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_holder_without_answers_from_the_provider_steps_down() {
     let site = site(3).await;
@@ -151,8 +150,8 @@
     site.provider.check();
 }
 
-// Symptom: the platform's limit is exceeded over and over, or a report is lost.
-// Sequence: the provider refuses for load for a while.
+// Guards against a lost report, and against exceeding the platform's limit again and again: the
+// provider is overloaded for a while, and the holder retries and keeps the duty.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_report_refused_for_overload_is_retried_by_the_same_holder() {
     let site = site(2).await;
@@ -160,18 +159,21 @@
     site.provider.set_mode(holder, ProviderMode::Busy);
     assert_eq!(call(&site, holder, KEY_A, "q1").await, 200);
     let before = site.provider.attempts_at(holder);
-    until("refusals", || async { (site.provider.attempts_at(holder) > before + 1).then_some(()) })
-        .await;
+    until("the provider refuses reports", || async {
+        (site.provider.attempts_at(holder) > before + 1).then_some(())
+    })
+    .await;
 
     site.provider.set_mode(holder, ProviderMode::Normal);
 
-    until("it is reported", || async { (site.provider.reported("a") == 1).then_some(()) }).await;
+    until("the request is reported", || async { (site.provider.reported("a") == 1).then_some(()) })
+        .await;
     assert!(site.nodes[holder].lines("duty_resigned").is_empty());
     site.provider.check();
 }
 
-// Symptom: a service has fewer targets for good.
-// Sequence: a target goes away, and none comes in its place; the holder of the duty is killed meanwhile.
+// Guards against a service that keeps fewer targets: a target leaves, no other replaces it, and the
+// holder of the duty is killed before the order is carried out.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_targets_are_ordered_again_also_by_the_next_holder() {
     let mut site = Site::start_with_duties(3, 1).await;
@@ -182,7 +184,7 @@
     document["services"][1]["scaling"] = json!({ "min": 1, "max": 9, "bootS": 1.0,
         "spotPrice": 0.15, "zonePrices": { "zone-a": 1.0 } });
     site.store.put("op/config", &document);
-    until("it is known what the service began with", || async {
+    until("the desired counts are stored", || async {
         (!site.store.keys("cm/w/").is_empty()).then_some(())
     })
     .await;
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -1,4 +1,6 @@
-//! Weight versions: one node gives the orders, and an order that comes late does no harm.
+//! Weight versions: one node sends the orders, and a late order has no effect.
+//!
+//! Also the reports of drained store instances, and invalid registry entries.
 
 use super::harness::{Site, until};
 use super::store::StoreMode;
@@ -21,7 +23,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn published_versions_reach_the_engines_under_one_holder_per_fencing_number() {
-    // Two models share four engines, so each is kept current at two of them.
+    // Two models share four engines, so each model is loaded on two of them.
     let site = Site::start(3, 4, 0).await;
     name_version(&site, 2);
     wait_for_version(&site, 2, 2).await;
@@ -29,7 +31,7 @@
         .nodes
         .iter()
         .position(|node| !node.lines("order_sent").is_empty())
-        .expect("one node gives the orders");
+        .expect("one node sends the orders");
 
     site.nodes[holder].signal("KILL");
     name_version(&site, 3);
@@ -40,19 +42,21 @@
         site.engines.iter().flat_map(super::worker::Worker::orders_seen).collect();
     let mut fences: Vec<(u64, String)> = orders
         .iter()
-        .map(|order| (order["fence"].as_u64().expect("a fence"), order["holder"].to_string()))
+        .map(|order| {
+            (order["fence"].as_u64().expect("a fencing number"), order["holder"].to_string())
+        })
         .collect();
     fences.sort();
     fences.dedup();
     let numbers: Vec<u64> = fences.iter().map(|(fence, _)| *fence).collect();
     let mut distinct = numbers.clone();
     distinct.dedup();
-    assert_eq!(numbers, distinct, "no fence belongs to two holders: {fences:?}");
+    assert_eq!(numbers, distinct, "two holders share a fencing number: {fences:?}");
 }
 
-// Symptom: an engine loads twice, or goes back to an older version.
-// Sequence: an order gets no answer and is carried out seconds later, after it was sent again.
-// Cause: the second order does not name how many orders came before it.
+// Guards against an engine that loads twice or goes back to an older version: an order gets no
+// answer, is sent again, and the first is carried out seconds later. Each order states how many
+// came before it.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_is_carried_out_late_has_no_effect() {
     let site = Site::start(1, 1, 0).await;
@@ -62,7 +66,11 @@
 
     wait_for_version(&site, 2, 1).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert_eq!(site.engines[0].orders_seen().len(), 1, "one of the two orders was carried out");
+    assert_eq!(
+        site.engines[0].orders_seen().len(),
+        1,
+        "the engine accepted more than one of the orders"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -93,26 +101,25 @@
     until("the second report", report).await;
 }
 
-/// Starts a node that held the orders until the store refused it for too long.
+/// Starts a node that held the duty `orders` until the store had refused it for too long.
 async fn site_whose_holder_lost_the_store() -> Site {
     let site = Site::start(1, 1, 0).await;
     let node = &site.nodes[0];
-    until("the lease", || async {
+    until("the duty is held", || async {
         (!node.duty_lines("duty_gained", "orders").is_empty()).then_some(())
     })
     .await;
     site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
-    until("the lapse", || async {
+    until("the duty is lost", || async {
         (!node.duty_lines("duty_lost", "orders").is_empty()).then_some(())
     })
     .await;
     site
 }
 
-// Symptom: no engine gets new weights for seconds after the store returns.
-// Sequence: the store is away for longer than the holder may act without a renewal, and shorter than
-// its lease; the holder finds its own key and waits for its lapse, then for another's orders.
-// Cause: its own key of the same life is taken for another holder's.
+// Guards against engines that get no new weights for seconds after an outage. The outage is longer
+// than the holder may act without a renewal and shorter than its lease. The holder finds its own
+// key, of the same incarnation, and must not wait for its lapse as if another node held it.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_holder_retakes_its_own_lease_key_after_an_outage_of_the_store() {
     let site = site_whose_holder_lost_the_store().await;
@@ -130,6 +137,8 @@
     assert_eq!(report.await["acts_at_once"], true);
 }
 
+// Guards against a key that lapses under its holder: it is bound to an earlier lease, while the
+// node renews a new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_holder_whose_key_is_bound_to_an_unrenewed_lease_takes_it_again() {
     let site = site_whose_holder_lost_the_store().await;
@@ -141,7 +150,7 @@
     let asked_before = asks();
     site.store.hold_leases();
     site.store.set_mode(node.store_endpoint, StoreMode::DropsWrites);
-    until("the key is read", || async { (asks() > asked_before).then_some(()) }).await;
+    until("the node reads the key", || async { (asks() > asked_before).then_some(()) }).await;
 
     site.store.set_mode(node.store_endpoint, StoreMode::Normal);
 
@@ -150,12 +159,12 @@
     })
     .await;
     let (held, renewed) = (site.store.lease_of("cm/orders"), site.store.newest_lease());
-    assert_eq!(held, renewed, "the key lapses under its holder");
+    assert_eq!(held, renewed, "the key is bound to a lease that is not renewed");
 }
 
-// Symptom: an engine that started again under its id gets no weights and no items any more.
-// Sequence: it says that it leaves, ends, and is back under its id with counts that start anew.
-// Cause: what is known of its earlier life is held against it.
+// Guards against an engine that gets no weights and no items after a restart under the same id: it
+// drains, ends and starts again with new counts, while the node still uses those of the earlier
+// incarnation.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_restarts_under_its_id_gets_orders_with_its_new_count() {
     let mut site = Site::start(1, 1, 0).await;
@@ -170,17 +179,17 @@
     name_version(&site, 3);
 
     wait_for_version(&site, 3, 1).await;
-    let lives = site.nodes[0].lines("target_reborn");
-    assert_eq!(lives.last().map(|line| line["born_at_unix_ms"].clone()), Some(json!(9_000)));
+    let restarts = site.nodes[0].lines("target_reborn");
+    assert_eq!(restarts.last().map(|line| line["born_at_unix_ms"].clone()), Some(json!(9_000)));
     let expected: Vec<_> =
         site.engines[0].orders_seen().iter().map(|order| order["expected"].clone()).collect();
-    assert_eq!(expected, [0, 0], "each life counts its own orders");
+    assert_eq!(expected, [0, 0], "an incarnation counts only its own orders");
 }
 
-// Symptom: work goes to what another program wrote where workers register.
-// Sequence: a worker's entry is overwritten with one in a state that no worker has, beside others of
-// which a field is missing or that cannot be read.
-// Cause: what is not there is given a value of ours, and what cannot be read is passed over.
+// Guards against work for targets that only another program's registry entries describe. A worker's
+// entry is overwritten with an unknown state, and two more entries lack a field or cannot be
+// decoded. No default may stand in for a missing field, and an unreadable entry must remove the
+// target.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_registry_entries_add_no_target_and_leave_the_others_in_use() {
     let mut site = Site::start(1, 0, 2).await;
@@ -191,12 +200,14 @@
     site.plain[0].register("paused");
 
     let node = &site.nodes[0];
-    until("the entry is out", || async { (!node.lines("target_left").is_empty()).then_some(()) })
-        .await;
+    until("the target has left", || async {
+        (!node.lines("target_left").is_empty()).then_some(())
+    })
+    .await;
     for number in 0..8 {
         let answer = site.call(node, "/lookup/x", &format!("r-{number}")).await.expect("an answer");
         assert_eq!(answer.status(), 200);
     }
-    assert!(site.plain[0].ran().is_empty(), "its entry names no worker as it stands");
+    assert!(site.plain[0].ran().is_empty(), "its entry is invalid");
     assert_eq!(site.plain[1].ran().len(), 8);
 }
--- a/tests/all/site/requests.rs
+++ b/tests/all/site/requests.rs
@@ -1,4 +1,5 @@
-//! Requests of callers: answers whole and their own, refusals true, at most once.
+//! Requests of callers: answers are complete and belong to the request, a request refused as not
+//! run did not run, and calls that are not idempotent run at most once.
 
 use super::harness::{HOST, Site, until};
 use super::store::StoreMode;
@@ -18,19 +19,19 @@
     assert!(body.starts_with("q1 by plain-"), "the body is the target's: {body}");
 }
 
-// Symptom: a caller reads bytes that no target signed, or the answer to somebody else.
-// Sequence: a target answers without its signature, or with the id of another request.
-// Cause: the answer is taken by its place on the connection.
+// Guards against answers that no target signed or that belong to another request: a target answers
+// without its signature or with another request's id, and the order on the connection does not
+// prove the match.
 #[yare::parameterized(
     unsigned = { Behaviour::OmitsStamp },
     of_another = { Behaviour::WrongId },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn a_request_with_an_unsigned_or_foreign_answer_is_sent_to_another_target(
-    conduct: Behaviour,
+    behaviour: Behaviour,
 ) {
     let site = Site::start(1, 0, 2).await;
-    site.plain[0].set_behaviour(conduct);
+    site.plain[0].set_behaviour(behaviour);
 
     for number in 0..6 {
         let id = format!("q{number}");
@@ -41,9 +42,8 @@
     }
 }
 
-// Symptom: a mechanic is sent twice.
-// Sequence: a target runs a call that may not be repeated and closes the connection.
-// Cause: the call is sent again, or refused as not run.
+// Guards against a call that runs twice: a target runs a call that is not idempotent and closes the
+// connection, and the call is sent again or reported as not run, so that the caller repeats it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_whose_answer_is_lost_is_not_repeated_and_not_reported_as_not_run() {
     let site = Site::start(1, 0, 2).await;
@@ -87,16 +87,13 @@
     assert!(site.runs.of("c1").is_empty());
 }
 
-// Symptom: a node is busy with nothing but attempts while a service is down, and its trail leaves out
-// thousands of lines.
-// Sequence: all targets of a service have ended; their addresses refuse connections at once; each request
-// tries one after the other until its time is over.
-// Cause: a pause is made only after targets that refuse for load. One request made 125,784 attempts in the
-// three seconds that its caller waits, and all that waits is sent in the very millisecond in which a target
-// is back.
+// Guards against a retry loop while a service is down: its targets have ended, their addresses
+// refuse connections at once, and the node backed off only after refusals for overload. One request
+// made 125,784 attempts in the three seconds that its caller waits, the trail suppressed thousands
+// of lines, and all waiting requests were sent in the millisecond in which a target came back.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_that_do_not_listen_are_not_tried_without_a_pause() {
-    // One round of the two targets in each pause of a free slot, and as many again.
+    // Twice the number of attempts with one round of the two targets per backoff.
     const ATTEMPTS_MAX: usize = 600;
     let site = Site::start(1, 0, 2).await;
     site.plain.iter().for_each(super::worker::Worker::crash);
@@ -106,15 +103,14 @@
     assert_eq!(answer.status(), 504);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let lines = site.nodes[0].lines("attempt_failed");
-    let left_out = lines.iter().filter_map(|line| line["left_out_before"].as_u64()).sum::<u64>();
-    let attempts = lines.len() + left_out as usize;
-    assert!(attempts >= 2, "both were tried");
+    let suppressed = lines.iter().filter_map(|line| line["left_out_before"].as_u64()).sum::<u64>();
+    let attempts = lines.len() + suppressed as usize;
+    assert!(attempts >= 2, "both targets were tried");
     assert!(attempts < ATTEMPTS_MAX, "{attempts} attempts");
 }
 
-// Symptom: targets work on for callers that have left.
-// Sequence: a caller closes its connection while a target works.
-// Cause: the handler is not dropped with the connection.
+// Guards against targets that keep working for callers that have disconnected: the handler of a
+// request must be dropped with the caller's connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_run_is_cancelled_when_its_caller_disconnects() {
     let site = Site::start(1, 0, 1).await;
@@ -130,8 +126,9 @@
 
     let left = request.send().await;
 
-    assert!(left.is_err(), "the caller has left");
-    until("the run is dropped", || async { (site.plain[0].abandoned() == 1).then_some(()) }).await;
+    assert!(left.is_err(), "the caller has disconnected");
+    until("the run is cancelled", || async { (site.plain[0].abandoned() == 1).then_some(()) })
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -144,9 +141,8 @@
     assert!([502, 504].contains(&answer.status().as_u16()), "a final answer: {answer:?}");
 }
 
-// Symptom: a target that leaves gets new work.
-// Sequence: its entry says that it drains, or is removed; a late heartbeat shows it as ready again.
-// Cause: the last message counts, whatever its age.
+// Guards against new work for a target that is leaving: its entry says that it is draining, and a
+// late heartbeat with an older sequence number shows it as ready again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_target_gets_no_more_work_after_a_late_ready_entry() {
     let mut site = Site::start(2, 0, 2).await;
@@ -205,13 +201,12 @@
     let answer = request.send().await.expect("an answer");
 
     assert_eq!(answer.status(), 200);
-    let text = answer.text().await.expect("the whole stream");
+    let text = answer.text().await.expect("the complete stream");
     assert_eq!(text.matches("data: s1-").count(), 4);
 }
 
-// Symptom: half a stream looks like a whole one.
-// Sequence: the target falls silent in the middle and its connection breaks.
-// Cause: the answer to the caller is ended as if it were complete.
+// Guards against half a stream that looks complete: the target stops sending and its connection
+// breaks, and the answer to the caller must not end as if it were complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_does_not_look_complete() {
     let site = Site::start(1, 1, 0).await;
@@ -230,11 +225,9 @@
     assert!(answer.text().await.is_err(), "the caller sees that it was cut");
 }
 
-// Symptom: a target that left gets work for as long as the store turns some nodes away.
-// Sequence: a node that watches for all is turned away and reads by way of its peers; meanwhile a
-// target's entry is removed.
-// Cause: the nodes take the one node's trouble for an outage of the registry, after which entries
-// that vanished may come back, over and over.
+// Guards against work for a removed target while the store refuses some nodes. A watcher that is
+// refused reads via its peers; if that counted as an outage of the registry, the nodes would keep
+// waiting for the removed entry to come back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_removed_target_leaves_while_the_store_refuses_some_nodes() {
     let site = Site::start(4, 0, 2).await;
@@ -254,10 +247,9 @@
     }
 }
 
-// Symptom: everything is refused for seconds when the registry returns.
-// Sequence: the store is away for all; when it returns, the targets' entries have lapsed; the
-// targets write them again within two seconds.
-// Cause: an entry that vanished while the store was away is taken for a target that left.
+// Guards against refusals for seconds after an outage of the registry: the targets' entries have
+// lapsed meanwhile and are written again within two seconds, and must not count as targets that
+// have left.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_whose_entries_lapsed_in_an_outage_keep_serving() {
     let mut site = Site::start(2, 0, 2).await;
--- a/tests/all/site/soak_keys.rs
+++ b/tests/all/site/soak_keys.rs
@@ -1,8 +1,9 @@
-//! A randomized soak of keys and duties: nodes are killed, paused and cut off from the store and from the
-//! provider while keys change; what targets and the provider see is checked.
+//! A randomized soak test of keys and duties.
 //!
-//! A seed decides the faults. By hand: `SOAK_SEEDS=50 cargo test --release --test all soak_keys --
-//! --nocapture`, and `SOAK_FROM` for fresh ones. Seeds that ever failed stay in [`KEPT`], with their cause.
+//! Nodes are killed, paused, and cut off from the store and the provider while keys change. The
+//! test checks what targets and the provider receive. A seed determines the faults. To run more
+//! seeds by hand: `SOAK_SEEDS=50 cargo test --release --test all soak_keys -- --nocapture`;
+//! `SOAK_FROM` sets the first one.
 
 use super::harness::{HOST, Site, document, signal, until};
 use super::provider::ProviderMode;
@@ -14,25 +15,25 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Seeds that CI plays: drawn once.
+/// Seeds that CI runs.
 const SEEDS: [u64; 2] = [1, 2];
-/// Seeds that ever failed.
+/// Seeds that have failed once, each with its cause.
 const KEPT: [u64; 0] = [];
 const NODES: usize = 4;
 const FAULTS: usize = 16;
-/// A key that no configuration ever holds.
-const NEVER: &str = "neverakey0123456789";
+/// A key that no configuration contains.
+const UNKNOWN_KEY: &str = "neverakey0123456789";
 
-/// What the test knows of the configuration, and of the requests that it sent.
+/// The number of configuration changes, and the requests that were sent.
 #[derive(Default)]
-struct Known {
+struct Progress {
     changes: Cell<u64>,
-    never: RefCell<Vec<String>>,
+    with_unknown_key: RefCell<Vec<String>>,
     sent: RefCell<Vec<String>>,
     stopped: Cell<bool>,
 }
 
-/// The key of workspace `a` after so many changes; that of `b` stays.
+/// Returns the key of workspace `a` after a number of changes; that of `b` never changes.
 fn key_of_a(changes: u64) -> String {
     format!("keyofa{changes:04}x0123456789")
 }
@@ -57,35 +58,35 @@
     };
     for seed in seeds.into_iter().chain(KEPT) {
         println!("soak of keys, seed {seed}");
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     let mut site = Site::start_with_duties_behind_proxies(NODES, 2).await;
-    let known = Known::default();
+    let progress = Progress::default();
     site.store.put("op/config", &with_keys(0));
     for node in 0..NODES {
-        until("keys are asked for", || async {
-            (call(&site, node, NEVER, "early").await == 401).then_some(())
+        until("keys are required", || async {
+            (call(&site, node, UNKNOWN_KEY, "early").await == 401).then_some(())
         })
         .await;
     }
     let mut rng = StdRng::seed_from_u64(seed);
-    let chaos = async {
+    let faults = async {
         for _ in 0..FAULTS {
             sleep(Duration::from_millis(rng.random_range(50..700))).await;
-            fault(&site, &known, &mut rng);
+            cause_fault(&site, &progress, &mut rng);
         }
-        known.stopped.set(true);
+        progress.stopped.set(true);
     };
-    tokio::join!(chaos, caller(&site, &known));
-    heal(&mut site).await;
-    check(&site, &known, seed).await;
+    tokio::join!(faults, caller(&site, &progress));
+    end_faults(&mut site).await;
+    check(&site, &progress, seed).await;
 }
 
-/// Causes one fault; those that last are ended by a task of their own, so that they overlap.
-fn fault(site: &Site, known: &Known, rng: &mut StdRng) {
+/// Causes one fault. Lasting faults are ended by their own tasks, so that they overlap.
+fn cause_fault(site: &Site, progress: &Progress, rng: &mut StdRng) {
     let index = rng.random_range(0..NODES);
     let node = &site.nodes[index];
     let lasts = Duration::from_millis(rng.random_range(100..4_000));
@@ -111,9 +112,9 @@
             });
         }
         5 | 6 => {
-            let door = [ProviderMode::Busy, ProviderMode::Down, ProviderMode::Unresponsive]
+            let mode = [ProviderMode::Busy, ProviderMode::Down, ProviderMode::Unresponsive]
                 [rng.random_range(0..3)];
-            site.provider.set_mode(index, door);
+            site.provider.set_mode(index, mode);
             let provider = site.provider.clone();
             tokio::spawn(async move {
                 sleep(lasts).await;
@@ -121,8 +122,8 @@
             });
         }
         _ => {
-            known.changes.set(known.changes.get() + 1);
-            site.store.put("op/config", &with_keys(known.changes.get()));
+            progress.changes.set(progress.changes.get() + 1);
+            site.store.put("op/config", &with_keys(progress.changes.get()));
         }
     }
 }
@@ -140,24 +141,24 @@
     request.send().await.map_or(0, |answer| answer.status().as_u16())
 }
 
-async fn caller(site: &Site, known: &Known) {
+async fn caller(site: &Site, progress: &Progress) {
     let mut number = 0;
-    while !known.stopped.get() {
+    while !progress.stopped.get() {
         number += 1;
         let node = number % NODES;
         let id = format!("a{number}");
-        known.sent.borrow_mut().push(id.clone());
-        call(site, node, &key_of_a(known.changes.get()), &id).await;
+        progress.sent.borrow_mut().push(id.clone());
+        call(site, node, &key_of_a(progress.changes.get()), &id).await;
         call(site, node, KEY_OF_B, &format!("b{number}")).await;
         let id = format!("n{number}");
-        known.never.borrow_mut().push(id.clone());
-        let status = call(site, node, NEVER, &id).await;
-        assert!(matches!(status, 0 | 401 | 503), "a key that never was: {status}");
+        progress.with_unknown_key.borrow_mut().push(id.clone());
+        let status = call(site, node, UNKNOWN_KEY, &id).await;
+        assert!(matches!(status, 0 | 401 | 503), "an unknown key got {status}");
         sleep(Duration::from_millis(30)).await;
     }
 }
 
-async fn heal(site: &mut Site) {
+async fn end_faults(site: &mut Site) {
     sleep(Duration::from_secs(4)).await;
     for node in &mut site.nodes {
         node.store_link.set(Link::Open);
@@ -166,23 +167,23 @@
     site.wait_until_all_listed(NODES).await;
 }
 
-async fn check(site: &Site, known: &Known, seed: u64) {
-    for id in known.never.borrow().iter() {
-        assert!(site.runs.of(id).is_empty(), "seed {seed}: {id} ran with a key that never was");
+async fn check(site: &Site, progress: &Progress, seed: u64) {
+    for id in progress.with_unknown_key.borrow().iter() {
+        assert!(site.runs.of(id).is_empty(), "seed {seed}: {id} ran with an unknown key");
     }
     for run in site.runs.all().into_iter().filter(|run| run.request != "early") {
         let workspace = if run.request.starts_with('a') { "a" } else { "b" };
         assert_eq!(run.workspaces, [workspace], "seed {seed}: {run:?}");
         assert!(!run.has_key, "seed {seed}: {run:?}");
     }
-    let newest = key_of_a(known.changes.get());
+    let newest = key_of_a(progress.changes.get());
     for node in 0..NODES {
         until("the newest keys are in force", || async {
             (call(site, node, &newest, "a-last").await == 200).then_some(())
         })
         .await;
-        if known.changes.get() > 1 {
-            until("the oldest are not", || async {
+        if progress.changes.get() > 1 {
+            until("the oldest keys are refused", || async {
                 (call(site, node, &key_of_a(0), "a-old").await == 401).then_some(())
             })
             .await;
@@ -200,10 +201,10 @@
     }
     site.provider.check();
     for node in &site.nodes {
-        let story = node.audit_trail();
+        let trail = node.audit_trail();
         assert!(
-            !story.contains(&newest) && !story.contains(KEY_OF_B),
-            "seed {seed}: a key in a trail"
+            !trail.contains(&newest) && !trail.contains(KEY_OF_B),
+            "seed {seed}: a key is in an audit trail"
         );
     }
 }
--- a/tests/all/site/starts.rs
+++ b/tests/all/site/starts.rs
@@ -1,19 +1,20 @@
-//! What starts and deaths cost the store, whatever the size of the fleet.
+//! Starts and deaths of nodes cost few calls of the store in a fleet of any size, and idle nodes
+//! little CPU time.
 
 use super::harness::{Site, until};
 use std::time::Duration;
 
-/// The time in which a node that starts knows whom else there is, and some more.
+/// The time until a starting node knows the other nodes, with a margin.
 const SETTLED: Duration = Duration::from_secs(1);
 
-/// How often a process has waited for something so far, by the kernel's count.
+/// Returns the number of voluntary context switches of a process so far.
 fn waits(pid: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process lives");
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
     let line = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
     line.and_then(|count| count.trim().parse().ok()).expect("the kernel counts them")
 }
 
-/// Returns the calls that came through a node's door after the first `seen`.
+/// Returns the calls of a node to the store after the first `seen`.
 fn calls_since(site: &Site, node: usize, seen: usize) -> Vec<String> {
     site.store.calls_at(site.nodes[node].store_endpoint).split_off(seen)
 }
@@ -22,7 +23,7 @@
     calls.iter().filter(|call| call.contains(part)).count()
 }
 
-/// Returns a node that neither watches the store nor searches it, by the calls that it makes.
+/// Returns a node that makes no calls of the store for a while.
 async fn idle_node(site: &Site) -> usize {
     until("a node without calls", || async {
         let seen: Vec<usize> =
@@ -33,10 +34,9 @@
     .await
 }
 
-// Symptom: calls of the store grow with the square of the fleet when all start.
-// Sequence: a node starts; it watches until it knows the others, and looks through all records twice.
-// Cause: a node that knows nobody takes each duty for its own. It made eleven calls at the full price,
-// now three, and three that cost a tenth.
+// Guards against calls of the store that grow with the square of the fleet when all nodes start. A
+// node that knows no other ranks first for every duty; it watched the store and read all records
+// twice. Such a start cost eleven calls at the full price, instead of three, and three at a tenth.
 #[yare::parameterized(
     small = { 4 },
     larger = { 9 },
@@ -55,16 +55,15 @@
     .await;
     tokio::time::sleep(SETTLED).await;
     let calls = calls_since(&site, node, seen);
-    let old = count(&calls, "serializable=1");
-    assert_eq!(count(&calls, "kv-txn"), 1, "it registers: {calls:?}");
+    let stale = count(&calls, "serializable=1");
+    assert_eq!(count(&calls, "kv-txn"), 1, "one registration: {calls:?}");
     assert_eq!(count(&calls, "kv-range") - count(&calls, "kv-range prefix=cm"), 2, "{calls:?}");
-    assert_eq!(old, 3, "nodes, records and the holder of orders: {calls:?}");
+    assert_eq!(stale, 3, "nodes, records and the holder of orders: {calls:?}");
     assert_eq!(calls.len(), 6, "nothing else: {calls:?}");
 }
 
-// Symptom: each death of a node costs as many reads of all records as there are nodes.
-// Sequence: a node dies; all others hear of it within a second.
-// Cause: each looks through the store for the dead node's batches.
+// Guards against a death that makes every other node read all records, to find the dead node's
+// batches. All nodes learn of the death within a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn after_a_death_two_nodes_read_all_records() {
     let site = Site::start(7, 1, 1).await;
@@ -74,7 +73,7 @@
 
     site.nodes[node].signal("KILL");
 
-    until("the others see it gone", || async {
+    until("the other nodes see it as gone", || async {
         let knows = |other: &super::harness::Node| {
             other.lines("node_seen").iter().any(|line| line["state"] == "gone")
         };
@@ -90,10 +89,9 @@
     assert_eq!(searching, 2);
 }
 
-// Symptom: nodes at rest take five times the processor time that they need.
-// Sequence: a node has settled, and hears from the nodes that watch.
-// Cause: it waits for the rest of the time until it has settled, which is none. It woke up 520 times
-// a second.
+// Guards against a busy loop that made idle nodes use five times the CPU time they need: a node
+// that has settled waited for the remaining settle time, which is zero, and woke up 520 times a
+// second.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idle_node_wakes_up_rarely() {
     const WAITS_MAX: u64 = 600;
--- a/tests/all/site/stops.rs
+++ b/tests/all/site/stops.rs
@@ -1,10 +1,10 @@
-//! Planned stops cut nothing, and the directory names no node that leaves.
+//! Planned stops cut no requests, and the directory lists no node that is stopping.
 
 use super::harness::{Site, complete_output, submission, until};
 
-// Symptom: requests are cut when a node is replaced.
-// Sequence: SIGTERM comes while a request is at a target.
-// Cause: the process ends, or closes the connection, before the answer is passed on.
+// Guards against requests that are cut when a node is replaced: SIGTERM arrives while a request is
+// at a target, and the process must not exit or close the connection before it has forwarded the
+// answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_node_answers_its_requests_and_leaves_the_directory() {
     let mut site = Site::start(3, 0, 1).await;
@@ -20,7 +20,7 @@
 
     let (answer, ()) = tokio::join!(site.call(&leaving, "/lookup/a", "q1"), stopping);
 
-    let answer = answer.expect("the answer is passed on");
+    let answer = answer.expect("the answer is forwarded");
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.headers()["connection"], "close");
     assert!(!site.is_ready(&leaving).await);
@@ -53,10 +53,9 @@
     }
 }
 
-// Symptom: a caller's request is cut seconds after a planned stop began.
-// Sequence: the node has served all that it had and ends; a caller that kept its address connects
-// in that moment, and its request is passed on to a target.
-// Cause: the node still accepts requests between its decision to end and its end.
+// Guards against a request that is cut seconds after a planned stop began: the node has answered
+// everything and exits, while a caller that kept its address still sends requests. The node must
+// accept none between its decision to exit and the exit.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_during_a_nodes_exit_is_answered_or_not_forwarded() {
     let site = Site::start(2, 0, 1).await;
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the platform's store: transactions, leases, watches, and its troubles.
+//! A stand-in for the platform's store: transactions, leases, watches, and its faults.
 //!
-//! Each node is given a door of its own, so that the store can turn one node away.
+//! Each node has an endpoint of its own, so that the store can refuse a single node.
 
 use super::web::{Answer, Server, answer};
 use base64::Engine;
@@ -14,20 +14,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How a door answers.
+/// How the store answers at an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StoreMode {
-    /// Writes are neither done nor answered.
+    /// Writes are neither carried out nor answered; their connections are closed.
     DropsWrites,
-    /// Writes are done, and their answers are lost.
+    /// Writes are carried out, and their connections are closed without an answer.
     LosesWriteAnswers,
-    /// Writes are done, and their callers wait for an answer in vain.
+    /// Writes are carried out and never answered.
     LeavesWritesUnanswered,
-    /// As it should.
+    /// Answers normally.
     Normal,
-    /// Refuses with 503.
+    /// Refuses all calls with 503.
     Refuses,
-    /// Takes calls and answers none.
+    /// Accepts calls and never answers.
     Unresponsive,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Default)]
 struct State {
     calls: BTreeMap<String, u64>,
-    /// All calls with their queries, by door.
+    /// All calls with their queries, by endpoint.
     calls_at: BTreeMap<usize, Vec<String>>,
     compacted: u64,
     modes: Vec<Option<StoreMode>>,
@@ -53,7 +53,7 @@
     watch_epoch: u64,
 }
 
-/// The store.
+/// The stand-in for the store.
 #[derive(Clone)]
 pub(crate) struct Store {
     changed: Arc<Notify>,
@@ -115,7 +115,7 @@
         self.state.lock().expect("no test panics while it holds the store")
     }
 
-    /// Opens a door; its server closes with the returned handle.
+    /// Opens an endpoint. Its server closes with the returned handle.
     pub(crate) async fn open_endpoint(&self) -> (usize, Server) {
         let index = {
             let mut state = self.state();
@@ -130,12 +130,12 @@
         (index, server.await)
     }
 
-    /// Changes how a door answers.
+    /// Changes how the store answers at an endpoint.
     pub(crate) fn set_mode(&self, index: usize, mode: StoreMode) {
         self.state().modes[index] = Some(mode);
     }
 
-    /// Writes a key as the operator or a worker does.
+    /// Writes a key, as an operator or a worker does.
     pub(crate) fn put(&self, key: &str, value: &Value) {
         let mut state = self.state();
         state.revision += 1;
@@ -144,7 +144,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Writes the bytes of a key, as another node does.
+    /// Writes a key with any bytes, as another node does.
     pub(crate) fn put_bytes(&self, key: &str, value: Vec<u8>) {
         let mut state = self.state();
         state.revision += 1;
@@ -153,7 +153,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Changes the bytes of a key, as another node does whose word reaches nobody.
+    /// Changes the bytes of a key, as another node does whose datagrams are lost.
     pub(crate) fn change(&self, key: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state();
         state.revision += 1;
@@ -164,7 +164,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Removes a key as the platform does.
+    /// Removes a key, as the platform does.
     pub(crate) fn remove(&self, key: &str) {
         let mut state = self.state();
         state.revision += 1;
@@ -173,12 +173,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns a value.
+    /// Returns the value of a key.
     pub(crate) fn get(&self, key: &str) -> Option<Vec<u8>> {
         self.state().items.get(key).map(|item| item.value.clone())
     }
 
-    /// Returns the lease on which a key hangs; 0 for none.
+    /// Returns the lease that a key is bound to; 0 for none.
     pub(crate) fn lease_of(&self, key: &str) -> u64 {
         self.state().items.get(key).map_or(0, |item| item.lease)
     }
@@ -193,17 +193,17 @@
         self.state().items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Returns how often a call was made.
+    /// Returns how often a call was made, at all endpoints.
     pub(crate) fn calls(&self, call: &str) -> u64 {
         self.state().calls.get(call).copied().unwrap_or(0)
     }
 
-    /// Returns the calls that came through a door so far, each with its query.
+    /// Returns the calls at an endpoint so far, each with its query.
     pub(crate) fn calls_at(&self, endpoint: usize) -> Vec<String> {
         self.state().calls_at.get(&endpoint).cloned().unwrap_or_default()
     }
 
-    /// Lets no lease lapse for a minute, as a store that pauses leases while it is away.
+    /// Lets no lease lapse for a minute, like a store that pauses leases during an outage.
     pub(crate) fn hold_leases(&self) {
         let later = Instant::now() + Duration::from_mins(1);
         for (_, at) in self.state().leases.values_mut() {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Makes a change that no watch hears of, drops the history and cuts the watches.
+    /// Changes a key without reporting it to a watch, drops the history and cuts the watches.
     pub(crate) fn lose_history_with(&self, key: &str, value: &Value) {
         let mut state = self.state();
         state.revision += 1;
@@ -249,12 +249,13 @@
         let id = head.uri.path().rsplit('/').next().and_then(|id| id.parse().ok()).unwrap_or(0);
         let (status, value) = match name.as_str() {
             "kv-watch" => {
-                let told = self.watch(&query).await?;
-                // A wait that was under way as the path was cut is not answered either.
+                let changes = self.watch(&query).await?;
+                // A watch that was open when the endpoint became unresponsive is not answered
+                // either.
                 if self.state().modes[endpoint] == Some(StoreMode::Unresponsive) {
                     std::future::pending::<()>().await;
                 }
-                told
+                changes
             }
             "kv-key" => self.key(&query),
             "kv-range" => self.range(&query),
@@ -317,8 +318,8 @@
                         None => json!({ "key": key, "revision": revision, "deleted": true }),
                     })
                     .collect();
-                // The platform tells of a lost history with the next change, or when the wait is
-                // over.
+                // Like the platform's store, reports a lost history only with the next change or at
+                // the end of the wait.
                 let over = Instant::now() >= until;
                 if !events.is_empty() || over {
                     return Some(if after < state.compacted {
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -1,4 +1,5 @@
-//! Workspaces and keys: who is served, what targets are told, and what nobody is told.
+//! Workspaces and keys: which requests are served, what targets receive, and where keys must not
+//! appear.
 
 use super::harness::{CHANGE_BOUND_MS, HOST, Node, Site, document, submission, until};
 use super::store::StoreMode;
@@ -9,7 +10,7 @@
 const KEY_A: &str = "alphakey0123456789";
 const KEY_B: &str = "betakey0123456789";
 
-/// The usual configuration with workspaces; scoring calls need no key.
+/// Returns the usual configuration with workspaces and a public route for scoring calls.
 fn with_keys(version: u64, tenants: &[(&str, &[&str])]) -> Value {
     let mut document = document(version);
     let tenants: Vec<Value> =
@@ -77,7 +78,7 @@
     site.client.get(url).header("Host", HOST)
 }
 
-/// All that the processes wrote, metrics apart.
+/// Returns the audit trails of all nodes.
 fn trails(site: &Site) -> String {
     site.nodes.iter().map(Node::audit_trail).collect()
 }
@@ -145,8 +146,8 @@
     }
 }
 
-// Symptom: a target is given a key that does not concern it, or a key is no longer given to one that checks it.
-// Cause: where no workspaces are configured the header is the caller's own business with the target.
+// Without workspaces the header is between the caller and the target, which may check the key
+// itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_workspaces_a_callers_authorization_is_forwarded() {
     let site = Site::start(1, 0, 1).await;
@@ -157,8 +158,8 @@
     assert!(site.runs.of("q1")[0].has_key);
 }
 
-// Symptom: a key that was taken away is served for longer than the bound, or one that was added is denied.
-// Sequence: the operator changes the keys while a node has lost the store; it learns of it from the others.
+// Guards against a removed key that is accepted beyond the bound, or an added one that is denied:
+// the keys change while a node has lost the store, and it gets the change from the other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_keys_is_in_force_in_time_at_a_node_that_the_store_refuses() {
     let site = site_with_keys(3, 0).await;
@@ -174,8 +175,8 @@
     assert!(site.runs.of("old").is_empty());
 }
 
-// Symptom: callers with new keys are turned away for good by a node that knows nothing of them.
-// Sequence: no node reaches the store any more, and their views grow old.
+// Guards against permanent refusals of new keys by a node that does not know them yet: no node
+// reaches the store, and their views get old.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_store_known_keys_are_served_and_unknown_ones_told_to_retry() {
     let site = site_with_keys(2, 0).await;
@@ -205,7 +206,7 @@
 
     for node in [first, second] {
         assert_eq!(status(read(&site, node, "s1")).await, 401, "without a key");
-        assert_eq!(status(with_key(read(&site, node, "s1"), KEY_A)).await, 401, "taken away");
+        assert_eq!(status(with_key(read(&site, node, "s1"), KEY_A)).await, 401, "a removed key");
         assert_eq!(status(with_key(read(&site, node, "s1"), KEY_B)).await, 404, "another's");
         assert_eq!(status(with_key(read(&site, node, "s9"), KEY_B)).await, 404, "none");
         let end = site.client.delete(format!("http://{}/-/lots/s1", node.callers));
@@ -221,7 +222,11 @@
     })
     .await;
     assert_eq!(status(batch(&site, first, "s1", "latekey012345")).await, 202, "again");
-    assert_eq!(status(batch(&site, second, "s1", KEY_B)).await, 409, "the id is taken");
+    assert_eq!(
+        status(batch(&site, second, "s1", KEY_B)).await,
+        409,
+        "the id belongs to another workspace"
+    );
     for run in site.runs.all().into_iter().filter(|run| run.request.starts_with("s1")) {
         let expected: &[&str] = if run.request.contains('r') { &[] } else { &["a"] };
         assert_eq!(run.workspaces, expected, "{run:?}");
@@ -229,8 +234,8 @@
     }
 }
 
-// Symptom: items of a batch whose owner has died run for nobody, or for another workspace.
-// Sequence: the owner is killed in the middle of a batch; another node takes it from the store.
+// Guards against items that run for no workspace or for another one, after the owner of their batch
+// was killed and another node has taken the batch over from the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_batch_that_is_taken_over_keeps_its_workspace() {
     let site = site_with_keys(3, 1).await;
@@ -253,24 +258,24 @@
     assert!(!trails(&site).contains(KEY_A));
 }
 
-// Symptom: a key stands in the memory of a peer, or in what nodes send each other.
-// Sequence: a node that has lost the store has its calls made by a peer, the configuration among them.
-// Cause: the store's answer is passed on as it came.
+// Guards against keys in messages between nodes and in the memory of the receiver: a node that has
+// lost the store reads the configuration via a peer, which must not forward the store's answer
+// unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_key_is_in_the_memory_of_a_node_that_got_the_configuration_from_a_peer() {
     let site = site_with_keys(3, 0).await;
     let node = &site.nodes[2];
     site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
-    // A watch that it had made before is answered within half of the bound.
+    // Longer than a watch that is still open, which ends within half of the bound.
     tokio::time::sleep(Duration::from_millis(CHANGE_BOUND_MS)).await;
 
     put_in_force(&site, 9, &[("a", &["memorykey0123456789"]), ("b", &[KEY_B])]).await;
 
     let found = memory_holds(node.pid(), b"memorykey0123456789");
-    assert!(!found, "the key was passed on");
+    assert!(!found, "the key was forwarded");
 }
 
-/// Tells whether a process of ours holds these bytes in memory that it can write.
+/// Returns whether the writable memory of a child process contains these bytes.
 fn memory_holds(pid: u32, wanted: &[u8]) -> bool {
     use std::io::{Read, Seek, SeekFrom};
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).expect("our child's maps");
@@ -286,9 +291,9 @@
     })
 }
 
-// Symptom: a key stands in what lasts of a batch, and in the copies that nodes send each other.
-// Sequence: a trainer puts its key among the headers of its items, too.
-// Cause: the header is dropped only where an item goes to a target.
+// Guards against keys in the stored data of a batch and in its copies on other nodes: a trainer
+// puts its key among the headers of its items, and the header was dropped only on the way to a
+// target.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_among_an_items_headers_is_not_kept_with_its_batch() {
     let site = site_with_keys(2, 1).await;
@@ -296,7 +301,7 @@
     assert_eq!(status(batch(&site, &site.nodes[0], "s1", KEY_A)).await, 202);
 
     let keys = site.store.keys("cm/");
-    assert!(keys.iter().any(|key| key.starts_with("cm/d/s1")), "the batch is kept: {keys:?}");
+    assert!(keys.iter().any(|key| key.starts_with("cm/d/s1")), "the batch is stored: {keys:?}");
     for key in keys {
         let value = site.store.get(&key).unwrap_or_default();
         let holds = value.windows(KEY_B.len()).any(|window| window == KEY_B.as_bytes());
