--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -293,7 +293,7 @@
             state.freshness.confirm(at, witness);
         }
         // A later update was applied meanwhile; older changes could restore deleted keys.
-        if as_of < state.as_of { Vec::new() } else { state.take(events, as_of) }
+        if as_of < state.as_of { Vec::new() } else { state.apply(events, as_of) }
     };
     match subject {
         Subject::Operators => {
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -111,7 +111,7 @@
     }
 
     /// Applies changes and returns those that were new.
-    pub(super) fn take(&mut self, events: Vec<StoreEvent>, as_of: u64) -> Vec<StoreEvent> {
+    pub(super) fn apply(&mut self, events: Vec<StoreEvent>, as_of: u64) -> Vec<StoreEvent> {
         let applied: Vec<StoreEvent> =
             events.into_iter().filter(|event| self.apply_one(event)).collect();
         for event in &applied {
