--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub(crate) struct CountedRequest<P: Platform> {
     node: Rc<Node<P>>,
-    ticket: Option<OpenRequestId>,
+    open_request: Option<OpenRequestId>,
 }
 
 impl<P: Platform> CountedRequest<P> {
@@ -73,14 +73,14 @@
         let at = node.usage.now();
         let mut counts = node.usage.counts.borrow_mut();
         let counts = counts.get_or_insert_with(|| UsageCounts::open(windows));
-        let ticket = Some(counts.request_sent(at, workspace?));
-        Some(Self { node: Rc::clone(node), ticket })
+        let open_request = Some(counts.request_sent(at, workspace?));
+        Some(Self { node: Rc::clone(node), open_request })
     }
 
     /// Records that the target began the request now, not when it was sent.
     pub(crate) fn began_now(mut self) {
         let at = Some(self.node.usage.now());
-        self.settle(|counts, ticket| counts.request_started(ticket, at));
+        self.settle(|counts, open_request| counts.request_started(open_request, at));
     }
 
     /// Records that no target began the request.
@@ -89,16 +89,16 @@
     }
 
     fn settle(&mut self, settle: impl FnOnce(&mut UsageCounts, OpenRequestId)) {
-        let Some(ticket) = self.ticket.take() else { return };
+        let Some(open_request) = self.open_request.take() else { return };
         if let Some(counts) = self.node.usage.counts.borrow_mut().as_mut() {
-            settle(counts, ticket);
+            settle(counts, open_request);
         }
     }
 }
 
 impl<P: Platform> Drop for CountedRequest<P> {
     fn drop(&mut self) {
-        self.settle(|counts, ticket| counts.request_started(ticket, None));
+        self.settle(|counts, open_request| counts.request_started(open_request, None));
     }
 }
 
