--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -345,8 +345,8 @@
 
 /// Reports the store instances to be drained as drained at once: nothing durable is kept on them.
 fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
-    let asked = node.draining.borrow().clone();
-    for (instance, revision) in asked {
+    let requested = node.draining.borrow().clone();
+    for (instance, revision) in requested {
         let reported = holder.drained.borrow_mut().insert(instance.clone(), revision);
         if reported == Some(revision) {
             continue;
