--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -35,8 +35,8 @@
             }
         }
         Ok(Some(OperatorUpdate::Drain { node: instance })) => {
-            let asked = node.draining.borrow_mut().insert(instance.clone(), item.revision);
-            if asked != Some(item.revision) {
+            let previous = node.draining.borrow_mut().insert(instance.clone(), item.revision);
+            if previous != Some(item.revision) {
                 let why = json!({ "machine": instance, "revision": item.revision });
                 node.note("vacate_asked", why);
             }
