--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -85,10 +85,10 @@
         Fact::Owner(owner) if owner.trainer == *duty => Some(owner.clone()),
         _ => None,
     })?;
-    let lives = members.nodes().any(|peer| {
+    let is_alive = members.nodes().any(|peer| {
         peer.name == fact.node && !matches!(peer.state, NodeState::Gone | NodeState::Leaving)
     });
-    lives.then_some(fact.node)
+    is_alive.then_some(fact.node)
 }
 
 /// Announces the holder of a duty to all nodes.
