--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -76,8 +76,8 @@
     after_outage: bool,
 ) {
     let now = clock::now();
-    let gone = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
-    let registry_lost = gone > 1 && gone * LOSS_DIVISOR > node.targets.borrow().count();
+    let removed = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
+    let registry_lost = removed > 1 && removed * LOSS_DIVISOR > node.targets.borrow().count();
     for event in events {
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -98,12 +98,12 @@
     /// Returns the changes from this state to a complete list of keys that was read at `as_of`.
     pub(super) fn difference(&self, items: &[StoredItem], as_of: u64) -> Vec<StoreEvent> {
         let listed = |key: &String| items.iter().any(|item| item.key == *key);
-        let gone = self.items.keys().filter(|key| !listed(key));
-        let gone = gone.map(|key| StoreEvent::Deleted { key: key.clone(), revision: as_of });
+        let removed = self.items.keys().filter(|key| !listed(key));
+        let removed = removed.map(|key| StoreEvent::Deleted { key: key.clone(), revision: as_of });
         let held = |item: &StoredItem| self.items.get(&item.key).map_or(0, |(held, _)| *held);
         let new = items.iter().filter(|item| item.revision > held(item));
         let mut events: Vec<StoreEvent> =
-            gone.chain(new.cloned().map(StoreEvent::Written)).collect();
+            removed.chain(new.cloned().map(StoreEvent::Written)).collect();
         // A peer that misses some of them asks for the changes after its last revision, so they
         // must be in order.
         events.sort_by_key(StoreEvent::revision);
