--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -465,8 +465,8 @@
 pub(crate) async fn run_heartbeats<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
-        let gone = node.targets.borrow_mut().expire(clock::now());
-        for change in &gone {
+        let expired = node.targets.borrow_mut().expire(clock::now());
+        for change in &expired {
             node.target_changed(change, "not back after the registry's outage");
         }
         for subject in [Subject::Operators, Subject::Targets] {
