--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -170,8 +170,8 @@
     /// event `after`.
     pub(crate) fn expected_run_ms(&self, item: &Item, after: Option<u64>) -> u64 {
         let run_times = self.run_times.borrow();
-        let whole_ms = run_times.expected_ms(item.expected_tokens());
-        whole_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
+        let full_ms = run_times.expected_ms(item.expected_tokens());
+        full_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
     }
 
     pub(crate) fn random_u64(&self) -> u64 {
