--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -94,7 +94,7 @@
 }
 
 /// Probes the store during an outage, if this node is a watcher, until the process ends.
-pub(crate) async fn probe_until_back<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn probe_during_outages<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(PROBE_INTERVAL).await;
         if node.outage.is_ongoing() && feed::is_watcher(&node) {
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -116,7 +116,7 @@
         spawn_local(feed::catch_up(Rc::clone(&node), subject));
     }
     spawn_local(feed::run_heartbeats(Rc::clone(&node)));
-    spawn_local(outage::probe_until_back(Rc::clone(&node)));
+    spawn_local(outage::probe_during_outages(Rc::clone(&node)));
     spawn_local(crashes::maintain_records(Rc::clone(&node)));
     spawn_local(join_and_serve(Rc::clone(&node)));
     stop.recv().await;
