--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -81,7 +81,7 @@
         (accepted.started_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
     }
 
-    fn note_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
+    fn record_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
         self.accepted
             .borrow_mut()
             .insert(target.to_owned(), Accepted { started_at_unix_ms, orders });
@@ -223,11 +223,11 @@
     holder.accepted.borrow_mut().swap_remove(&chosen.id);
     match sent {
         Ok((StatusCode::ACCEPTED, _)) => {
-            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders + 1);
+            holder.record_accepted(&chosen.id, started_at_unix_ms, expected_orders + 1);
             sleep(FIRST_REPORT_DELAY).await;
         }
         Ok((StatusCode::OK, _)) => {
-            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders);
+            holder.record_accepted(&chosen.id, started_at_unix_ms, expected_orders);
             node.targets.borrow_mut().record_version(&chosen.id, &order.model, order.version);
             return LoadOutcome::Done;
         }
@@ -285,7 +285,7 @@
     report: &EngineReport,
 ) {
     if !report.busy {
-        holder.note_accepted(&chosen.id, report.started_at_unix_ms, report.orders_accepted);
+        holder.record_accepted(&chosen.id, report.started_at_unix_ms, report.orders_accepted);
     }
     for (model, version) in &report.models {
         node.targets.borrow_mut().record_version(&chosen.id, model, *version);
