--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -139,7 +139,7 @@
                 rollout.batch_opened(*at, model);
             }
             let orders = rollout.plan(now, &targets, &engine.models, &node.demand.borrow());
-            note_shares(node, holder, service, rollout);
+            log_shares(node, holder, service, rollout);
             orders
         };
         let runs_continue = !document.routes.iter().any(|route| {
@@ -162,7 +162,7 @@
 }
 
 /// Logs how the targets of a service are shared among its models, when that has changed.
-fn note_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
+fn log_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
     let counts = json!(rollout.counts());
     let mut shared = holder.shared.borrow_mut();
     if shared.get(service) != Some(&counts) {
