--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -187,7 +187,7 @@
         None => match report(node, &chosen).await {
             Ok(report) if report.busy => return LoadOutcome::Failed,
             Ok(report) => {
-                take_report(node, holder, &chosen, &report);
+                apply_report(node, holder, &chosen, &report);
                 if has_version(&report, order) {
                     return LoadOutcome::Done;
                 }
@@ -259,7 +259,7 @@
         }
         match report(node, chosen).await {
             Ok(report) => {
-                take_report(node, holder, chosen, &report);
+                apply_report(node, holder, chosen, &report);
                 if has_version(&report, order) {
                     return LoadOutcome::Done;
                 }
@@ -278,7 +278,7 @@
     report.models.iter().any(|(model, held)| *model == order.model && *held >= order.version)
 }
 
-fn take_report<P: Platform>(
+fn apply_report<P: Platform>(
     node: &Node<P>,
     holder: &Holder,
     chosen: &ChosenTarget,
