--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -104,7 +104,7 @@
         }
         let wanted = self.is_wanted(node, now);
         let (action, change) = self.tenure.borrow_mut().tick(now, wanted);
-        self.note_change(node, change);
+        self.announce_change(node, change);
         if let Some(action) = action {
             let (duty_lease, node) = (Rc::clone(self), Rc::clone(node));
             tokio::task::spawn_local(async move { duty_lease.carry_out(&node, action).await });
@@ -142,7 +142,7 @@
         peers::to_node_name(self.duty)
     }
 
-    fn note_change<P: Platform>(&self, node: &Node<P>, change: Option<Change>) {
+    fn announce_change<P: Platform>(&self, node: &Node<P>, change: Option<Change>) {
         match change {
             None => {}
             Some(Change::Lapsed) => node.note("duty_lost", json!({ "duty": self.duty })),
@@ -170,7 +170,7 @@
         };
         let now = clock::now();
         let change = self.tenure.borrow_mut().report(now, &report);
-        self.note_change(node, change);
+        self.announce_change(node, change);
         if change.is_some() {
             let at_once = self.order_fence(now).is_some();
             node.note("duty_report", json!({ "duty": self.duty, "acts_at_once": at_once }));
