--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -301,7 +301,7 @@
         let submission = local.batch.submission();
         (submission.model.clone(), submission.work_tokens())
     };
-    node.note_demand(model.as_deref(), work_tokens);
+    node.record_demand(model.as_deref(), work_tokens);
     if let Some(owner) = peers::me(node) {
         let batch = id.to_owned();
         peers::broadcast(node, &Datagram::BatchOwned { batch, model, owner, work_tokens });
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -162,7 +162,7 @@
             batches::on_batch_orphaned(node, &batch, owner);
         }
         Ok(Datagram::BatchOwned { batch, model, owner, work_tokens }) => {
-            node.note_demand(model.as_deref(), work_tokens);
+            node.record_demand(model.as_deref(), work_tokens);
             batches::on_owner_reported(node, &batch, owner);
         }
         Ok(Datagram::StoreReturned) => outage::receive_store_returned(node),
