--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -211,7 +211,7 @@
         "usage_closed",
         json!({
             "window": window.0, "outcome": outcome, "fence": fence.0, "tellers": tellers,
-            "alive": alive.len(), "missing": missing, "clocks": node.usage.witnesses(),
+            "alive": alive.len(), "missing": missing, "clocks": node.usage.clock_count(),
             "total": found.as_ref().map(|counts| counts.values().sum::<u64>()),
         }),
     );
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the number of clocks behind [`Usage::now`].
-    pub(crate) fn witnesses(&self) -> usize {
+    pub(crate) fn clock_count(&self) -> usize {
         self.time.borrow().clock_count()
     }
 }
