--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -118,7 +118,7 @@
                 service: name,
             };
             let Some(answer) = send_duty_call(node, lease, duties, &call).await else { return };
-            note(node, name, &order, &serving, &answer);
+            log_order(node, name, &order, &serving, &answer);
             let outcome = outcome(&answer);
             let count = serving.get(&order.pool).copied().unwrap_or(0);
             self.scaling.record_outcome(clock::now(), &order, count, outcome);
@@ -134,7 +134,7 @@
     }
 }
 
-fn note<P: Platform>(
+fn log_order<P: Platform>(
     node: &Node<P>,
     service: &str,
     order: &TargetOrder,
