--- a/crates/serve/src/access.rs
+++ b/crates/serve/src/access.rs
@@ -56,8 +56,8 @@
     if document.workspaces.is_none() {
         return Ok(Scope::All);
     }
-    let carries_none = !headers.contains_key(AUTHORIZATION);
-    if carries_none && document.has_public_batches(host) {
+    let has_no_key = !headers.contains_key(AUTHORIZATION);
+    if has_no_key && document.has_public_batches(host) {
         return Ok(Scope::Public);
     }
     let workspace = workspace(node, document, false, headers)?;
