--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug)]
-struct Kind {
+struct EventRate {
     suppressed: u32,
     name: &'static str,
     second: u64,
@@ -46,7 +46,7 @@
 /// The audit trail of a process.
 #[derive(Debug)]
 pub(crate) struct Trail {
-    kinds: RefCell<Vec<Kind>>,
+    kinds: RefCell<Vec<EventRate>>,
     node: String,
 }
 
@@ -90,7 +90,7 @@
         let mut kinds = self.kinds.borrow_mut();
         let second = now.0 / 1_000;
         let at = kinds.iter().position(|kind| kind.name == name).unwrap_or_else(|| {
-            kinds.push(Kind { suppressed: 0, name, second, written: 0 });
+            kinds.push(EventRate { suppressed: 0, name, second, written: 0 });
             kinds.len() - 1
         });
         let kind = &mut kinds[at];
