--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -46,7 +46,7 @@
 /// The audit trail of a process.
 #[derive(Debug)]
 pub(crate) struct Trail {
-    kinds: RefCell<Vec<EventRate>>,
+    event_rates: RefCell<Vec<EventRate>>,
     node: String,
 }
 
@@ -64,7 +64,7 @@
         if dispatch.apply().is_ok() {
             std::thread::spawn(move || shared.write_all());
         }
-        Self { kinds: RefCell::new(Vec::new()), node: node.to_owned() }
+        Self { event_rates: RefCell::new(Vec::new()), node: node.to_owned() }
     }
 
     /// Writes one line; `fields` must be an object.
@@ -87,13 +87,13 @@
     /// Counts a line against the rate of its event. Returns the number of lines suppressed before
     /// it, or none if this line is suppressed too.
     fn admit(&self, now: UnixMs, name: &'static str) -> Option<u32> {
-        let mut kinds = self.kinds.borrow_mut();
+        let mut event_rates = self.event_rates.borrow_mut();
         let second = now.0 / 1_000;
-        let at = kinds.iter().position(|kind| kind.name == name).unwrap_or_else(|| {
-            kinds.push(EventRate { suppressed: 0, name, second, written: 0 });
-            kinds.len() - 1
+        let at = event_rates.iter().position(|kind| kind.name == name).unwrap_or_else(|| {
+            event_rates.push(EventRate { suppressed: 0, name, second, written: 0 });
+            event_rates.len() - 1
         });
-        let kind = &mut kinds[at];
+        let kind = &mut event_rates[at];
         if kind.second != second {
             kind.second = second;
             kind.written = 0;
