--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -89,21 +89,21 @@
     fn admit(&self, now: UnixMs, name: &'static str) -> Option<u32> {
         let mut event_rates = self.event_rates.borrow_mut();
         let second = now.0 / 1_000;
-        let at = event_rates.iter().position(|kind| kind.name == name).unwrap_or_else(|| {
+        let at = event_rates.iter().position(|rate| rate.name == name).unwrap_or_else(|| {
             event_rates.push(EventRate { suppressed: 0, name, second, written: 0 });
             event_rates.len() - 1
         });
-        let kind = &mut event_rates[at];
-        if kind.second != second {
-            kind.second = second;
-            kind.written = 0;
+        let rate = &mut event_rates[at];
+        if rate.second != second {
+            rate.second = second;
+            rate.written = 0;
         }
-        if kind.written >= KIND_MAX_LINES_PER_S {
-            kind.suppressed += 1;
+        if rate.written >= KIND_MAX_LINES_PER_S {
+            rate.suppressed += 1;
             return None;
         }
-        kind.written += 1;
-        Some(std::mem::take(&mut kind.suppressed))
+        rate.written += 1;
+        Some(std::mem::take(&mut rate.suppressed))
     }
 }
 
