--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -16,7 +16,7 @@
 const QUEUE_MAX_LINES: usize = 1_000;
 /// Lines of one event per second at most; further ones are suppressed and counted. It is four times
 /// the rate of the busiest event on the heaviest measured day.
-const KIND_MAX_LINES_PER_S: u32 = 100;
+const EVENT_MAX_LINES_PER_S: u32 = 100;
 /// Bytes that a pipe takes in one atomic write (`PIPE_BUF` of Linux).
 const WRITE_MAX_BYTES: usize = 4_096;
 /// The writer waits this long for more lines, so that it wakes up at most four times a second.
@@ -98,7 +98,7 @@
             rate.second = second;
             rate.written = 0;
         }
-        if rate.written >= KIND_MAX_LINES_PER_S {
+        if rate.written >= EVENT_MAX_LINES_PER_S {
             rate.suppressed += 1;
             return None;
         }
