--- a/crates/serve/src/batch_calls.rs
+++ b/crates/serve/src/batch_calls.rs
@@ -37,7 +37,7 @@
         BatchCall::Read { after, batch, wait_ms } => {
             let found = batches::read(node, &batch, &scope, after, wait_ms).await;
             let page = map_found(found, |(total, results)| {
-                P::page(total, after + results.len(), &results)
+                P::results_page(total, after + results.len(), &results)
             });
             (batch, "read", page)
         }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -208,7 +208,7 @@
         runs_continue,
         version: order.version,
     };
-    let (path, body) = P::order(&call);
+    let (path, body) = P::engine_order(&call);
     peers::announce_load(node, &chosen.id, LOAD_MS);
     let sent = engine_call::<P>(node, &chosen, Some((path, body))).await;
     let status = sent.as_ref().ok().map(|(status, _)| status.as_u16());
@@ -300,7 +300,8 @@
     if status != StatusCode::OK {
         return Err(CallError::may_have_run(format!("the report was answered {status}")));
     }
-    let report = P::report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
+    let report =
+        P::engine_report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
     let (is_current, change) =
         node.targets.borrow_mut().apply_start_time(&chosen.id, report.started_at_unix_ms);
     node.target_changed(&change, "its report");
@@ -318,7 +319,7 @@
 ) -> Result<(StatusCode, Bytes), CallError> {
     let (request, body) = match order {
         Some((path, body)) => (Request::post(path), body),
-        None => (Request::get(P::report_path()), Bytes::new()),
+        None => (Request::get(P::engine_report_path()), Bytes::new()),
     };
     let mut request = request
         .header(http::header::HOST, chosen.address.to_string())
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -247,7 +247,7 @@
     fn submission(body: &[u8]) -> Result<Submission, DecodeError>;
 
     /// Encodes a page of results.
-    fn page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
+    fn results_page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
 
     /// Writes the metadata of a request to a target into its headers.
     fn set_request_metadata(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
@@ -259,17 +259,17 @@
     fn event_version(event: &StreamEvent) -> Option<u64>;
 
     /// Encodes an order. Returns its path and body.
-    fn order(call: &OrderCall<'_>) -> (&'static str, Bytes);
+    fn engine_order(call: &OrderCall<'_>) -> (&'static str, Bytes);
 
     /// Encodes a call of a duty, by its holder with a fencing number.
     fn duty_request(call: &DutyCall<'_>, holder: &str, fence: u64) -> DutyRequest;
 
     /// Returns the path of an engine's report.
-    fn report_path() -> &'static str;
+    fn engine_report_path() -> &'static str;
 
     /// Decodes an engine's report.
     ///
     /// # Errors
     /// If it is not in its format.
-    fn report(body: &[u8]) -> Result<EngineReport, DecodeError>;
+    fn engine_report(body: &[u8]) -> Result<EngineReport, DecodeError>;
 }
--- a/tests/all/platform_parsers.rs
+++ b/tests/all/platform_parsers.rs
@@ -73,7 +73,7 @@
     // Whether decoding succeeds does not matter here, only that it does not panic.
     drop(UsersPlatform::submission(bytes));
     drop(UsersPlatform::target_entry("servers/t", bytes));
-    drop(UsersPlatform::report(bytes));
+    drop(UsersPlatform::engine_report(bytes));
     for key in ["op/config", "op/version/m", "op/retire/n", "op/else"] {
         drop(UsersPlatform::operator_update(key, bytes));
     }
