--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -467,7 +467,7 @@
         sleep(HEARTBEAT_INTERVAL).await;
         let expired = node.targets.borrow_mut().expire(clock::now());
         for change in &expired {
-            node.target_changed(change, "not back after the registry's outage");
+            node.target_changed(change, "did not register again after an outage of the registry");
         }
         for subject in [Subject::Operators, Subject::Targets] {
             report_age(&node, subject);
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -54,7 +54,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(start_error("the runtime"))?;
+        .map_err(start_error("cannot start the async runtime"))?;
     LocalSet::new().block_on(&runtime, work)
 }
 
@@ -79,8 +79,10 @@
     block_on(async move {
         let trail = Trail::open(&settings.node);
         trail.note(clock::now(), "started", json!({ "role": "standby" }));
-        let mut stop = signal(SignalKind::terminate()).map_err(start_error("SIGTERM"))?;
-        let mut reload = signal(SignalKind::hangup()).map_err(start_error("SIGHUP"))?;
+        let mut stop = signal(SignalKind::terminate())
+            .map_err(start_error("cannot install the handler of SIGTERM"))?;
+        let mut reload = signal(SignalKind::hangup())
+            .map_err(start_error("cannot install the handler of SIGHUP"))?;
         loop {
             tokio::select! {
                 _ = stop.recv() => break,
@@ -98,8 +100,9 @@
     metrics_port: Option<u16>,
 ) -> Result<(), StartError> {
     let trail = Trail::open(&settings.node);
-    let datagrams =
-        UdpSocket::bind(settings.peer).await.map_err(start_error("the peer address"))?;
+    let datagrams = UdpSocket::bind(settings.peer)
+        .await
+        .map_err(start_error("cannot bind the peer address"))?;
     let node = Rc::new(Node::<P>::open(settings, datagrams, trail));
     let settings = node.settings();
     node.note(
@@ -107,7 +110,8 @@
         json!({ "role": "front", "callers": settings.callers, "peer": settings.peer,
                 "store": settings.store, "data_centre": settings.data_centre }),
     );
-    let mut stop = signal(SignalKind::terminate()).map_err(start_error("SIGTERM"))?;
+    let mut stop = signal(SignalKind::terminate())
+        .map_err(start_error("cannot install the handler of SIGTERM"))?;
     listen(&node, metrics_port).await?;
     spawn_local(reload_on_signal(Rc::clone(&node)));
     spawn_local(summarize(Rc::clone(&node)));
@@ -127,7 +131,7 @@
 async fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address)
         .await
-        .map_err(|error| StartError(format!("address {address}: {error}")))
+        .map_err(|error| StartError(format!("cannot bind address {address}: {error}")))
 }
 
 async fn listen<P: Platform>(
