--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -15,7 +15,7 @@
 use catkinmast_model::{Revision, UnixMs};
 
 /// Interval between attempts to learn the first revision.
-const BOOT_RETRY_MS: u64 = 500;
+const FIRST_REVISION_RETRY_MS: u64 = 500;
 /// Interval between attempts to fetch a document.
 const BODY_RETRY_MS: u64 = 200;
 /// Pause after a failed watch, so that an outage does not cause a storm of calls.
@@ -41,12 +41,12 @@
     Announced {
         /// Digest of the document.
         digest: Digest,
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// A document was fetched and matches its digest.
     BodyFetched {
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// A document could not be fetched.
@@ -71,10 +71,10 @@
     },
     /// A watch ended, with a newer head if there is one.
     WatchEnded {
-        /// The newer head.
+        /// The newer head, if there is one.
         head: Option<ObservedHead>,
         /// Whether the service answered.
-        worked: bool,
+        succeeded: bool,
     },
 }
 
@@ -85,21 +85,21 @@
     AskPeers,
     /// Fetch a document.
     FetchBody {
-        /// Its digest.
+        /// Digest of the document.
         digest: Digest,
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// Put the fetched document in force.
     Install {
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// Read the head.
     ReadHead,
     /// Wait for a head that is newer than this version of its key.
     Watch {
-        /// The version.
+        /// Version of the head's key.
         after_version: u64,
     },
 }
@@ -121,7 +121,7 @@
     }
 }
 
-/// A node's knowledge of the configuration in force.
+/// A node's view of the configuration in force, and the calls it makes to follow it.
 #[derive(Clone, Debug)]
 pub struct Follower {
     head_read: CallState,
@@ -185,22 +185,22 @@
                 self.head_read = CallState::NotBefore(now);
                 let found = head.map_or_else(Revision::default, |head| head.revision);
                 self.min_revision.get_or_insert(found);
-                self.head_seen(now, head);
+                self.apply_head(now, head);
             }
             FollowerEvent::HeadUnavailable if self.peers > 0 => {
                 return vec![FollowerEffect::AskPeers];
             }
             FollowerEvent::HeadUnavailable => {
-                self.head_read = CallState::NotBefore(now.plus(BOOT_RETRY_MS));
+                self.head_read = CallState::NotBefore(now.plus(FIRST_REVISION_RETRY_MS));
             }
             FollowerEvent::PeersAnswered { answers, newest } => {
                 self.peers_answered(now, answers, newest);
             }
             FollowerEvent::Tick { peers, watches } => return self.tick(now, peers, watches),
-            FollowerEvent::WatchEnded { head, worked } => {
-                let pause_ms = if worked { 0 } else { WATCH_PAUSE_MS };
+            FollowerEvent::WatchEnded { head, succeeded } => {
+                let pause_ms = if succeeded { 0 } else { WATCH_PAUSE_MS };
                 self.watch = CallState::NotBefore(now.plus(pause_ms));
-                self.head_seen(now, head);
+                self.apply_head(now, head);
             }
         }
         Vec::new()
@@ -233,7 +233,7 @@
         }
     }
 
-    fn head_seen(&mut self, now: UnixMs, head: Option<ObservedHead>) {
+    fn apply_head(&mut self, now: UnixMs, head: Option<ObservedHead>) {
         if let Some(head) = head {
             self.head_version = self.head_version.max(head.version);
             self.set_pending(now, head.revision, head.digest);
@@ -241,7 +241,7 @@
     }
 
     fn peers_answered(&mut self, now: UnixMs, answers: usize, newest: Option<(Revision, Digest)>) {
-        self.head_read = CallState::NotBefore(now.plus(BOOT_RETRY_MS));
+        self.head_read = CallState::NotBefore(now.plus(FIRST_REVISION_RETRY_MS));
         let Some((revision, digest)) = newest else { return };
         if answers >= PEERS_ASKED.min(self.peers) {
             self.min_revision.get_or_insert(revision);
