--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -81,7 +81,7 @@
         (accepted.started_at_unix_ms == entry.started_at_unix_ms).then_some(accepted.orders)
     }
 
-    fn note_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
+    fn record_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
         self.accepted
             .borrow_mut()
             .insert(target.to_owned(), Accepted { started_at_unix_ms, orders });
@@ -139,7 +139,7 @@
                 rollout.batch_opened(*at, model);
             }
             let orders = rollout.plan(now, &targets, &engine.models, &node.demand.borrow());
-            note_shares(node, holder, service, rollout);
+            log_shares(node, holder, service, rollout);
             orders
         };
         let runs_continue = !document.routes.iter().any(|route| {
@@ -162,7 +162,7 @@
 }
 
 /// Logs how the targets of a service are shared among its models, when that has changed.
-fn note_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
+fn log_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
     let counts = json!(rollout.counts());
     let mut shared = holder.shared.borrow_mut();
     if shared.get(service) != Some(&counts) {
@@ -187,7 +187,7 @@
         None => match report(node, &chosen).await {
             Ok(report) if report.busy => return LoadOutcome::Failed,
             Ok(report) => {
-                take_report(node, holder, &chosen, &report);
+                apply_report(node, holder, &chosen, &report);
                 if has_version(&report, order) {
                     return LoadOutcome::Done;
                 }
@@ -208,7 +208,7 @@
         runs_continue,
         version: order.version,
     };
-    let (path, body) = P::order(&call);
+    let (path, body) = P::engine_order(&call);
     peers::announce_load(node, &chosen.id, LOAD_MS);
     let sent = engine_call::<P>(node, &chosen, Some((path, body))).await;
     let status = sent.as_ref().ok().map(|(status, _)| status.as_u16());
@@ -223,11 +223,11 @@
     holder.accepted.borrow_mut().swap_remove(&chosen.id);
     match sent {
         Ok((StatusCode::ACCEPTED, _)) => {
-            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders + 1);
+            holder.record_accepted(&chosen.id, started_at_unix_ms, expected_orders + 1);
             sleep(FIRST_REPORT_DELAY).await;
         }
         Ok((StatusCode::OK, _)) => {
-            holder.note_accepted(&chosen.id, started_at_unix_ms, expected_orders);
+            holder.record_accepted(&chosen.id, started_at_unix_ms, expected_orders);
             node.targets.borrow_mut().record_version(&chosen.id, &order.model, order.version);
             return LoadOutcome::Done;
         }
@@ -259,7 +259,7 @@
         }
         match report(node, chosen).await {
             Ok(report) => {
-                take_report(node, holder, chosen, &report);
+                apply_report(node, holder, chosen, &report);
                 if has_version(&report, order) {
                     return LoadOutcome::Done;
                 }
@@ -278,14 +278,14 @@
     report.models.iter().any(|(model, held)| *model == order.model && *held >= order.version)
 }
 
-fn take_report<P: Platform>(
+fn apply_report<P: Platform>(
     node: &Node<P>,
     holder: &Holder,
     chosen: &ChosenTarget,
     report: &EngineReport,
 ) {
     if !report.busy {
-        holder.note_accepted(&chosen.id, report.started_at_unix_ms, report.orders_accepted);
+        holder.record_accepted(&chosen.id, report.started_at_unix_ms, report.orders_accepted);
     }
     for (model, version) in &report.models {
         node.targets.borrow_mut().record_version(&chosen.id, model, *version);
@@ -300,7 +300,8 @@
     if status != StatusCode::OK {
         return Err(CallError::may_have_run(format!("the report was answered {status}")));
     }
-    let report = P::report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
+    let report =
+        P::engine_report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
     let (is_current, change) =
         node.targets.borrow_mut().apply_start_time(&chosen.id, report.started_at_unix_ms);
     node.target_changed(&change, "its report");
@@ -318,7 +319,7 @@
 ) -> Result<(StatusCode, Bytes), CallError> {
     let (request, body) = match order {
         Some((path, body)) => (Request::post(path), body),
-        None => (Request::get(P::report_path()), Bytes::new()),
+        None => (Request::get(P::engine_report_path()), Bytes::new()),
     };
     let mut request = request
         .header(http::header::HOST, chosen.address.to_string())
@@ -345,8 +346,8 @@
 
 /// Reports the store instances to be drained as drained at once: nothing durable is kept on them.
 fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
-    let asked = node.draining.borrow().clone();
-    for (instance, revision) in asked {
+    let requested = node.draining.borrow().clone();
+    for (instance, revision) in requested {
         let reported = holder.drained.borrow_mut().insert(instance.clone(), revision);
         if reported == Some(revision) {
             continue;
