--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -1,12 +1,12 @@
 //! The single writer of the ledger.
 //!
-//! A change waits as an [`Intent`] until a ledger write that contains it is confirmed, and only then is
-//! its command answered. One write is in flight at a time; changes that arrive meanwhile are batched
-//! into the next one, so the rate of writes does not grow with the rate of commands.
+//! A change waits as an [`Intent`] until a ledger write that contains it is confirmed, and only
+//! then is its command answered. One write is in flight at a time; changes that arrive meanwhile
+//! are batched into the next one, so the rate of writes does not grow with the rate of commands.
 //!
-//! If the reply to a write is lost, the ledger is read. This writer's own `write_id` in it means that the
-//! write took effect; the expected version means that it did not and can be repeated; anything else
-//! means that another owner has written and this node no longer owns the steps.
+//! If the reply to a write is lost, the ledger is read. This writer's own `write_id` in it means
+//! that the write took effect; the expected version means that it did not and can be repeated;
+//! anything else means that another owner has written and this node no longer owns the steps.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample, ClaimedSet, Ledger, StepRecord};
@@ -15,8 +15,8 @@
 use crate::spec::{Registration, Reply};
 use catkinmast_model::{SampleId, UnixMs, Version};
 
-/// Delay before the ledger is read after a write whose outcome is unknown, and before a trainer should
-/// retry a command that could not be completed.
+/// Delay before the ledger is read after a write whose outcome is unknown, and before a trainer
+/// should retry a command that could not be completed.
 pub(crate) const LEDGER_RETRY_MS: u64 = 500;
 
 /// A change of the ledger that is not confirmed yet.
@@ -33,7 +33,7 @@
 
 /// A ledger write that is not confirmed yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingWrite {
     /// The changes in the write, each with the samples of the batch that it settles.
     pub intents: Vec<(Intent, SettledSamples)>,
     pub ledger: Ledger,
@@ -49,7 +49,7 @@
     pub busy: bool,
     pub intents: Vec<Intent>,
     pub name: String,
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingWrite>,
     pub retry_at: Option<UnixMs>,
     pub sequence: u64,
     /// The last confirmed version of the ledger's key.
@@ -71,16 +71,16 @@
 
     /// Returns whether a pending change already claims or voids a batch.
     pub(crate) fn is_settling(&self, batch: u64) -> bool {
-        self.waiting().any(|intent| {
+        self.pending_intents().any(|intent| {
             matches!(intent, Intent::Claim { batch: b, .. } | Intent::Void { batch: b, .. } if *b == batch)
         })
     }
 
     pub(crate) fn pending_binds(&self) -> usize {
-        self.waiting().filter(|intent| matches!(intent, Intent::Bind { .. })).count()
+        self.pending_intents().filter(|intent| matches!(intent, Intent::Bind { .. })).count()
     }
 
-    fn waiting(&self) -> impl Iterator<Item = &Intent> {
+    fn pending_intents(&self) -> impl Iterator<Item = &Intent> {
         let pending = self.pending.iter().flat_map(|pending| &pending.intents);
         self.intents.iter().chain(pending.map(|(intent, _)| intent))
     }
@@ -105,7 +105,7 @@
         self.writer.sequence += 1;
         ledger.fence = fence;
         ledger.write_id = format!("{}/{}", self.writer.name, self.writer.sequence);
-        self.writer.pending = Some(Pending { intents: applied, ledger });
+        self.writer.pending = Some(PendingWrite { intents: applied, ledger });
         self.send_pending();
     }
 
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Handles a lost reply or a conflict: schedules a read of the ledger, which shows what happened.
+    /// Handles a lost reply or a conflict: schedules a read of the ledger, which shows what
+    /// happened.
     pub(crate) fn ledger_outcome_unknown(&mut self, now: UnixMs) {
         self.writer.busy = false;
         self.writer.retry_at = Some(now.plus(LEDGER_RETRY_MS));
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Acts on a batch's state in the ledger, which may differ from the requested one: a claim and a void
-    /// of the same batch can be part of one write, and then the first of them takes effect.
+    /// Acts on a batch's state in the ledger, which may differ from the requested one: a claim and
+    /// a void of the same batch can be part of one write, and then the first of them takes effect.
     fn batch_settled(
         &mut self,
         batch: u64,
@@ -218,8 +219,8 @@
         }
         Intent::TakeOver => {}
         Intent::Void { at_version, batch, .. } => {
-            // A trainer that claims at a version has published it, even if this owner did not receive
-            // the command.
+            // A trainer that claims at a version has published it, even if this owner did not
+            // receive the command.
             ledger.trainer_version = ledger.trainer_version.max(*at_version);
             ledger.void(*batch);
         }
@@ -228,9 +229,9 @@
 
 /// Returns the samples of the batch that a change settles, or none if the batch is already settled.
 ///
-/// A trainer's claim can race with a void of the same batch. By the time the second of the two changes
-/// is applied, the samples may already be bound to another batch; releasing them again would bind and
-/// deliver them twice.
+/// A trainer's claim can race with a void of the same batch. By the time the second of the two
+/// changes is applied, the samples may already be bound to another batch; releasing them again
+/// would bind and deliver them twice.
 fn settled_by(ledger: &Ledger, intent: &Intent) -> SettledSamples {
     let (Intent::Claim { batch, .. } | Intent::Void { batch, .. }) = intent else {
         return Vec::new();
--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -35,8 +35,8 @@
             }
         }
         Ok(Some(OperatorUpdate::Drain { node: instance })) => {
-            let asked = node.draining.borrow_mut().insert(instance.clone(), item.revision);
-            if asked != Some(item.revision) {
+            let previous = node.draining.borrow_mut().insert(instance.clone(), item.revision);
+            if previous != Some(item.revision) {
                 let why = json!({ "machine": instance, "revision": item.revision });
                 node.note("vacate_asked", why);
             }
@@ -76,8 +76,8 @@
     after_outage: bool,
 ) {
     let now = clock::now();
-    let gone = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
-    let registry_lost = gone > 1 && gone * LOSS_DIVISOR > node.targets.borrow().count();
+    let removed = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
+    let registry_lost = removed > 1 && removed * LOSS_DIVISOR > node.targets.borrow().count();
     for event in events {
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
