--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -30,7 +30,7 @@
 async fn start_site(engines: usize, plain: usize) -> Site {
     let site = Site::start(3, engines, plain).await;
     for worker in site.engines.iter().chain(&site.plain) {
-        worker.set_back_after(RESTART_AFTER);
+        worker.set_restart_after(RESTART_AFTER);
     }
     site
 }
@@ -442,7 +442,7 @@
 async fn a_crash_is_detected_from_the_registry_if_the_address_still_accepts_connections() {
     let site = Site::start(1, 0, 1).await;
     let node = &site.nodes[0];
-    site.plain[0].set_back_after(RESTART_AFTER);
+    site.plain[0].set_restart_after(RESTART_AFTER);
     let behind = Proxy::start(site.plain[0].address()).await;
     site.store.change("servers/plain-0", |value| {
         let entry = String::from_utf8_lossy(value);
--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -68,7 +68,7 @@
         observed.stopped.set(true);
     };
     for worker in &site.plain {
-        worker.set_back_after(RESTART_AFTER);
+        worker.set_restart_after(RESTART_AFTER);
     }
     let callers = futures::future::join4(
         trainer(&site, &observed, "a"),
--- a/tests/all/site/web.rs
+++ b/tests/all/site/web.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose connections can be cut.
+//! A small HTTP server for stand-ins, whose connections can be closed by the test.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
@@ -13,33 +13,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The body of a stand-in's answer.
+/// The body of a stand-in's response.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
-/// A stand-in's answer; none closes the connection without one.
+/// A stand-in's response; `None` closes the connection without one.
 pub(crate) type Answer = Option<http::Response<AnswerBody>>;
 
-/// Makes an answer with a whole body.
+/// Builds a response with a fixed body.
 pub(crate) fn answer(status: u16, body: impl Into<Bytes>) -> http::Response<AnswerBody> {
     let body = Full::new(body.into()).map_err(|never: Infallible| match never {}).boxed_unsync();
     http::Response::builder().status(status).body(body).expect("a plain answer")
 }
 
-/// A listener; dropping it closes it and all its connections.
+/// A listening server. Dropping it closes the listener and all its connections.
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
-    cut: watch::Sender<u64>,
+    close: watch::Sender<u64>,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
         self.task.abort();
-        self.cut_connections();
+        self.close_connections();
     }
 }
 
 impl Server {
-    /// Serves at a free port of the loopback address.
+    /// Starts a server on a free loopback port.
     pub(crate) async fn bind<H>(handle: H) -> Self
     where
         H: Fn(http::Request<Incoming>) -> BoxFuture<'static, Answer> + Send + Sync + 'static,
@@ -47,19 +47,19 @@
         Self::bind_at(SocketAddr::from(([127, 0, 0, 1], 0)), handle).await
     }
 
-    /// Serves at an address.
+    /// Starts a server on an address.
     pub(crate) async fn bind_at<H>(address: SocketAddr, handle: H) -> Self
     where
         H: Fn(http::Request<Incoming>) -> BoxFuture<'static, Answer> + Send + Sync + 'static,
     {
         let listener = TcpListener::bind(address).await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
-        let (cut, cuts) = watch::channel(0);
+        let (close, closes) = watch::channel(0);
         let handle = Arc::new(handle);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (handle, mut cuts) = (Arc::clone(&handle), cuts.clone());
-                cuts.mark_unchanged();
+                let (handle, mut closes) = (Arc::clone(&handle), closes.clone());
+                closes.mark_unchanged();
                 tokio::spawn(async move {
                     let service = service_fn(move |request| {
                         let answer = handle(request);
@@ -69,16 +69,16 @@
                         .serve_connection(TokioIo::new(stream), service);
                     tokio::select! {
                         _ = connection => {}
-                        _ = cuts.changed() => {}
+                        _ = closes.changed() => {}
                     }
                 });
             }
         });
-        Self { address, cut, task }
+        Self { address, close, task }
     }
 
-    /// Closes all connections.
-    pub(crate) fn cut_connections(&self) {
-        self.cut.send_modify(|count| *count += 1);
+    /// Closes all open connections.
+    pub(crate) fn close_connections(&self) {
+        self.close.send_modify(|count| *count += 1);
     }
 }
