--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -24,7 +24,7 @@
 /// Nodes observe different ends under the same request and exchange them in any order and more than
 /// once. [`Self::merge`] is commutative, associative and idempotent: an end is never removed, only
 /// refuted, and a refutation is never removed either. The map is ordered, so that nodes with equal
-/// evidence serialize equal bytes.
+/// evidence serialise to equal bytes.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Evidence {
     ends: BTreeMap<TargetIncarnation, End>,
--- a/crates/rollout/src/batches.rs
+++ b/crates/rollout/src/batches.rs
@@ -281,7 +281,7 @@
         }
     }
 
-    pub(crate) fn claimed(&mut self, settled: &[(SampleId, Attempt)]) {
+    pub(crate) fn apply_claim(&mut self, settled: &[(SampleId, Attempt)]) {
         for (id, _) in settled {
             if let Some(sample) = self.samples.get_mut(id) {
                 sample.state = SampleState::Claimed;
@@ -290,7 +290,7 @@
         self.forget_settled();
     }
 
-    pub(crate) fn voided(&mut self, settled: &[(SampleId, Attempt)]) {
+    pub(crate) fn apply_void(&mut self, settled: &[(SampleId, Attempt)]) {
         let current = self.ledger.trainer_version;
         let bound = self.registration().map_or(0, |r| r.staleness_bound_versions);
         for (id, _) in settled {
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -9,9 +9,9 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// How many finished steps the ledger keeps, so that a repeated submission is recognized.
+/// How many finished steps the ledger keeps, so that a repeated submission is recognised.
 const DONE_STEPS_KEPT: usize = 16;
-/// How many settled batches the ledger keeps, so that a repeated claim is recognized.
+/// How many settled batches the ledger keeps, so that a repeated claim is recognised.
 const SETTLED_BATCHES_KEPT: usize = 256;
 
 /// A set of sample indices in a step, one bit each.
@@ -129,7 +129,7 @@
     pub steps: IndexMap<u64, StepRecord>,
     /// The last published weight version.
     pub trainer_version: Version,
-    /// Unique id of the last write, by which a writer that lost the reply recognizes its own write.
+    /// Unique id of the last write, by which a writer that lost the reply recognises its own write.
     pub write_id: String,
 }
 
--- a/crates/rollout/src/owner.rs
+++ b/crates/rollout/src/owner.rs
@@ -34,7 +34,7 @@
 enum FollowUp {
     /// A queued sample may start on an engine.
     Dispatch,
-    /// None.
+    /// No work.
     None,
     /// A batch may be ready to bind, or a queued sample may start.
     BindAndDispatch,
--- a/crates/rollout/src/recovery.rs
+++ b/crates/rollout/src/recovery.rs
@@ -107,7 +107,7 @@
     }
 
     /// Continues the takeover once this owner's fencing number is in the ledger.
-    pub(crate) fn taken_over(&mut self) {
+    pub(crate) fn continue_takeover(&mut self) {
         if self.phase != Phase::TakingOver {
             return;
         }
--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -164,7 +164,7 @@
             Intent::Register { registration, reply_to } => {
                 self.reply(reply_to, Reply::Registered(registration));
             }
-            Intent::TakeOver => self.taken_over(),
+            Intent::TakeOver => self.continue_takeover(),
             Intent::Void { batch, reply_to, .. } => {
                 self.batch_settled(batch, reply_to, settled);
             }
@@ -181,10 +181,10 @@
     ) {
         let state = self.ledger.batches.get(&batch).map(|record| record.state);
         let reply = if let Some(BatchState::Claimed) = state {
-            self.claimed(settled);
+            self.apply_claim(settled);
             Reply::Claimed { batch }
         } else {
-            self.voided(settled);
+            self.apply_void(settled);
             Reply::Void { batch }
         };
         if let Some(receiver) = reply_to {
