--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -293,7 +293,7 @@
             state.freshness.confirm(at, witness);
         }
         // A later update was applied meanwhile; older changes could restore deleted keys.
-        if as_of < state.as_of { Vec::new() } else { state.take(events, as_of) }
+        if as_of < state.as_of { Vec::new() } else { state.apply(events, as_of) }
     };
     match subject {
         Subject::Operators => {
@@ -465,9 +465,9 @@
 pub(crate) async fn run_heartbeats<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
-        let gone = node.targets.borrow_mut().expire(clock::now());
-        for change in &gone {
-            node.target_changed(change, "not back after the registry's outage");
+        let expired = node.targets.borrow_mut().expire(clock::now());
+        for change in &expired {
+            node.target_changed(change, "did not register again after an outage of the registry");
         }
         for subject in [Subject::Operators, Subject::Targets] {
             report_age(&node, subject);
