--- a/crates/serve/src/batches/keys.rs
+++ b/crates/serve/src/batches/keys.rs
@@ -178,7 +178,7 @@
     node: &Node<P>,
     batch: &str,
 ) -> Result<StoredBatch, StoreRefusal> {
-    let (items, _) = feed::read_whole(node, &format!("{DATA_PREFIX}{batch}/")).await?;
+    let (items, _) = feed::read_all(node, &format!("{DATA_PREFIX}{batch}/")).await?;
     let (chunk_prefix, outputs_key) = (chunk_prefix(batch), outputs_key(batch));
     let (chunks, others): (Vec<StoredItem>, Vec<StoredItem>) =
         items.into_iter().partition(|item| item.key.starts_with(&chunk_prefix));
--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -92,7 +92,7 @@
         OwnerReply::Record(record, _) => record,
         OwnerReply::Unavailable(why) => return Lookup::Unavailable(why),
     };
-    match feed::read_whole(node, &chunk_prefix(batch)).await {
+    match feed::read_all(node, &chunk_prefix(batch)).await {
         Ok((items, _)) => Lookup::Found((record.total, page_of_chunks(node, &items, after))),
         Err(refusal) => Lookup::Unavailable(refusal.message),
     }
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -75,7 +75,7 @@
 
 /// Reads the stored records and shares them with all nodes; returns whether they could be read.
 async fn load_records<P: Platform>(node: &Rc<Node<P>>) -> bool {
-    let Ok((items, _)) = feed::read_whole(node, RECORD_PREFIX).await else { return false };
+    let Ok((items, _)) = feed::read_all(node, RECORD_PREFIX).await else { return false };
     for item in &items {
         match postcard::from_bytes::<Record>(&item.value) {
             Ok(Record { evidence, fingerprint }) => {
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -324,7 +324,7 @@
 }
 
 /// Reads all keys under a prefix. Returns them with the revision after which to watch.
-pub(crate) async fn read_whole<P: Platform>(
+pub(crate) async fn read_all<P: Platform>(
     node: &Node<P>,
     prefix: &str,
 ) -> Result<(Vec<StoredItem>, u64), StoreRefusal> {
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -215,7 +215,7 @@
     if items.iter().any(|item| item.key != own_key) {
         return Ok(items);
     }
-    feed::read_whole(node, NODES).await.map(|(items, _)| items)
+    feed::read_all(node, NODES).await.map(|(items, _)| items)
 }
 
 async fn reload_on_signal<P: Platform>(node: Rc<Node<P>>) {
