--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -286,11 +286,11 @@
 
 fn apply_update<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = update;
-    let witness = witness(node, source);
+    let confirmation_source = confirmation_source(node, source);
     let events = {
         let mut state = node.feeds.of(subject).state.borrow_mut();
         if let Some(at) = confirmed_at {
-            state.freshness.confirm(at, witness);
+            state.freshness.confirm(at, confirmation_source);
         }
         // A later update was applied meanwhile; older changes could restore deleted keys.
         if as_of < state.as_of { Vec::new() } else { state.apply(events, as_of) }
@@ -307,7 +307,7 @@
     }
 }
 
-fn witness<P: Platform>(node: &Node<P>, source: Source) -> ConfirmationSource {
+fn confirmation_source<P: Platform>(node: &Node<P>, source: Source) -> ConfirmationSource {
     match source {
         Source::Store => ConfirmationSource::OwnCall,
         Source::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
