--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -135,8 +135,8 @@
         return 0;
     }
     let rank = peers::rank_for(node, DUTY).unwrap_or(0);
-    let looks_at = state.freshness.next_read_at(rank, node.settings().change_bound);
-    looks_at.since_ms(clock::now())
+    let next_read_at = state.freshness.next_read_at(rank, node.settings().change_bound);
+    next_read_at.since_ms(clock::now())
 }
 
 const fn prefix<P: Platform>(subject: Subject) -> &'static str {
