--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -44,7 +44,7 @@
     lease: Cell<Option<LeaseId>>,
     record: HolderRecord,
     stepped_down_until: Cell<UnixMs>,
-    tenure: RefCell<LeaseClaim>,
+    claim: RefCell<LeaseClaim>,
 }
 
 impl DutyLease {
@@ -57,7 +57,7 @@
         let me = peers::me(node)?;
         let record = HolderRecord { incarnation: me.incarnation, node: me.node };
         let settings = node.settings();
-        let tenure = LeaseClaim::open_with(
+        let claim = LeaseClaim::open_with(
             record.clone(),
             LeaseSettings {
                 margin_ms: LEASE_MARGIN_MS,
@@ -77,18 +77,18 @@
             lease: Cell::new(None),
             record,
             stepped_down_until: Cell::new(UnixMs(0)),
-            tenure: RefCell::new(tenure),
+            claim: RefCell::new(claim),
         }))
     }
 
     /// Returns the fencing number while the duty is held.
     pub(crate) fn fence(&self, now: UnixMs) -> Option<Fence> {
-        self.tenure.borrow().fence(now)
+        self.claim.borrow().fence(now)
     }
 
     /// Returns the fencing number while the duty is held and its calls may be sent.
     pub(crate) fn order_fence(&self, now: UnixMs) -> Option<Fence> {
-        self.tenure.borrow().order_fence(now)
+        self.claim.borrow().order_fence(now)
     }
 
     /// Borrows the key whose revision is the fencing number.
@@ -103,7 +103,7 @@
             self.held_since_start.set(true);
         }
         let wanted = self.is_wanted(node, now);
-        let (action, change) = self.tenure.borrow_mut().tick(now, wanted);
+        let (action, change) = self.claim.borrow_mut().tick(now, wanted);
         self.announce_change(node, change);
         if let Some(action) = action {
             let (duty_lease, node) = (Rc::clone(self), Rc::clone(node));
@@ -169,7 +169,7 @@
             }
         };
         let now = clock::now();
-        let change = self.tenure.borrow_mut().report(now, &report);
+        let change = self.claim.borrow_mut().report(now, &report);
         self.announce_change(node, change);
         if change.is_some() {
             let at_once = self.order_fence(now).is_some();
