--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -61,8 +61,8 @@
     /// How each service's targets were shared among models when that was last logged.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
     lease: Rc<DutyLease>,
-    /// The store instances that were reported as drained, each with the revision of the request. A
-    /// new request for the same instance needs a new report.
+    /// The store instances that were reported as drained, each with the revision of the request. An
+    /// instance may be drained again, and its earlier report is gone by then.
     drained: RefCell<IndexMap<String, u64>>,
 }
 
