--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -115,8 +115,8 @@
     window_counts: Vec<WindowCounts>,
 ) {
     let mut ledger = node.usage.ledger.borrow_mut();
-    for counts in window_counts {
-        ledger.record(source, counts);
+    for table in window_counts {
+        ledger.record(source, table);
     }
 }
 
@@ -127,18 +127,18 @@
 impl Confirmed {
     /// Returns the counts that the receiver has not confirmed yet.
     fn updates(&self, window_counts: &[WindowCounts]) -> Vec<WindowCounts> {
-        let updates = window_counts.iter().filter_map(|counts| {
-            let Some(held) = self.0.get(&counts.window) else { return Some(counts.clone()) };
+        let updates = window_counts.iter().filter_map(|table| {
+            let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
             let is_new =
                 |workspace: &String, count: &u64| held.counts.get(workspace) != Some(count);
-            let counts: BTreeMap<String, u64> = counts
+            let counts: BTreeMap<String, u64> = table
                 .counts
                 .iter()
                 .filter(|(workspace, count)| is_new(workspace, count))
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
-            let is_update = !counts.is_empty() || counts.complete != held.complete;
-            is_update.then(|| WindowCounts { counts, ..counts.clone() })
+            let is_update = !counts.is_empty() || table.complete != held.complete;
+            is_update.then(|| WindowCounts { counts, ..table.clone() })
         });
         updates.collect()
     }
@@ -173,7 +173,7 @@
         }
         while let Some(done) = calls.join_next().await {
             if let Ok(Some(to)) = done {
-                let held = window_counts.iter().map(|counts| (counts.window, counts.clone()));
+                let held = window_counts.iter().map(|table| (table.window, table.clone()));
                 confirmed.insert(to, Confirmed(held.collect()));
             }
         }
