--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -188,7 +188,7 @@
     may_wait: bool,
 ) -> Option<BTreeMap<String, u64>> {
     let alive = peers::usage_sources(node);
-    let (counts, missing, tellers) = {
+    let (counts, missing, source_count) = {
         let ledger = node.usage.ledger.borrow();
         let missing = ledger.missing(window, &alive);
         let missing: Vec<UsageSource> = missing.into_iter().cloned().collect();
@@ -210,7 +210,7 @@
     node.note(
         "usage_closed",
         json!({
-            "window": window.0, "outcome": outcome, "fence": fence.0, "tellers": tellers,
+            "window": window.0, "outcome": outcome, "fence": fence.0, "tellers": source_count,
             "alive": alive.len(), "missing": missing, "clocks": node.usage.clock_count(),
             "total": found.as_ref().map(|counts| counts.values().sum::<u64>()),
         }),
