--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -115,8 +115,8 @@
 fn plan<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let Some(document) = node.document() else { return };
     let now = clock::now();
-    for (service, terms) in &document.services {
-        let Some(engine) = &terms.engine else { continue };
+    for (service, config) in &document.services {
+        let Some(engine) = &config.engine else { continue };
         let targets: Vec<RolloutTarget> = node
             .targets
             .borrow()
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -44,13 +44,13 @@
             services.clear();
             continue;
         }
-        for (name, terms) in scaled(&node) {
+        for (name, config) in scaled(&node) {
             if !services.contains_key(&name) {
                 let Some(service) = open(&node, &name).await else { continue };
                 services.insert(name.clone(), service);
             }
             let Some(service) = services.get_mut(&name) else { continue };
-            service.plan(&node, &lease, &duties, &name, terms).await;
+            service.plan(&node, &lease, &duties, &name, config).await;
         }
     }
 }
@@ -58,8 +58,8 @@
 /// Returns the services whose targets are ordered, with their scaling settings.
 fn scaled<P: Platform>(node: &Node<P>) -> Vec<(String, ScalingConfig)> {
     let Some(document) = node.document() else { return Vec::new() };
-    let scaled = document.services.iter().filter_map(|(name, terms)| {
-        let scaling = terms.scaling?;
+    let scaled = document.services.iter().filter_map(|(name, config)| {
+        let scaling = config.scaling?;
         Some((name.clone(), scaling))
     });
     scaled.collect()
@@ -101,10 +101,10 @@
         lease: &DutyLease,
         duties: &DutySettings,
         name: &str,
-        terms: ScalingConfig,
+        config: ScalingConfig,
     ) {
         let serving = serving(node, name);
-        let orders = self.scaling.plan(clock::now(), terms, &serving);
+        let orders = self.scaling.plan(clock::now(), config, &serving);
         if !self.written
             && let Some(wanted) = self.scaling.desired()
         {
