--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct Holder {
     /// Orders that each target has accepted, by target id, as far as known.
-    accepted: RefCell<IndexMap<String, Accepted>>,
+    accepted: RefCell<IndexMap<String, AcceptedOrders>>,
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when that was last logged.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
@@ -68,7 +68,7 @@
 
 /// Orders that a target has accepted in one incarnation.
 #[derive(Clone, Copy, Debug)]
-struct Accepted {
+struct AcceptedOrders {
     started_at_unix_ms: Option<u64>,
     orders: u64,
 }
@@ -84,7 +84,7 @@
     fn record_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
         self.accepted
             .borrow_mut()
-            .insert(target.to_owned(), Accepted { started_at_unix_ms, orders });
+            .insert(target.to_owned(), AcceptedOrders { started_at_unix_ms, orders });
     }
 }
 
