--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -135,8 +135,8 @@
         return 0;
     }
     let rank = peers::rank_for(node, DUTY).unwrap_or(0);
-    let looks_at = state.freshness.next_read_at(rank, node.settings().change_bound);
-    looks_at.since_ms(clock::now())
+    let next_read_at = state.freshness.next_read_at(rank, node.settings().change_bound);
+    next_read_at.since_ms(clock::now())
 }
 
 const fn prefix<P: Platform>(subject: Subject) -> &'static str {
@@ -286,14 +286,14 @@
 
 fn apply_update<P: Platform>(node: &Node<P>, subject: Subject, update: FeedUpdate) {
     let FeedUpdate { after_outage, as_of, confirmed_at, events, source } = update;
-    let witness = witness(node, source);
+    let confirmation_source = confirmation_source(node, source);
     let events = {
         let mut state = node.feeds.of(subject).state.borrow_mut();
         if let Some(at) = confirmed_at {
-            state.freshness.confirm(at, witness);
+            state.freshness.confirm(at, confirmation_source);
         }
         // A later update was applied meanwhile; older changes could restore deleted keys.
-        if as_of < state.as_of { Vec::new() } else { state.take(events, as_of) }
+        if as_of < state.as_of { Vec::new() } else { state.apply(events, as_of) }
     };
     match subject {
         Subject::Operators => {
@@ -307,7 +307,7 @@
     }
 }
 
-fn witness<P: Platform>(node: &Node<P>, source: Source) -> ConfirmationSource {
+fn confirmation_source<P: Platform>(node: &Node<P>, source: Source) -> ConfirmationSource {
     match source {
         Source::Store => ConfirmationSource::OwnCall,
         Source::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
@@ -324,7 +324,7 @@
 }
 
 /// Reads all keys under a prefix. Returns them with the revision after which to watch.
-pub(crate) async fn read_whole<P: Platform>(
+pub(crate) async fn read_all<P: Platform>(
     node: &Node<P>,
     prefix: &str,
 ) -> Result<(Vec<StoredItem>, u64), StoreRefusal> {
@@ -465,9 +465,9 @@
 pub(crate) async fn run_heartbeats<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
-        let gone = node.targets.borrow_mut().expire(clock::now());
-        for change in &gone {
-            node.target_changed(change, "not back after the registry's outage");
+        let expired = node.targets.borrow_mut().expire(clock::now());
+        for change in &expired {
+            node.target_changed(change, "did not register again after an outage of the registry");
         }
         for subject in [Subject::Operators, Subject::Targets] {
             report_age(&node, subject);
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -159,7 +159,7 @@
 
     /// Records that a batch was opened: its work, by which targets are shared among models, and
     /// its time, by which load orders are planned.
-    pub(crate) fn note_demand(&self, model: Option<&str>, work_tokens: u64) {
+    pub(crate) fn record_demand(&self, model: Option<&str>, work_tokens: u64) {
         if let Some(model) = model {
             self.batch_opened_at.borrow_mut().insert(model.to_owned(), clock::now());
             self.demand.borrow_mut().record_batch(model, work_tokens);
@@ -170,8 +170,8 @@
     /// event `after`.
     pub(crate) fn expected_run_ms(&self, item: &Item, after: Option<u64>) -> u64 {
         let run_times = self.run_times.borrow();
-        let whole_ms = run_times.expected_ms(item.expected_tokens());
-        whole_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
+        let full_ms = run_times.expected_ms(item.expected_tokens());
+        full_ms.saturating_sub(after.unwrap_or(0) * EVENT_MS)
     }
 
     pub(crate) fn random_u64(&self) -> u64 {
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the number of clocks behind [`Usage::now`].
-    pub(crate) fn witnesses(&self) -> usize {
+    pub(crate) fn clock_count(&self) -> usize {
         self.time.borrow().clock_count()
     }
 }
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub(crate) struct CountedRequest<P: Platform> {
     node: Rc<Node<P>>,
-    ticket: Option<OpenRequestId>,
+    open_request: Option<OpenRequestId>,
 }
 
 impl<P: Platform> CountedRequest<P> {
@@ -73,14 +73,14 @@
         let at = node.usage.now();
         let mut counts = node.usage.counts.borrow_mut();
         let counts = counts.get_or_insert_with(|| UsageCounts::open(windows));
-        let ticket = Some(counts.request_sent(at, workspace?));
-        Some(Self { node: Rc::clone(node), ticket })
+        let open_request = Some(counts.request_sent(at, workspace?));
+        Some(Self { node: Rc::clone(node), open_request })
     }
 
     /// Records that the target began the request now, not when it was sent.
     pub(crate) fn began_now(mut self) {
         let at = Some(self.node.usage.now());
-        self.settle(|counts, ticket| counts.request_started(ticket, at));
+        self.settle(|counts, open_request| counts.request_started(open_request, at));
     }
 
     /// Records that no target began the request.
@@ -89,16 +89,16 @@
     }
 
     fn settle(&mut self, settle: impl FnOnce(&mut UsageCounts, OpenRequestId)) {
-        let Some(ticket) = self.ticket.take() else { return };
+        let Some(open_request) = self.open_request.take() else { return };
         if let Some(counts) = self.node.usage.counts.borrow_mut().as_mut() {
-            settle(counts, ticket);
+            settle(counts, open_request);
         }
     }
 }
 
 impl<P: Platform> Drop for CountedRequest<P> {
     fn drop(&mut self) {
-        self.settle(|counts, ticket| counts.request_started(ticket, None));
+        self.settle(|counts, open_request| counts.request_started(open_request, None));
     }
 }
 
@@ -115,8 +115,8 @@
     window_counts: Vec<WindowCounts>,
 ) {
     let mut ledger = node.usage.ledger.borrow_mut();
-    for table in window_counts {
-        ledger.record(source, table);
+    for window in window_counts {
+        ledger.record(source, window);
     }
 }
 
@@ -127,18 +127,18 @@
 impl Confirmed {
     /// Returns the counts that the receiver has not confirmed yet.
     fn updates(&self, window_counts: &[WindowCounts]) -> Vec<WindowCounts> {
-        let updates = window_counts.iter().filter_map(|table| {
-            let Some(held) = self.0.get(&table.window) else { return Some(table.clone()) };
+        let updates = window_counts.iter().filter_map(|window| {
+            let Some(held) = self.0.get(&window.window) else { return Some(window.clone()) };
             let is_new =
                 |workspace: &String, count: &u64| held.counts.get(workspace) != Some(count);
-            let counts: BTreeMap<String, u64> = table
+            let counts: BTreeMap<String, u64> = window
                 .counts
                 .iter()
                 .filter(|(workspace, count)| is_new(workspace, count))
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
-            let is_update = !counts.is_empty() || table.complete != held.complete;
-            is_update.then(|| WindowCounts { counts, ..table.clone() })
+            let is_update = !counts.is_empty() || window.complete != held.complete;
+            is_update.then(|| WindowCounts { counts, ..window.clone() })
         });
         updates.collect()
     }
@@ -173,7 +173,7 @@
         }
         while let Some(done) = calls.join_next().await {
             if let Ok(Some(to)) = done {
-                let held = window_counts.iter().map(|table| (table.window, table.clone()));
+                let held = window_counts.iter().map(|window| (window.window, window.clone()));
                 confirmed.insert(to, Confirmed(held.collect()));
             }
         }
--- a/tests/all/processes/configuration.rs
+++ b/tests/all/processes/configuration.rs
@@ -54,8 +54,8 @@
     let winner = if codes[0] == 0 { "timeout_ms = 7000" } else { "timeout_ms = 6000" };
     for node in 0..3 {
         let text = fleet
-            .until("revision 2 is in force", async || {
-                let (_, shown) = fleet.operator("GET", node, "/v1/config", None).await;
+            .poll_until("revision 2 is in force", async || {
+                let (_, shown) = fleet.send_as_operator("GET", node, "/v1/config", None).await;
                 let text = shown["text"].as_str()?.to_owned();
                 (shown["revision"] == 2).then_some(text)
             })
@@ -63,8 +63,8 @@
         assert!(text.contains(winner));
     }
     let results = fleet
-        .until("the audit trail has all three", async || {
-            let (_, audit) = fleet.operator("GET", 2, "/v1/audit", None).await;
+        .poll_until("the audit trail has all three", async || {
+            let (_, audit) = fleet.send_as_operator("GET", 2, "/v1/audit", None).await;
             let entries = audit.as_array()?.clone();
             let text = |entry: &Value, field: &str| entry[field].as_str().map(str::to_owned);
             let results: Vec<String> =
@@ -85,28 +85,28 @@
 async fn a_trainer_that_is_taken_out_is_given_up_and_can_come_back() {
     // Arrange
     let fleet = Fleet::start(&FleetSize { engines: 1, nodes: 2, services: 1 }).await;
-    fleet.owner(0).await;
+    fleet.owner_index(0).await;
     let progress = async || {
         let node = fleet.nodes[1].http;
         let url = format!("http://{node}/v1/trainers/citation-trainer/progress");
         fleet.send("GET", TRAINER, &url, None).await.0
     };
     let served = async || (progress().await == 200).then_some(());
-    fleet.until("the trainer is served", served).await;
+    fleet.poll_until("the trainer is served", served).await;
     let text = document();
     let without = text.split("[[trainers]]").next().expect("the part before").to_owned();
     let apply = async |base: u64, text: &str| {
         let operation = format!("change-{base}");
         let body = json!({ "base_revision": base, "operation_id": operation, "text": text });
-        fleet.operator("PUT", 0, "/v1/config", Some(&body)).await.0
+        fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await.0
     };
 
     // Act, assert
     assert_eq!(apply(1, &without).await, 200);
     let unknown = async || (progress().await == 404).then_some(());
-    fleet.until("the trainer is no longer known", unknown).await;
+    fleet.poll_until("the trainer is no longer known", unknown).await;
     assert_eq!(apply(2, &text).await, 200);
-    fleet.until("the trainer is served again", served).await;
+    fleet.poll_until("the trainer is served again", served).await;
 }
 
 /// Symptom: a document is put in force twice, or an operator is told "not run" although it was.
@@ -119,21 +119,22 @@
     let text = edited("timeout_ms = 8000", "timeout_ms = 7500");
     let body = json!({ "base_revision": 1, "operation_id": "lost-reply", "text": text });
     // The first write is the body, whose loss is answered at once; the second is the head.
-    fleet.faults(&json!({ "lose_write_replies": 2 })).await;
+    fleet.set_platform_faults(&json!({ "lose_write_replies": 2 })).await;
 
     // Act: the operator repeats the same operation until it is settled.
     let revision = fleet
-        .until("the operation is settled", async || {
-            let (status, answer) = fleet.operator("PUT", 0, "/v1/config", Some(&body)).await;
+        .poll_until("the operation is settled", async || {
+            let (status, answer) =
+                fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then(|| answer["revision"].as_u64())
         })
         .await;
-    let (_, again) = fleet.operator("PUT", 1, "/v1/config", Some(&body)).await;
+    let (_, again) = fleet.send_as_operator("PUT", 1, "/v1/config", Some(&body)).await;
 
     // Assert
     assert_eq!(revision, Some(2));
     assert_eq!(again["revision"].as_u64(), Some(2), "the same operation is the same revision");
-    let (_, history) = fleet.operator("GET", 0, "/v1/config/history", None).await;
+    let (_, history) = fleet.send_as_operator("GET", 0, "/v1/config/history", None).await;
     let operations = history.as_array().expect("a list");
     let ours = operations.iter().filter(|entry| entry["operation_id"] == "lost-reply");
     assert_eq!((operations.len(), ours.count()), (2, 1));
@@ -148,16 +149,16 @@
     let mut fleet = Fleet::start(&FleetSize { engines: 0, nodes: 3, services: 1 }).await;
     let text = edited("timeout_ms = 8000", "timeout_ms = 7000");
     let body = json!({ "base_revision": 1, "operation_id": "second", "text": text });
-    let (status, _) = fleet.operator("PUT", 0, "/v1/config", Some(&body)).await;
+    let (status, _) = fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
     assert_eq!(status, 200);
     for node in 0..3 {
         fleet
-            .until("revision 2 is in force", async || {
+            .poll_until("revision 2 is in force", async || {
                 (fleet.status(node).await["config_revision"] == 2).then_some(())
             })
             .await;
     }
-    fleet.faults(&json!({ "outage": true })).await;
+    fleet.set_platform_faults(&json!({ "outage": true })).await;
 
     // Act
     fleet.start_node(3);
@@ -165,9 +166,9 @@
         let status = fleet.status(3).await;
         (status["ready"] == true).then(|| status["config_revision"].as_u64())
     };
-    let revision = fleet.until("the new node is ready", ready).await;
+    let revision = fleet.poll_until("the new node is ready", ready).await;
     let (called, _) = fleet.call(3, "/progress", "during-outage", None).await;
-    let (refused, answer) = fleet.operator("PUT", 3, "/v1/config", Some(&body)).await;
+    let (refused, answer) = fleet.send_as_operator("PUT", 3, "/v1/config", Some(&body)).await;
 
     // Assert: it serves, and refuses truthfully what needs the service.
     assert_eq!(revision, Some(2));
