--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -18,7 +18,8 @@
 }
 
 fn workspaces() -> Workspaces {
-    Workspaces::open([config("hule930", &[KEY]), config("fida11", &["another"])]).expect("they fit")
+    Workspaces::open([config("hule930", &[KEY]), config("fida11", &["another"])])
+        .expect("valid workspaces")
 }
 
 const fn view(age_ms: Option<u64>) -> ViewAge {
--- a/tests/all/dispatch/batch.rs
+++ b/tests/all/dispatch/batch.rs
@@ -120,7 +120,8 @@
 
     assert_eq!(ours.results.len(), 2);
     assert_eq!(merged, Merge::Foreign);
-    let next = batch.chunk_to_write(LATE, usize::MAX).cloned().expect("what is left");
+    let next =
+        batch.chunk_to_write(LATE, usize::MAX).cloned().expect("a chunk of the remaining results");
     assert_eq!(next, Chunk { number: 1, results: vec![result("i0")] });
     assert_eq!(batch.merge(&next), Merge::Ours);
     let listed: Vec<&str> = batch.page(0, usize::MAX).iter().map(|r| r.id.as_str()).collect();
@@ -149,7 +150,7 @@
 
     batch.record_result(UnixMs(20), result("i1"));
 
-    let chunk = batch.chunk_to_write(UnixMs(20), usize::MAX).cloned().expect("a whole group");
+    let chunk = batch.chunk_to_write(UnixMs(20), usize::MAX).cloned().expect("a complete group");
     assert_eq!(chunk, Chunk { number: 0, results: vec![result("i0"), result("i1")] });
 }
 
@@ -162,7 +163,7 @@
     assert_eq!(batch.next_listing_at(), Some(UnixMs(8_800)));
     assert_eq!(batch.chunk_to_write(UnixMs(8_799), usize::MAX), None);
     let chunk = batch.chunk_to_write(UnixMs(8_800), usize::MAX).expect("a chunk");
-    assert_eq!(chunk.results, [result("i0"), result("i2")], "one write for all that is there");
+    assert_eq!(chunk.results, [result("i0"), result("i2")], "a single write lists all results");
 }
 
 // Guards against a step that ends half a second after its last group, although the last groups
@@ -177,10 +178,10 @@
     assert_eq!(first.results.len(), 14, "groups that are not among the last are listed at once");
 
     finish_groups(&mut batch, UnixMs(5_000), 7..8);
-    assert_eq!(batch.chunk_to_write(UnixMs(5_500), usize::MAX), None, "one more is waited for");
+    assert_eq!(batch.chunk_to_write(UnixMs(5_500), usize::MAX), None, "waits for the last group");
     finish_groups(&mut batch, UnixMs(6_000), 8..9);
 
-    let last = batch.chunk_to_write(UnixMs(6_000), usize::MAX).expect("all that is waited for");
+    let last = batch.chunk_to_write(UnixMs(6_000), usize::MAX).expect("a chunk of the last groups");
     assert_eq!(last.results.len(), 4);
 }
 
@@ -262,9 +263,9 @@
         indices.into_iter().map(|index| batch.submission().items[index].id.clone()).collect()
     };
 
-    assert_eq!(of(&batch, 3_749, 3), Vec::<String>::new(), "most may still be short");
-    assert_eq!(of(&batch, 3_750, 3), ["a", "b", "c"], "one group is left: three may be it");
-    assert_eq!(of(&batch, 3_750, 5), Vec::<String>::new(), "their texts fit the later step");
+    assert_eq!(of(&batch, 3_749, 3), Vec::<String>::new(), "too early for second runs");
+    assert_eq!(of(&batch, 3_750, 3), ["a", "b", "c"], "one surplus group: three candidates");
+    assert_eq!(of(&batch, 3_750, 5), Vec::<String>::new(), "the later step accepts their texts");
     batch.end();
     assert_eq!(of(&batch, 3_750, 3), Vec::<String>::new());
 }
@@ -296,7 +297,7 @@
     for id in ["i0", "i1"] {
         batch.record_result(UnixMs(0), result(id));
     }
-    let listed = batch.chunk_to_write(UnixMs(0), usize::MAX).cloned().expect("a whole group");
+    let listed = batch.chunk_to_write(UnixMs(0), usize::MAX).cloned().expect("a complete group");
     batch.merge(&listed);
     batch.record_result(UnixMs(0), result("i2"));
 
--- a/tests/all/dispatch/copies.rs
+++ b/tests/all/dispatch/copies.rs
@@ -12,8 +12,8 @@
     (item.to_owned(), progress)
 }
 
-fn bytes(news: &[TextUpdate]) -> usize {
-    news.iter().map(|news| news.progress.text.len()).sum()
+fn bytes(updates: &[TextUpdate]) -> usize {
+    updates.iter().map(|update| update.progress.text.len()).sum()
 }
 
 #[test]
@@ -22,9 +22,9 @@
     let mut sent_bytes = 0;
 
     for events in [3, 8, 8, 20] {
-        let news = sent.updates(&[text("a", 1..=events, "r"), text("b", 1..=2, "r")]);
-        sent_bytes += bytes(&news);
-        assert!(copy.apply(news));
+        let updates = sent.updates(&[text("a", 1..=events, "r"), text("b", 1..=2, "r")]);
+        sent_bytes += bytes(&updates);
+        assert!(copy.apply(updates));
     }
 
     let expected = [text("a", 1..=20, "r"), text("b", 1..=2, "r")];
@@ -68,8 +68,8 @@
         let mut run = 0;
         for (events, restarts, is_lost) in steps {
             run += u64::from(restarts);
-            let news = sent.updates(&[text("a", 1..=events, &format!("run{run}"))]);
-            if !is_lost && !copy.apply(news) {
+            let updates = sent.updates(&[text("a", 1..=events, &format!("run{run}"))]);
+            if !is_lost && !copy.apply(updates) {
                 sent.forget();
             }
         }
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -66,18 +66,18 @@
     /// Handles an answer of the store and reports it to all other nodes.
     fn answered(&mut self, rank: usize, read: u64) {
         let now = self.now;
-        let began_at = UnixMs(now.since_ms(UnixMs(CALL_MS)));
+        let sent_at = UnixMs(now.since_ms(UnixMs(CALL_MS)));
         let sender = &mut self.nodes[rank];
         sender.known = sender.known.max(read);
-        sender.freshness.confirm(began_at, ConfirmationSource::OwnCall);
+        sender.freshness.confirm(sent_at, ConfirmationSource::OwnCall);
         let Some(age_ms) = sender.freshness.reportable_age_ms(now, BOUND) else { return };
         for (other, node) in self.nodes.iter_mut().enumerate().filter(|(other, _)| *other != rank) {
-            let witness = if rank < other {
+            let confirmed_by = if rank < other {
                 ConfirmationSource::EarlierRank
             } else {
                 ConfirmationSource::LaterRank
             };
-            node.freshness.confirm(UnixMs(now.since_ms(UnixMs(age_ms))), witness);
+            node.freshness.confirm(UnixMs(now.since_ms(UnixMs(age_ms))), confirmed_by);
             node.known = node.known.max(read);
         }
     }
@@ -94,13 +94,13 @@
     all_but_one_of_three_hundred = { 320, 319 },
     all_but_one_of_a_thousand = { 1_000, 999 },
 )]
-fn a_change_is_known_in_time_whichever_nodes_lose_the_store(size: usize, cut: usize) {
+fn a_change_is_known_in_time_whichever_nodes_lose_the_store(size: usize, lost: usize) {
     let mut fleet = Fleet::open(size);
     // The failure may come at any moment between two answers.
     for lost_after_ms in [0, 300, 700, 999] {
         let lost_at = fleet.now.plus(10_000 + lost_after_ms);
         fleet.run_until(lost_at);
-        for node in &mut fleet.nodes[..cut] {
+        for node in &mut fleet.nodes[..lost] {
             node.reaches_store = false;
             node.call = None;
         }
@@ -109,7 +109,10 @@
         fleet.run_until(lost_at.plus(BOUND.as_ms()));
 
         for (rank, node) in fleet.nodes.iter().enumerate() {
-            assert_eq!(node.known, fleet.stored, "rank {rank}, cut off after {lost_after_ms} ms");
+            assert_eq!(
+                node.known, fleet.stored,
+                "rank {rank}, disconnected after {lost_after_ms} ms"
+            );
         }
         for node in &mut fleet.nodes {
             node.reaches_store = true;
@@ -178,7 +181,7 @@
 
     assert!(!view.should_watch(UnixMs(1_300), 2, BOUND));
     assert!(view.should_watch(UnixMs(1_200 + BOUND.stale_ms()), 2, BOUND));
-    assert!(view.should_watch(UnixMs(1_300), 1, BOUND), "a watcher watches whoever else does");
+    assert!(view.should_watch(UnixMs(1_300), 1, BOUND), "a watcher watches regardless of others");
 }
 
 #[test]
@@ -199,5 +202,8 @@
 
     assert_eq!(view.next_wait_ms(UnixMs(1_000), BOUND), BOUND.wait_ms());
     assert_eq!(view.next_wait_ms(UnixMs(1_400), BOUND), BOUND.wait_ms() - 400);
-    assert!(view.next_wait_ms(UnixMs(9_000), BOUND) > 0, "a slow store is not asked in a loop");
+    assert!(
+        view.next_wait_ms(UnixMs(9_000), BOUND) > 0,
+        "a slow store is not polled without pause"
+    );
 }
--- a/tests/all/dispatch/lookahead.rs
+++ b/tests/all/dispatch/lookahead.rs
@@ -19,7 +19,7 @@
     lookahead.batch_opened("m", 4, [3].into_iter());
     lookahead.batch_opened("m", 5, std::iter::empty());
 
-    assert_eq!(lookahead.next_oldest_version("m", 7), 9, "one step that was late does not count");
+    assert_eq!(lookahead.next_oldest_version("m", 7), 9, "a single late step does not count");
 }
 
 #[test]
--- a/tests/all/dispatch/rollout.rs
+++ b/tests/all/dispatch/rollout.rs
@@ -58,7 +58,7 @@
     for order in &orders {
         *by_model.entry(order.model.clone()).or_insert(0) += 1;
     }
-    assert_eq!(orders.len(), 9, "no load beyond one for each target");
+    assert_eq!(orders.len(), 9, "one load for each target");
     assert!(by_model.values().all(|count| *count == 3), "{by_model:?}");
 }
 
--- a/tests/all/dispatch/targets.rs
+++ b/tests/all/dispatch/targets.rs
@@ -106,7 +106,7 @@
     }
 
     assert_eq!(for_model(&table, "x", 1, 4).len(), 6);
-    assert!(for_model(&table, "x", 2, 4).is_empty(), "none is new enough");
+    assert!(for_model(&table, "x", 2, 4).is_empty(), "no version is recent enough");
 }
 
 // Guards against a target that receives no work after a restart under its id. It drains, ends and
@@ -197,7 +197,7 @@
         let mut table = TargetTable::default();
         let mut listed = std::collections::BTreeMap::new();
         for (sequence, (number, has_start, is_removed)) in (1_u64..).zip(steps) {
-            let id = format!("{}{number}", if has_start { "born-" } else { "silent-" });
+            let id = format!("{}{number}", if has_start { "started-" } else { "without-" });
             if is_removed {
                 table.apply_removal(UnixMs(0), &id, false);
                 listed.remove(&id);
--- a/tests/all/dispatch/wait_queue.rs
+++ b/tests/all/dispatch/wait_queue.rs
@@ -95,7 +95,8 @@
 
 // Guards against refusing callers of small workspaces while one workspace sends most requests. One
 // of 72 workspaces sends ten times as much as all others together, and the targets can serve a
-// quarter of it all. In no order, only a quarter of the others' requests are served.
+// quarter of it all. In no order, only a quarter of the others' requests are served; in fair order,
+// all are.
 #[test]
 fn a_workspace_that_sends_ten_times_as_much_as_all_others_does_not_starve_them() {
     let senders = senders(72, 1, 710);
@@ -107,7 +108,7 @@
     assert!(least_share(&without[1..]) < 0.5, "{}", least_share(&without[1..]));
     assert!(least_share(&with[1..]) > 0.9, "{}", least_share(&with[1..]));
     let served = |results: &[Served]| results.iter().map(|result| result.served).sum::<u64>();
-    assert!(served(&with) * 100 >= served(&without) * 98, "no slot is left empty for it");
+    assert!(served(&with) * 100 >= served(&without) * 98, "fairness leaves no slot empty");
 }
 
 // Guards against a workspace that gets less than a quarter of the mean while one of 72 sends ten
@@ -130,7 +131,7 @@
 #[test]
 fn the_more_urgent_workspace_is_served_more_often_and_the_other_is_served_too() {
     let sender = |name: &str, priority| Sender { name: name.to_owned(), per_s: 100, priority };
-    let senders = [sender("urgent", 0), sender("patient", 2)];
+    let senders = [sender("urgent", 0), sender("relaxed", 2)];
 
     let results = simulate(&senders, 2, true);
 
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -75,7 +75,7 @@
     let expected = TargetOrder { count: 15, pool: pool("a") };
     assert!(orders.iter().all(|(_, order)| *order == expected), "{orders:?}");
     let at: Vec<u64> = orders.iter().map(|(at_ms, _)| *at_ms).collect();
-    assert_eq!(at, [5_500, 13_500, 21_500], "not again while they start");
+    assert_eq!(at, [5_500, 13_500, 21_500], "not ordered again while they start");
 }
 
 // Guards against one target too many for each target that the operators replace.
