--- a/tests/all/processes/broken_network.rs
+++ b/tests/all/processes/broken_network.rs
@@ -12,8 +12,10 @@
     for (number, (_, address)) in fleet.services.iter().enumerate() {
         let near = "127.0.0.1:0".parse().expect("an address");
         let forwarder = Forwarder::spawn(near, *address).await.expect("a forwarder");
-        fleet.list(&format!("service-{number}"), "service", *address, "gone").await;
-        fleet.list(&format!("behind-{number}"), "service", forwarder.address(), "live").await;
+        fleet.set_instance(&format!("service-{number}"), "service", *address, "gone").await;
+        fleet
+            .set_instance(&format!("behind-{number}"), "service", forwarder.address(), "live")
+            .await;
         forwarders.push(forwarder);
     }
     let known = async || {
@@ -23,7 +25,7 @@
             targets.iter().filter(|t| t["name"].as_str().is_some_and(|n| n.starts_with("behind")));
         (all.count() == count as usize && targets.len() == count as usize).then_some(())
     };
-    fleet.until("the node knows the forwarders", known).await;
+    fleet.poll_until("the node knows the forwarders", known).await;
     (fleet, forwarders)
 }
 
@@ -54,7 +56,7 @@
     // Assert
     assert_eq!((status, verdict(&body).as_str()), (502, "may_have_run"), "{body}");
     assert_eq!(after, 200, "the target is used again");
-    assert!(fleet.runs("/award", "held").await <= 1);
+    assert!(fleet.count_runs("/award", "held").await <= 1);
 }
 
 /// Symptom: a lookup fails although another target could have answered it.
@@ -87,7 +89,7 @@
     assert_eq!(lookup, 200, "{answer}");
     assert_eq!(answer, catkinmast_standin::answer_of("/progress", "cut"));
     assert_eq!((act, verdict(&problem).as_str()), (502, "may_have_run"), "{problem}");
-    assert_eq!(fleet.runs("/award", "cut").await, 1);
+    assert_eq!(fleet.count_runs("/award", "cut").await, 1);
 }
 
 /// Symptom: the answer to one call is given to another.
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -47,7 +47,7 @@
 
     async fn until_done(&self, method: &str, path: &str, body: Option<&Value>) {
         self.fleet
-            .until(path, async || {
+            .poll_until(path, async || {
                 let (status, text) = self.send(method, path, body).await;
                 assert!(status != 400 && status != 422, "{path}: {text}");
                 (200..300).contains(&status).then_some(())
@@ -79,7 +79,7 @@
         let body = json!({ "at_version": self.version });
         let samples = self
             .fleet
-            .until("the batch is claimed", async || {
+            .poll_until("the batch is claimed", async || {
                 let (status, text) = self.send("GET", &path, None).await;
                 if status == 410 {
                     return Some(None);
@@ -164,7 +164,7 @@
 async fn killing_the_owner_in_the_middle_of_a_step_loses_and_doubles_nothing() {
     // Arrange
     let fleet = Fleet::start(&size()).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
     let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
 
@@ -175,7 +175,7 @@
     trainer.take_steps(next, 2).await;
 
     // Assert: every sample was checked as it was claimed.
-    assert_ne!(fleet.owner(other).await, owner);
+    assert_ne!(fleet.owner_index(other).await, owner);
 }
 
 /// Symptom: a planned stop costs a trainer its samples, or the stop never ends.
@@ -186,15 +186,15 @@
 async fn stopping_the_owner_hands_its_trainer_over_and_ends_in_order() {
     // Arrange: slow engines, so that the stop meets the step in its middle.
     let mut fleet = Fleet::start_with(&size(), &["--tick-ms", "40"], &[]).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
     let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
 
     // Act
     fleet.nodes[owner].process.signal("TERM");
     fleet
-        .until("another node owns the trainer", async || {
-            (fleet.owner(other).await != owner).then_some(())
+        .poll_until("another node owns the trainer", async || {
+            (fleet.owner_index(other).await != owner).then_some(())
         })
         .await;
     let next = trainer.take_steps(2, 1).await;
@@ -213,15 +213,15 @@
 async fn an_owner_paused_past_its_lease_changes_nothing_when_it_wakes() {
     // Arrange
     let fleet = Fleet::start(&size()).await;
-    let owner = fleet.owner(0).await;
+    let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
     let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
 
     // Act: the pause ends only when another node has taken the trainer over.
     fleet.nodes[owner].process.signal("STOP");
     fleet
-        .until("another node owns the trainer", async || {
-            (fleet.owner(other).await != owner).then_some(())
+        .poll_until("another node owns the trainer", async || {
+            (fleet.owner_index(other).await != owner).then_some(())
         })
         .await;
     let next = trainer.take_steps(2, 1).await;
@@ -232,8 +232,8 @@
     // Assert: the woken node knows its successor, and the trainer can go on through it.
     assert!(next > 1);
     fleet
-        .until("the woken node knows the new owner", async || {
-            (fleet.owner(owner).await != owner).then_some(())
+        .poll_until("the woken node knows the new owner", async || {
+            (fleet.owner_index(owner).await != owner).then_some(())
         })
         .await;
     trainer.node = owner;
@@ -256,7 +256,7 @@
         let progress: Value = serde_json::from_str(&text).ok()?;
         (progress["samples_running"].as_u64()? > 0).then_some(())
     };
-    fleet.until("samples run", running).await;
+    fleet.poll_until("samples run", running).await;
 
     // Act
     fleet.engines[0].0.signal("KILL");
@@ -293,13 +293,13 @@
 async fn an_answer_without_its_last_line_is_not_a_sample() {
     // Arrange: the emptiest engine is always the one that says nothing.
     let fleet = Fleet::start(&size()).await;
-    fleet.list("engine-silent", "engine", silent_engine(), "live").await;
+    fleet.set_instance("engine-silent", "engine", silent_engine(), "live").await;
     let mut trainer = Trainer::register(&fleet, 0).await;
     let targets = async || {
         let status = fleet.status(0).await;
         (status["targets"].as_array().map_or(0, Vec::len) == 6).then_some(())
     };
-    fleet.until("the engine is known", targets).await;
+    fleet.poll_until("the engine is known", targets).await;
 
     // Act
     trainer.submit(1).await;
@@ -316,8 +316,8 @@
 async fn a_slow_key_value_service_slows_a_step_and_no_more() {
     // Arrange
     let fleet = Fleet::start(&size()).await;
-    let owner = fleet.owner(0).await;
-    fleet.faults(&json!({ "slow_ms": 700 })).await;
+    let owner = fleet.owner_index(0).await;
+    fleet.set_platform_faults(&json!({ "slow_ms": 700 })).await;
 
     // Act
     let mut trainer = Trainer::register(&fleet, 0).await;
@@ -327,7 +327,7 @@
 
     // Assert
     assert_eq!(call, 200);
-    assert_eq!(fleet.owner(0).await, owner, "nobody had to take over");
+    assert_eq!(fleet.owner_index(0).await, owner, "nobody had to take over");
 }
 
 /// Symptom: a batch is used twice, or a claim is lost.
@@ -342,14 +342,14 @@
     trainer.submit(1).await;
 
     // Act
-    fleet.faults(&json!({ "lose_write_replies": 3 })).await;
+    fleet.set_platform_faults(&json!({ "lose_write_replies": 3 })).await;
     assert!(trainer.take(1).await);
-    fleet.faults(&json!({ "outage": true })).await;
+    fleet.set_platform_faults(&json!({ "outage": true })).await;
     let (status, body) =
         trainer.send("POST", "/batches/2/claim", Some(&json!({ "at_version": 0 }))).await;
     let (call, _) = fleet.call(1, "/progress", "during-outage", None).await;
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
-    fleet.faults(&json!({})).await;
+    fleet.set_platform_faults(&json!({})).await;
     trainer.take_steps(2, 1).await;
 
     // Assert: application calls went on; the claim was refused, or its outcome left open, but it
