--- a/crates/node/src/api/operator.rs
+++ b/crates/node/src/api/operator.rs
@@ -166,7 +166,7 @@
     let shared = &asking.shared;
     let name: Name = node.parse().map_err(|error| Problem::invalid("node", format!("{error}")))?;
     if name == *shared.me() {
-        shared.drain_wanted.notify_one();
+        shared.drain_requested.notify_one();
     } else {
         let snapshot = shared.snapshot();
         let Some(found) = snapshot.node(&name) else {
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -255,7 +255,7 @@
             PeerReply::Copied(crate::edge::content::copy_elsewhere(shared, &key, &avoid).await)
         }
         PeerRequest::Drain => {
-            shared.drain_wanted.notify_one();
+            shared.drain_requested.notify_one();
             PeerReply::Done
         }
         PeerRequest::Fetch { key } => {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -84,7 +84,7 @@
             clock: Clock::start(),
             control,
             datagrams_waiting: AtomicUsize::new(0),
-            drain_wanted: Notify::new(),
+            drain_requested: Notify::new(),
             holdings: Mutex::new(Holdings::default()),
             in_progress: AtomicUsize::new(0),
             incarnation,
@@ -135,8 +135,8 @@
     }
 
     /// Waits until an operator has asked this node to leave.
-    pub async fn drain_wanted(&self) {
-        self.shared.drain_wanted.notified().await;
+    pub async fn drain_requested(&self) {
+        self.shared.drain_requested.notified().await;
     }
 
     /// Leaves: vanishes from answers about addresses at once, serves until the last answer that
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -70,7 +70,7 @@
     pub clock: Clock,
     pub control: SocketAddr,
     pub datagrams_waiting: AtomicUsize,
-    pub drain_wanted: Notify,
+    pub drain_requested: Notify,
     pub holdings: Mutex<Holdings>,
     /// Requests of callers and runs for other owners that a planned stop waits for.
     pub in_progress: AtomicUsize,
--- a/src/bin/catkinmast-node.rs
+++ b/src/bin/catkinmast-node.rs
@@ -60,7 +60,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = node.drain_wanted() => {}
+        () = node.drain_requested() => {}
     }
     log::info!("draining: serving until callers no longer hold this address");
     let report = tokio::select! {
