--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -85,12 +85,12 @@
             None => {}
         }
     };
-    let tell = |event| shared.tell(Input::Rollout { event, trainer: trainer.clone() });
+    let report_event = |event| shared.tell(Input::Rollout { event, trainer: trainer.clone() });
     let pass_on = async {
         while let Some(event) = events.recv().await {
             let ends = event.ends_run();
             for event in owner_events(event, attempt, sample) {
-                tell(event);
+                report_event(event);
             }
             if ends {
                 return true;
@@ -101,7 +101,12 @@
     let ((), ended) = tokio::join!(run, pass_on);
     if !ended {
         // The runner is gone, and its tokens with it.
-        tell(Event::RunFailed { attempt, engine_at_fault: false, partial_kept: false, sample });
+        report_event(Event::RunFailed {
+            attempt,
+            engine_at_fault: false,
+            partial_kept: false,
+            sample,
+        });
     }
 }
 
