--- a/crates/node/src/api/operator.rs
+++ b/crates/node/src/api/operator.rs
@@ -189,7 +189,7 @@
     let name: Name =
         target.parse().map_err(|error| Problem::invalid("target", format!("{error}")))?;
     let (reply, known) = oneshot::channel();
-    asking.shared.tell(Input::DrainTarget { reply, target: name });
+    asking.shared.send_input(Input::DrainTarget { reply, target: name });
     if known.await != Ok(true) {
         return Err(Problem::with_status(404, format!("target '{target}' is not known")));
     }
--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -133,7 +133,7 @@
             FollowerEvent::HeadUnavailable
         }
     };
-    shared.tell(Input::Follow(event));
+    shared.send_input(Input::Follow(event));
 }
 
 async fn ask_peers(shared: Arc<Shared>, peers: Vec<SocketAddr>) {
@@ -151,7 +151,7 @@
             }
         }
     }
-    shared.tell(Input::Follow(FollowerEvent::PeersAnswered { answers, newest }));
+    shared.send_input(Input::Follow(FollowerEvent::PeersAnswered { answers, newest }));
 }
 
 async fn watch(shared: Arc<Shared>, after_version: u64) {
@@ -162,7 +162,7 @@
             (None, false)
         }
     };
-    shared.tell(Input::Follow(FollowerEvent::WatchEnded { head, succeeded }));
+    shared.send_input(Input::Follow(FollowerEvent::WatchEnded { head, succeeded }));
 }
 
 async fn fetch_body(
@@ -197,7 +197,7 @@
             None
         }
     });
-    shared.tell(match body {
+    shared.send_input(match body {
         Some(body) => Input::Body(Box::new(body)),
         None => Input::Follow(FollowerEvent::BodyMissing),
     });
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -298,7 +298,7 @@
         flight.finish(failure.outcome);
         log::debug!("request {id}: target {target}: {} ({})", failure.message, failure.verdict);
         if failure.leaving {
-            shared.tell(Input::TargetRefused { target: target.clone() });
+            shared.send_input(Input::TargetRefused { target: target.clone() });
         }
         let may_repeat = call.idempotent || !failure.verdict.may_have_run();
         let can_repeat = matches!(request.body, CallBody::Held(_)) && tried.len() < TRIES_MAX;
--- a/crates/node/src/edge/duties.rs
+++ b/crates/node/src/edge/duties.rs
@@ -27,7 +27,7 @@
         Ok(load) => {
             let version = load.versions.get(model.as_str()).copied().unwrap_or_default();
             let event = Event::EngineVersion { engine, version };
-            shared.tell(Input::Rollout { event, trainer });
+            shared.send_input(Input::Rollout { event, trainer });
         }
         Err(error) => log::debug!("engine {engine} gives no load report: {error}"),
     }
@@ -81,7 +81,7 @@
     if holder.is_none() {
         tokio::time::sleep(COPY_PAUSE).await;
     }
-    shared.tell(Input::Rollout { event: Event::Copied { attempt, holder, sample }, trainer });
+    shared.send_input(Input::Rollout { event: Event::Copied { attempt, holder, sample }, trainer });
 }
 
 pub(crate) async fn find_holdings(shared: Arc<Shared>, trainer: Name) {
@@ -101,5 +101,5 @@
             found.extend(reports);
         }
     }
-    shared.tell(Input::Rollout { event: Event::Holdings(found), trainer });
+    shared.send_input(Input::Rollout { event: Event::Holdings(found), trainer });
 }
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -245,7 +245,7 @@
             PeerReply::Config(held.map(|in_force| in_force.text.clone()))
         }
         PeerRequest::ContentLost { attempt, sample, trainer } => {
-            shared.tell(Input::Rollout {
+            shared.send_input(Input::Rollout {
                 event: catkinmast_rollout::Event::ContentLost { attempt, sample },
                 trainer,
             });
@@ -291,7 +291,7 @@
 /// Hands a trainer's command to the control thread of this node.
 pub(crate) async fn command_here(shared: &Shared, trainer: Name, command: Command) -> Reply {
     let (reply, answered) = oneshot::channel();
-    shared.tell(Input::Command { command, reply, trainer });
+    shared.send_input(Input::Command { command, reply, trainer });
     match tokio::time::timeout(COMMAND_TIMEOUT, answered).await {
         Ok(Ok(reply)) => reply,
         _ => Reply::Refused(Refusal::may_have_run("the command was not answered in time")),
--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -85,7 +85,8 @@
             None => {}
         }
     };
-    let report_event = |event| shared.tell(Input::Rollout { event, trainer: trainer.clone() });
+    let report_event =
+        |event| shared.send_input(Input::Rollout { event, trainer: trainer.clone() });
     let pass_on = async {
         while let Some(event) = events.recv().await {
             let ends = event.ends_run();
--- a/crates/node/src/edge/store.rs
+++ b/crates/node/src/edge/store.rs
@@ -55,7 +55,7 @@
 /// Reads the platform's list of instances and tells the control thread.
 pub(crate) async fn read_instances(shared: Arc<Shared>) {
     match shared.clients.store.instances().await {
-        Ok(instances) => shared.tell(Input::Instances(instances)),
+        Ok(instances) => shared.send_input(Input::Instances(instances)),
         Err(error) => log::debug!("the list of instances cannot be read: {error}"),
     }
 }
@@ -65,7 +65,7 @@
     shared.metrics.count_kv_call("lease");
     let granted = shared.clients.store.grant(TTL_MS).await;
     let Ok(lease) = granted else {
-        return shared.tell(Input::Lease { lease: None, report: Report::Unknown, trainer });
+        return shared.send_input(Input::Lease { lease: None, report: Report::Unknown, trainer });
     };
     let holder =
         HolderRecord { incarnation: shared.incarnation, node: shared.settings.name.clone() };
@@ -82,7 +82,7 @@
     {
         log::debug!("an unused lease is left to lapse: {error}");
     }
-    shared.tell(Input::Lease { lease: Some(lease), report, trainer });
+    shared.send_input(Input::Lease { lease: Some(lease), report, trainer });
 }
 
 /// Reads who holds a trainer's lease.
@@ -95,7 +95,7 @@
         })),
         Err(_) => Report::Unknown,
     };
-    shared.tell(Input::Lease { lease: None, report, trainer });
+    shared.send_input(Input::Lease { lease: None, report, trainer });
 }
 
 /// Renews a trainer's lease.
@@ -106,7 +106,7 @@
         Err(StoreError::Conflict { .. }) => Report::Refused,
         Err(_) => Report::Unknown,
     };
-    shared.tell(Input::Lease { lease: Some(lease), report, trainer });
+    shared.send_input(Input::Lease { lease: Some(lease), report, trainer });
 }
 
 /// Gives a trainer's lease up.
@@ -132,7 +132,7 @@
         },
         Err(_) => Event::LedgerUnknown,
     };
-    shared.tell(Input::Rollout { event, trainer });
+    shared.send_input(Input::Rollout { event, trainer });
 }
 
 /// Writes a trainer's ledger.
@@ -153,7 +153,7 @@
             Event::LedgerUnknown
         }
     };
-    shared.tell(Input::Rollout { event, trainer });
+    shared.send_input(Input::Rollout { event, trainer });
 }
 
 /// Stores a step's content in parts; the digest in the keys makes a repetition harmless.
@@ -173,7 +173,7 @@
         let put = shared.clients.store.put(&key, value, Expect::Any, None).await;
         stored &= put.is_ok();
     }
-    shared.tell(Input::Rollout { event: Event::StepStored { step, stored }, trainer });
+    shared.send_input(Input::Rollout { event: Event::StepStored { step, stored }, trainer });
 }
 
 /// Cuts a text into parts of at most `most` bytes, between characters.
@@ -205,5 +205,5 @@
         // Asked again by the aggregate: not in a tight loop while the service is away.
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    shared.tell(Input::Rollout { event: Event::StepLoaded { spec, step }, trainer });
+    shared.send_input(Input::Rollout { event: Event::StepLoaded { spec, step }, trainer });
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -145,7 +145,7 @@
     /// The configuration's `drain_deadline_ms` bounds the wait; what is still in progress then is
     /// cut and counted in the report.
     pub async fn drain(mut self) -> DrainReport {
-        self.shared.tell(Input::Leave);
+        self.shared.send_input(Input::Leave);
         let deadline_ms =
             self.shared.snapshot().document().map_or(30_000, |d| d.limits.drain_deadline_ms);
         let deadline = self.shared.now().plus(deadline_ms);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -176,7 +176,7 @@
     }
 
     /// Sends an input to the control thread; one that has stopped needs none.
-    pub(crate) fn tell(&self, input: Input) {
+    pub(crate) fn send_input(&self, input: Input) {
         if self.inputs.send(input).is_err() {
             log::debug!("the control thread has stopped; an input was dropped");
         }
@@ -193,7 +193,7 @@
         match opened {
             Ok(message) if waiting < DATAGRAMS_WAITING_MAX => {
                 self.datagrams_waiting.fetch_add(1, Ordering::Relaxed);
-                self.tell(Input::Datagram { from, message });
+                self.send_input(Input::Datagram { from, message });
             }
             Ok(_) => log::debug!("a datagram from {from} was dropped: too many wait"),
             Err(error) => {
