--- a/crates/node/src/api/guard.rs
+++ b/crates/node/src/api/guard.rs
@@ -47,7 +47,7 @@
     /// Checks that the bearer is the trainer itself.
     pub(crate) fn as_trainer(&self, trainer: &str) -> Result<(), Problem> {
         let name = self.as_role(Role::Trainer)?;
-        if name == trainer || self.shared.is_open() {
+        if name == trainer || self.shared.has_open_access() {
             return Ok(());
         }
         let message = format!("the token of trainer '{name}' does not speak for '{trainer}'");
--- a/crates/node/src/api/public.rs
+++ b/crates/node/src/api/public.rs
@@ -16,7 +16,7 @@
     asking: Asking,
     data_centre: Option<&str>,
 ) -> Result<Json<AddressAnswer>, Problem> {
-    if !asking.shared.is_open() && asking.identity.is_none() {
+    if !asking.shared.has_open_access() && asking.identity.is_none() {
         asking.as_role(Role::Caller)?;
     }
     let snapshot = asking.shared.snapshot();
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -212,12 +212,12 @@
     }
 
     /// Tells whether everybody may act in every role.
-    pub(crate) const fn is_open(&self) -> bool {
+    pub(crate) const fn has_open_access(&self) -> bool {
         self.settings.open_access
     }
 
     /// Tells whether an identity may act in a role.
     pub(crate) fn may(&self, identity: Option<&Identity>, role: Role) -> bool {
-        self.is_open() || identity.is_some_and(|identity| identity.role == role)
+        self.has_open_access() || identity.is_some_and(|identity| identity.role == role)
     }
 }
