--- a/crates/node/src/api/guard.rs
+++ b/crates/node/src/api/guard.rs
@@ -31,7 +31,7 @@
 impl Asking {
     /// Checks that the bearer may act in a role, and returns the bearer's name.
     pub(crate) fn as_role(&self, role: Role) -> Result<String, Problem> {
-        if self.shared.may(self.identity.as_ref(), role) {
+        if self.shared.may_act_as(self.identity.as_ref(), role) {
             let name = self.identity.as_ref().map_or("anybody", |identity| identity.name.as_str());
             return Ok(name.to_owned());
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -217,7 +217,7 @@
     }
 
     /// Tells whether an identity may act in a role.
-    pub(crate) fn may(&self, identity: Option<&Identity>, role: Role) -> bool {
+    pub(crate) fn may_act_as(&self, identity: Option<&Identity>, role: Role) -> bool {
         self.has_open_access() || identity.is_some_and(|identity| identity.role == role)
     }
 }
