--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -37,7 +37,7 @@
 
 impl Token {
     /// Tells whether `secret` is this token's, in time that does not depend on where it differs.
-    pub fn fits(&self, secret: &str) -> bool {
+    pub fn matches_secret(&self, secret: &str) -> bool {
         let (ours, theirs) = (self.secret.as_bytes(), secret.as_bytes());
         let differs = ours.iter().zip(theirs).fold(0, |differs, (a, b)| differs | (a ^ b));
         ours.len() == theirs.len() && differs == 0
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -206,8 +206,9 @@
     /// Finds out whose a bearer token is.
     pub(crate) fn identify(&self, authorization: Option<&str>) -> Option<Identity> {
         let secret = authorization.and_then(|value| value.strip_prefix("Bearer "));
-        let found = secret
-            .and_then(|secret| self.settings.tokens.iter().find(|token| token.fits(secret.trim())));
+        let found = secret.and_then(|secret| {
+            self.settings.tokens.iter().find(|token| token.matches_secret(secret.trim()))
+        });
         found.map(|token| token.identity.clone())
     }
 
