--- a/crates/node/src/api/ticket.rs
+++ b/crates/node/src/api/ticket.rs
@@ -153,7 +153,7 @@
     };
     let permit = admit(shared, call.workspace, CallClass::Act, shared.now().plus(2_000)).await?;
     let url = format!("http://{}{}", node.http, request.uri());
-    let mut sending = shared.clients.once.request(call.method.clone(), url);
+    let mut sending = shared.clients.unpooled.request(call.method.clone(), url);
     for (name, value) in &call.headers {
         let own = ["connection", "content-length", "host", "transfer-encoding"];
         if !own.contains(&name.to_ascii_lowercase().as_str()) {
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -395,7 +395,7 @@
     let Some(address) = snapshot.address(flight.target()) else {
         return Err(Failure::new(Verdict::NotRun, "has no address"));
     };
-    let client = if call.idempotent { &shared.clients.pooled } else { &shared.clients.once };
+    let client = if call.idempotent { &shared.clients.pooled } else { &shared.clients.unpooled };
     let url = format!("http://{address}{}", request.path);
     let mut sending = client.request(request.method.clone(), url);
     for (name, value) in &request.headers {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -57,7 +57,7 @@
     /// Opens a new connection for each call and never sends anything twice: for calls that may
     /// not be repeated. A pooled connection can die just as the request is written, and then
     /// nobody can tell whether the target read it.
-    pub once: reqwest::Client,
+    pub unpooled: reqwest::Client,
     /// Keeps connections: for calls that may be repeated.
     pub pooled: reqwest::Client,
     pub store: Store,
@@ -110,7 +110,7 @@
     pub(crate) fn open(platform: SocketAddr) -> Result<Self, String> {
         let builder = || reqwest::Client::builder().no_proxy().connect_timeout(CONNECT_TIMEOUT);
         let no_redirect = reqwest::redirect::Policy::none;
-        let once = builder()
+        let unpooled = builder()
             .pool_max_idle_per_host(0)
             .retry(reqwest::retry::never())
             .redirect(no_redirect())
@@ -120,7 +120,7 @@
             builder().redirect(no_redirect()).build().map_err(|error| error.to_string())?;
         let engines = EngineClient::open().map_err(|error| error.to_string())?;
         let store = Store::open(platform).map_err(|error| error.to_string())?;
-        Ok(Self { engines, once, pooled, store })
+        Ok(Self { engines, unpooled, pooled, store })
     }
 }
 
