--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -44,7 +44,7 @@
 }
 
 /// Reduces a head to what a follower needs of it.
-pub(crate) fn seen(head: Option<VersionedHead>) -> Option<ObservedHead> {
+pub(crate) fn observed_head(head: Option<VersionedHead>) -> Option<ObservedHead> {
     let (head, version) = head?;
     let accepted = head.in_force()?;
     Some(ObservedHead { digest: accepted.digest, revision: accepted.revision, version })
@@ -127,7 +127,7 @@
 
 async fn boot(shared: Arc<Shared>) {
     let event = match read_head(&shared).await {
-        Ok(head) => FollowerEvent::HeadRead(seen(head)),
+        Ok(head) => FollowerEvent::HeadRead(observed_head(head)),
         Err(error) => {
             log::info!("the configuration's head cannot be read: {error}");
             FollowerEvent::HeadUnavailable
@@ -156,7 +156,7 @@
 
 async fn watch(shared: Arc<Shared>, after_version: u64) {
     let (head, succeeded) = match watch_head(&shared, after_version).await {
-        Ok(head) => (seen(head), true),
+        Ok(head) => (observed_head(head), true),
         Err(error) => {
             log::debug!("the watch of the configuration broke: {error}");
             (None, false)
--- a/crates/node/src/edge/publish.rs
+++ b/crates/node/src/edge/publish.rs
@@ -5,7 +5,7 @@
 //! was accepted once, or was not, or its answer says that it may have been.
 
 use crate::control::Input;
-use crate::control::configuration::seen;
+use crate::control::configuration::observed_head;
 use crate::edge::store::{read_body, read_head};
 use crate::shared::Shared;
 use catkinmast_config::{
@@ -161,7 +161,7 @@
 
 /// Lets this node follow at once; the others hear of it from the watchers and from us.
 fn tell_head(shared: &Shared, head: &Head, version: u64) {
-    let head = seen(Some((head.clone(), version)));
+    let head = observed_head(Some((head.clone(), version)));
     shared.send_input(Input::Follow(FollowerEvent::HeadRead(head)));
 }
 
