--- a/crates/node/src/api/operator.rs
+++ b/crates/node/src/api/operator.rs
@@ -6,7 +6,7 @@
 use crate::api::guard::Asking;
 use crate::auth::Role;
 use crate::control::Input;
-use crate::edge::peer::{PeerReply, PeerRequest, ask};
+use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
 use crate::edge::publish::{self, ApplyRequest, ApplyResult};
 use crate::edge::store::read_head;
 use crate::shared::Shared;
@@ -172,7 +172,7 @@
         let Some(found) = snapshot.node(&name) else {
             return Err(Problem::with_status(404, format!("node '{node}' is not known")));
         };
-        if let Ok(PeerReply::Done) = ask(shared, found.control, &PeerRequest::Drain).await {
+        if let Ok(PeerReply::Done) = call_peer(shared, found.control, &PeerRequest::Drain).await {
         } else {
             let message = format!("node '{node}' did not answer");
             return Err(Refusal::may_have_run(message).into());
--- a/crates/node/src/api/trainer.rs
+++ b/crates/node/src/api/trainer.rs
@@ -5,7 +5,7 @@
 use crate::auth::Role;
 use crate::edge::content;
 use crate::edge::holdings::{Content, ContentKey};
-use crate::edge::peer::{PeerRequest, ask, command_owner};
+use crate::edge::peer::{PeerRequest, call_peer, command_owner};
 use crate::shared::Shared;
 use catkinmast_model::{Name, Refusal, SampleId, Segments, Version};
 use catkinmast_rollout::{BatchView, BoundView, Command, Registration, Reply, StepSpec};
@@ -253,7 +253,7 @@
     let snapshot = shared.snapshot();
     let owner = snapshot.owners.get(trainer).and_then(|owner| snapshot.node(&owner.node));
     let Some(owner) = owner else { return };
-    if let Err(error) = ask(shared, owner.control, &lost).await {
+    if let Err(error) = call_peer(shared, owner.control, &lost).await {
         log::warn!("the owner of trainer {trainer} was not told of a lost sample: {error}");
     }
 }
--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration in force: carries out what the [`Follower`] decides.
 
 use crate::control::{Control, Input};
-use crate::edge::peer::{PeerReply, PeerRequest, ask};
+use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
 use crate::edge::store::{read_body, read_head, watch_head};
 use crate::shared::Shared;
 use crate::snapshot::{InForce, VersionedHead};
@@ -140,7 +140,8 @@
     let mut answers = 0;
     let mut newest: Option<(Revision, Digest)> = None;
     for peer in peers {
-        if let Ok(PeerReply::InForce(found)) = ask(&shared, peer, &PeerRequest::InForce).await {
+        if let Ok(PeerReply::InForce(found)) = call_peer(&shared, peer, &PeerRequest::InForce).await
+        {
             answers += 1;
             let found = found.and_then(|(revision, digest)| {
                 Some((Revision(revision), Digest::try_from(digest).ok()?))
@@ -181,7 +182,7 @@
             break;
         }
         let request = PeerRequest::Config { digest: digest.to_string() };
-        if let Ok(PeerReply::Config(Some(found))) = ask(&shared, peer, &request).await
+        if let Ok(PeerReply::Config(Some(found))) = call_peer(&shared, peer, &request).await
             && Digest::of(&found) == digest
         {
             text = Some(found);
--- a/crates/node/src/edge/content.rs
+++ b/crates/node/src/edge/content.rs
@@ -1,7 +1,7 @@
 //! Moving samples' tokens between nodes: copies, and reads for a trainer.
 
 use crate::edge::holdings::{Content, ContentKey};
-use crate::edge::peer::{PeerReply, PeerRequest, ask};
+use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
 use crate::shared::{Shared, lock};
 use catkinmast_member::{NodeFact, NodeState};
 use catkinmast_model::Name;
@@ -39,7 +39,7 @@
     });
     for taker in takers.into_iter().take(HOLDERS_TRIED) {
         let request = PeerRequest::Store { content: content.clone(), key: key.clone() };
-        match ask(shared, taker.control, &request).await {
+        match call_peer(shared, taker.control, &request).await {
             Ok(PeerReply::Stored(true)) => return Some(taker.name.clone()),
             Ok(_) => log::warn!("node {} has no room for a copy of {}", taker.name, key.sample),
             Err(error) => log::info!("no copy of {} at {}: {error}", key.sample, taker.name),
@@ -58,7 +58,7 @@
         holders.iter().filter_map(|name| snapshot.node(name)).map(|node| node.control).collect();
     for address in addresses {
         let request = PeerRequest::Fetch { key: key.clone() };
-        if let Ok(PeerReply::Content(Some(content))) = ask(shared, address, &request).await {
+        if let Ok(PeerReply::Content(Some(content))) = call_peer(shared, address, &request).await {
             return Some(content);
         }
     }
--- a/crates/node/src/edge/duties.rs
+++ b/crates/node/src/edge/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::control::Input;
 use crate::edge::holdings::ContentKey;
-use crate::edge::peer::{PeerReply, PeerRequest, ask};
+use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
 use crate::shared::{Shared, lock};
 use catkinmast_member::NodeState;
 use catkinmast_model::Name;
@@ -55,7 +55,7 @@
             continue;
         }
         let request = PeerRequest::Forget { keys: keys.clone() };
-        if let Err(error) = ask(&shared, node.control, &request).await {
+        if let Err(error) = call_peer(&shared, node.control, &request).await {
             // Its content lapses by itself after a while.
             log::debug!("node {} was not told to forget: {error}", node.name);
         }
@@ -71,7 +71,7 @@
         let address = shared.snapshot().node(&holder).map(|node| node.control);
         let request = PeerRequest::CopyTo { avoid, key };
         match address {
-            Some(address) => match ask(&shared, address, &request).await {
+            Some(address) => match call_peer(&shared, address, &request).await {
                 Ok(PeerReply::Copied(holder)) => holder,
                 _ => None,
             },
@@ -94,7 +94,7 @@
     let asked = others.map(|node| {
         let shared = Arc::clone(&shared);
         let (trainer, control) = (trainer.clone(), node.control);
-        async move { ask(&shared, control, &PeerRequest::Holdings { trainer }).await }
+        async move { call_peer(&shared, control, &PeerRequest::Holdings { trainer }).await }
     });
     for answer in futures::future::join_all(asked).await {
         if let Ok(PeerReply::Holdings(reports)) = answer {
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -133,7 +133,7 @@
 }
 
 /// Asks a peer one question.
-pub(crate) async fn ask(
+pub(crate) async fn call_peer(
     shared: &Shared,
     to: SocketAddr,
     request: &PeerRequest,
@@ -314,7 +314,7 @@
         return Reply::Refused(refusal.retry_at(retry_at));
     };
     let request = PeerRequest::Trainer { command, trainer: trainer.clone() };
-    match ask(shared, node.control, &request).await {
+    match call_peer(shared, node.control, &request).await {
         Ok(PeerReply::Trainer(reply)) => reply,
         Err(PeerError::Unreachable(error)) => {
             let message = format!("node {} owns the trainer's steps: {error}", owner.node);
