--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -282,14 +282,18 @@
             PeerReply::Stored(lock(&shared.holdings).store(now, key, content))
         }
         PeerRequest::Trainer { command, trainer } => {
-            PeerReply::Trainer(command_here(shared, trainer, command).await)
+            PeerReply::Trainer(handle_command_locally(shared, trainer, command).await)
         }
         PeerRequest::Run(_) => PeerReply::Done,
     }
 }
 
 /// Hands a trainer's command to the control thread of this node.
-pub(crate) async fn command_here(shared: &Shared, trainer: Name, command: Command) -> Reply {
+pub(crate) async fn handle_command_locally(
+    shared: &Shared,
+    trainer: Name,
+    command: Command,
+) -> Reply {
     let (reply, answered) = oneshot::channel();
     shared.send_input(Input::Command { command, reply, trainer });
     match tokio::time::timeout(COMMAND_TIMEOUT, answered).await {
@@ -307,7 +311,7 @@
         return Reply::Refused(refusal.retry_at(retry_at));
     };
     if owner.node == *shared.me() && owner.incarnation == shared.incarnation {
-        return command_here(shared, trainer.clone(), command).await;
+        return handle_command_locally(shared, trainer.clone(), command).await;
     }
     let Some(node) = snapshot.node(&owner.node) else {
         let refusal = Refusal::not_run("the node that owned the trainer's steps is gone");
