--- a/crates/node/src/api/trainer.rs
+++ b/crates/node/src/api/trainer.rs
@@ -5,7 +5,7 @@
 use crate::auth::Role;
 use crate::edge::content;
 use crate::edge::holdings::{Content, ContentKey};
-use crate::edge::peer::{PeerRequest, call_peer, command_owner};
+use crate::edge::peer::{PeerRequest, call_peer, forward_command_to_owner};
 use crate::shared::Shared;
 use catkinmast_model::{Name, Refusal, SampleId, Segments, Version};
 use catkinmast_rollout::{BatchView, BoundView, Command, Registration, Reply, StepSpec};
@@ -72,7 +72,8 @@
 ) -> Result<Json<Registration>, Problem> {
     let name = known_trainer(&asking, trainer)?;
     let registration = read_json(data, SMALL_MAX_BYTES).await?;
-    let reply = command_owner(&asking.shared, &name, Command::Register(registration)).await;
+    let reply =
+        forward_command_to_owner(&asking.shared, &name, Command::Register(registration)).await;
     settle(reply, |reply| match reply {
         Reply::Registered(registration) => Some(Json(registration)),
         _ => None,
@@ -95,7 +96,8 @@
 ) -> Result<Json<StepAccepted>, Problem> {
     let name = known_trainer(&asking, trainer)?;
     let spec: StepSpec = read_json(data, STEP_MAX_BYTES).await?;
-    let reply = command_owner(&asking.shared, &name, Command::Submit { step, spec }).await;
+    let reply =
+        forward_command_to_owner(&asking.shared, &name, Command::Submit { step, spec }).await;
     settle(reply, |reply| match reply {
         Reply::Accepted { step } => Some(Json(StepAccepted { step })),
         _ => None,
@@ -125,7 +127,8 @@
 ) -> Result<Json<BatchClaimed>, Problem> {
     let name = known_trainer(&asking, trainer)?;
     let ClaimBody { at_version } = read_json(data, SMALL_MAX_BYTES).await?;
-    let reply = command_owner(&asking.shared, &name, Command::Claim { at_version, batch }).await;
+    let reply =
+        forward_command_to_owner(&asking.shared, &name, Command::Claim { at_version, batch }).await;
     settle(reply, |reply| match reply {
         Reply::Claimed { batch } => Some(Json(BatchClaimed { batch })),
         _ => None,
@@ -147,7 +150,7 @@
 ) -> Result<Json<VersionPublished>, Problem> {
     let name = known_trainer(&asking, trainer)?;
     let command = Command::Publish { version: Version(version) };
-    let reply = command_owner(&asking.shared, &name, command).await;
+    let reply = forward_command_to_owner(&asking.shared, &name, command).await;
     settle(reply, |reply| match reply {
         Reply::Published { version } => Some(Json(VersionPublished { version })),
         _ => None,
@@ -165,7 +168,7 @@
     } else {
         known_trainer(&asking, trainer)?
     };
-    let reply = command_owner(&asking.shared, &name, Command::Progress).await;
+    let reply = forward_command_to_owner(&asking.shared, &name, Command::Progress).await;
     settle(reply, |reply| match reply {
         Reply::Progress(progress) => Some(Json(progress)),
         _ => None,
@@ -192,7 +195,8 @@
     let name = known_trainer(&asking, trainer)?;
     let wait_ms = wait_ms.unwrap_or(0).min(WAIT_MAX_MS);
     let until = asking.shared.now().plus(wait_ms);
-    let reply = command_owner(&asking.shared, &name, Command::Fetch { batch, until }).await;
+    let reply =
+        forward_command_to_owner(&asking.shared, &name, Command::Fetch { batch, until }).await;
     let view = settle(reply, |reply| match reply {
         Reply::Batch(view) => Some(view),
         _ => None,
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -303,7 +303,11 @@
 }
 
 /// Hands a trainer's command to the node that owns the trainer's steps.
-pub(crate) async fn command_owner(shared: &Shared, trainer: &Name, command: Command) -> Reply {
+pub(crate) async fn forward_command_to_owner(
+    shared: &Shared,
+    trainer: &Name,
+    command: Command,
+) -> Reply {
     let snapshot = shared.snapshot();
     let retry_at = shared.now().plus(300);
     let Some(owner) = snapshot.owners.get(trainer) else {
