--- a/crates/node/src/edge/content.rs
+++ b/crates/node/src/edge/content.rs
@@ -16,7 +16,7 @@
 /// A node in another data centre is preferred: a copy beside the original dies with it when a rack
 /// or a data centre goes. Among those the rank for the sample decides, so that copies spread evenly
 /// and nobody has to agree on it.
-pub(crate) async fn copy_elsewhere(
+pub(crate) async fn copy_to_another_node(
     shared: &Shared,
     key: &ContentKey,
     avoid: &[Name],
--- a/crates/node/src/edge/duties.rs
+++ b/crates/node/src/edge/duties.rs
@@ -66,7 +66,7 @@
     let (attempt, sample, trainer) = (key.attempt, key.sample, key.trainer.clone());
     let avoid = vec![holder.clone()];
     let holder = if holder == *shared.me() {
-        crate::edge::content::copy_elsewhere(&shared, &key, &avoid).await
+        crate::edge::content::copy_to_another_node(&shared, &key, &avoid).await
     } else {
         let address = shared.snapshot().node(&holder).map(|node| node.control);
         let request = PeerRequest::CopyTo { avoid, key };
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -251,9 +251,9 @@
             });
             PeerReply::Done
         }
-        PeerRequest::CopyTo { avoid, key } => {
-            PeerReply::Copied(crate::edge::content::copy_elsewhere(shared, &key, &avoid).await)
-        }
+        PeerRequest::CopyTo { avoid, key } => PeerReply::Copied(
+            crate::edge::content::copy_to_another_node(shared, &key, &avoid).await,
+        ),
         PeerRequest::Drain => {
             shared.drain_requested.notify_one();
             PeerReply::Done
--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -6,7 +6,7 @@
 
 use crate::control::Input;
 use crate::edge::calls::{CallRequest, call_service};
-use crate::edge::content::copy_elsewhere;
+use crate::edge::content::copy_to_another_node;
 use crate::edge::holdings::{Content, ContentKey};
 use crate::edge::peer::run_remotely;
 use crate::shared::{Shared, lock};
@@ -187,7 +187,7 @@
         return Err(RunEvent::Failed { engine_at_fault: false, partial_kept: false });
     }
     let mut holders = vec![shared.me().clone()];
-    holders.extend(copy_elsewhere(shared, &key, &[]).await);
+    holders.extend(copy_to_another_node(shared, &key, &[]).await);
     let score_millis = content.score_millis.unwrap_or_default();
     Ok(Finished { holders, score_millis, segments: content.segments })
 }
