--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -7,7 +7,7 @@
 use crate::api::answer::{Problem, read_json};
 use crate::api::guard::Asking;
 use crate::auth::Role;
-use crate::edge::calls::{Permit, admit, pick};
+use crate::edge::calls::{Permit, admit, choose_target};
 use crate::shared::Shared;
 use crate::snapshot::SUBSET_SIZE;
 use catkinmast_config::CallClass;
@@ -125,7 +125,8 @@
         while tried.len() < TRIES_MAX {
             let engines = self.shared.snapshot().engines(&self.model, &self.selector);
             let engines = stable_subset(self.shared.me(), &engines, SUBSET_SIZE);
-            let Some(flight) = pick(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX) else {
+            let Some(flight) = choose_target(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX)
+            else {
                 break;
             };
             let engine = flight.target().clone();
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -215,7 +215,7 @@
 }
 
 /// Chooses one of `targets` that was not tried yet.
-pub(crate) fn pick(
+pub(crate) fn choose_target(
     shared: &Arc<Shared>,
     targets: &[Name],
     tried: &[Name],
@@ -282,7 +282,8 @@
     let targets = snapshot.services.get(&service.name).cloned().unwrap_or_default();
     let mut tried = Vec::new();
     loop {
-        let Some(flight) = pick(shared, &targets, &tried, service.target_in_flight_max) else {
+        let Some(flight) = choose_target(shared, &targets, &tried, service.target_in_flight_max)
+        else {
             return Err(no_target(shared, &service.name, targets.len(), tried.len()));
         };
         tried.push(flight.target().clone());
