--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -188,13 +188,13 @@
 }
 
 /// A call in flight at a target; one that is dropped unfinished teaches nothing.
-pub(crate) struct Flight {
+pub(crate) struct TargetCall {
     choice: Choice,
     done: bool,
     shared: Arc<Shared>,
 }
 
-impl Flight {
+impl TargetCall {
     pub(crate) fn target(&self) -> &Name {
         &self.choice.target
     }
@@ -205,7 +205,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for TargetCall {
     fn drop(&mut self) {
         if !self.done {
             let mut targets = lock(&self.shared.traffic.targets);
@@ -220,13 +220,13 @@
     targets: &[Name],
     tried: &[Name],
     in_flight_max: u32,
-) -> Option<Flight> {
+) -> Option<TargetCall> {
     let untried = targets.iter().filter(|name| !tried.contains(name));
     let untried: Vec<Name> = untried.cloned().collect();
     let mut rng = lock(&shared.traffic.rng);
     let choice =
         lock(&shared.traffic.targets).pick(shared.now(), &untried, in_flight_max, &mut *rng)?;
-    Some(Flight { choice, done: false, shared: Arc::clone(shared) })
+    Some(TargetCall { choice, done: false, shared: Arc::clone(shared) })
 }
 
 /// Why a target gave no answer that can be passed on.
@@ -391,7 +391,7 @@
     request: &mut CallRequest<'_>,
     call: &Call,
     deadline: UnixMs,
-    flight: &Flight,
+    flight: &TargetCall,
 ) -> Result<(BareAnswer, u64), Failure> {
     let Some(address) = snapshot.address(flight.target()) else {
         return Err(Failure::new(Verdict::NotRun, "has no address"));
