--- a/crates/node/src/api/answer.rs
+++ b/crates/node/src/api/answer.rs
@@ -1,6 +1,6 @@
 //! Answers that are not a success: problems and refusals, always as JSON.
 
-use crate::edge::calls::{NoCall, VERDICT_HEADER};
+use crate::edge::calls::{CallLookupError, VERDICT_HEADER};
 use catkinmast_model::{Refusal, UnixMs, Verdict};
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{ContentType, Header, Status};
@@ -50,11 +50,11 @@
     }
 }
 
-impl From<NoCall> for Problem {
-    fn from(no_call: NoCall) -> Self {
+impl From<CallLookupError> for Problem {
+    fn from(no_call: CallLookupError) -> Self {
         match no_call {
-            NoCall::NotReady(refusal) => refusal.into(),
-            NoCall::Unlisted { field, message } => {
+            CallLookupError::NotReady(refusal) => refusal.into(),
+            CallLookupError::Unlisted { field, message } => {
                 Self { status: 404, ..Self::invalid(field, message) }
             }
         }
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -337,18 +337,18 @@
 
 /// Why there is no such call.
 #[derive(Debug)]
-pub(crate) enum NoCall {
+pub(crate) enum CallLookupError {
     /// The node cannot tell yet.
     NotReady(Refusal),
     /// The configuration lists no such service, or no such call of it.
     Unlisted { field: &'static str, message: String },
 }
 
-impl From<NoCall> for Refusal {
-    fn from(no_call: NoCall) -> Self {
+impl From<CallLookupError> for Refusal {
+    fn from(no_call: CallLookupError) -> Self {
         match no_call {
-            NoCall::NotReady(refusal) => refusal,
-            NoCall::Unlisted { message, .. } => Self::not_run(message),
+            CallLookupError::NotReady(refusal) => refusal,
+            CallLookupError::Unlisted { message, .. } => Self::not_run(message),
         }
     }
 }
@@ -358,19 +358,19 @@
     snapshot: &'s crate::snapshot::Snapshot,
     service: &str,
     path: &str,
-) -> Result<(&'s PlainService, &'s Call), NoCall> {
+) -> Result<(&'s PlainService, &'s Call), CallLookupError> {
     let Some(document) = snapshot.document() else {
         let message = "this node does not know the configuration in force yet";
-        return Err(NoCall::NotReady(Refusal::not_run(message)));
+        return Err(CallLookupError::NotReady(Refusal::not_run(message)));
     };
     let Some(found) = document.service(service) else {
         let message = format!("service '{service}' is not configured");
-        return Err(NoCall::Unlisted { field: "service", message });
+        return Err(CallLookupError::Unlisted { field: "service", message });
     };
     let bare = path.split('?').next().unwrap_or(path);
     found.call(bare).map(|call| (found, call)).ok_or_else(|| {
         let message = format!("service '{service}' lists no call '{bare}'");
-        NoCall::Unlisted { field: "path", message }
+        CallLookupError::Unlisted { field: "path", message }
     })
 }
 
