--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -29,7 +29,7 @@
 /// Most answers that one engine gives a node at once.
 const ENGINE_IN_FLIGHT_MAX: u32 = 64;
 /// Most engines tried for one answer.
-const TRIES_MAX: usize = 4;
+const ATTEMPTS_MAX: usize = 4;
 /// The priority of applications at an engine; samples for trainers are below it.
 const CALLER_PRIORITY: u8 = 100;
 /// How long a request waits for a place.
@@ -122,7 +122,7 @@
         let mut segments = Segments::default();
         let mut tried = Vec::new();
         let mut message = format!("no live engine of model '{}' fits", self.model);
-        while tried.len() < TRIES_MAX {
+        while tried.len() < ATTEMPTS_MAX {
             let engines = self.shared.snapshot().engines(&self.model, &self.selector);
             let engines = stable_subset(self.shared.me(), &engines, SUBSET_SIZE);
             let Some(flight) = choose_target(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX)
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -23,7 +23,7 @@
 /// Names a request in its answer, as the log lines that concern it do.
 const REQUEST_HEADER: &str = "Catkinmast-Request";
 /// Most targets tried for one call.
-const TRIES_MAX: usize = 3;
+const ATTEMPTS_MAX: usize = 3;
 /// When a caller should come back if no target could be used.
 const NO_TARGET_RETRY_MS: u64 = 500;
 /// Headers of a request that concern one connection only, or this system.
@@ -302,7 +302,7 @@
             shared.send_input(Input::TargetRefused { target: target.clone() });
         }
         let may_repeat = call.idempotent || !failure.verdict.may_have_run();
-        let can_repeat = matches!(request.body, CallBody::Held(_)) && tried.len() < TRIES_MAX;
+        let can_repeat = matches!(request.body, CallBody::Held(_)) && tried.len() < ATTEMPTS_MAX;
         let in_time = shared.now() < deadline;
         if may_repeat
             && can_repeat
