--- a/crates/node/src/api/call.rs
+++ b/crates/node/src/api/call.rs
@@ -158,7 +158,7 @@
         return Err(Problem::invalid("body", "ended before its announced length"));
     }
     if first.len() < HELD_BODY_MAX_BYTES {
-        return Ok((CallBody::Held(Bytes::from(first)), None));
+        return Ok((CallBody::Buffered(Bytes::from(first)), None));
     }
     let (sender, mut pieces) = mpsc::channel::<Result<Bytes, std::io::Error>>(4);
     let received = futures::stream::poll_fn(move |context| pieces.poll_recv(context));
@@ -214,7 +214,7 @@
         response.raw_header_adjoin(name, value);
     }
     match answer.body {
-        AnswerBody::Held(bytes) => {
+        AnswerBody::Buffered(bytes) => {
             response.sized_body(bytes.len(), Cursor::new(bytes));
         }
         AnswerBody::Streamed { length_bytes, response: target } => {
--- a/crates/node/src/api/ticket.rs
+++ b/crates/node/src/api/ticket.rs
@@ -106,7 +106,7 @@
     let kind = |(name, _): &&(String, String)| name.eq_ignore_ascii_case("content-type");
     let content_type = answer.headers.iter().find(kind).map(|(_, value)| value.clone());
     let body = match &answer.body {
-        AnswerBody::Held(bytes) if bytes.len() <= RECORDED_MAX_BYTES => Some(bytes.to_vec()),
+        AnswerBody::Buffered(bytes) if bytes.len() <= RECORDED_MAX_BYTES => Some(bytes.to_vec()),
         _ => None,
     };
     RecordedAnswer { body, content_type, status: answer.status }
@@ -130,7 +130,7 @@
     })?;
     let mut headers = vec![("Catkinmast-Replayed".to_owned(), "true".to_owned())];
     headers.extend(recorded.content_type.map(|kind| ("Content-Type".to_owned(), kind)));
-    let body = AnswerBody::Held(Bytes::from(body));
+    let body = AnswerBody::Buffered(Bytes::from(body));
     Ok(Answer { body, headers, permit, status: recorded.status })
 }
 
@@ -161,7 +161,7 @@
         }
     }
     let body = match call.body {
-        crate::edge::calls::CallBody::Held(bytes) => reqwest::Body::from(bytes),
+        crate::edge::calls::CallBody::Buffered(bytes) => reqwest::Body::from(bytes),
         crate::edge::calls::CallBody::Streamed(stream) => stream,
     };
     let sent = sending.header(FORWARDED_HEADER, "1").body(body).timeout(FORWARD_TIMEOUT);
@@ -179,6 +179,6 @@
         })
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
         .collect();
-    let body = AnswerBody::Held(response.bytes().await.map_err(failed)?);
+    let body = AnswerBody::Buffered(response.bytes().await.map_err(failed)?);
     Ok(Answer { body, headers, permit, status })
 }
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(crate) enum CallBody {
     /// All of it is here, so it can be sent again.
-    Held(Bytes),
+    Buffered(Bytes),
     /// It is being received; it can be sent once.
     Streamed(reqwest::Body),
 }
@@ -66,7 +66,7 @@
     /// Makes the call by which a sample is scored.
     pub(crate) fn scoring(scorer: &'a Name, body: Bytes) -> Self {
         Self {
-            body: CallBody::Held(body),
+            body: CallBody::Buffered(body),
             headers: vec![("Content-Type".to_owned(), "application/json".to_owned())],
             method: reqwest::Method::POST,
             path: "/score".to_owned(),
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     /// All of it is here.
-    Held(Bytes),
+    Buffered(Bytes),
     /// It is longer than is held; its length is known, so that a cut shows.
     Streamed { length_bytes: u64, response: reqwest::Response },
 }
@@ -98,7 +98,7 @@
 impl Answer {
     pub(crate) async fn into_bytes(self) -> Result<Bytes, Refusal> {
         match self.body {
-            AnswerBody::Held(bytes) => Ok(bytes),
+            AnswerBody::Buffered(bytes) => Ok(bytes),
             AnswerBody::Streamed { response, .. } => response
                 .bytes()
                 .await
@@ -302,7 +302,8 @@
             shared.send_input(Input::TargetRefused { target: target.clone() });
         }
         let may_repeat = call.idempotent || !failure.verdict.may_have_run();
-        let can_repeat = matches!(request.body, CallBody::Held(_)) && tried.len() < ATTEMPTS_MAX;
+        let can_repeat =
+            matches!(request.body, CallBody::Buffered(_)) && tried.len() < ATTEMPTS_MAX;
         let in_time = shared.now() < deadline;
         if may_repeat
             && can_repeat
@@ -404,10 +405,10 @@
             sending = sending.header(name, value);
         }
     }
-    let body = std::mem::replace(&mut request.body, CallBody::Held(Bytes::new()));
+    let body = std::mem::replace(&mut request.body, CallBody::Buffered(Bytes::new()));
     sending = match body {
-        CallBody::Held(bytes) => {
-            request.body = CallBody::Held(bytes.clone());
+        CallBody::Buffered(bytes) => {
+            request.body = CallBody::Buffered(bytes.clone());
             sending.body(bytes)
         }
         CallBody::Streamed(stream) => {
@@ -462,7 +463,7 @@
         }
         held.extend_from_slice(&chunk);
     }
-    Ok(BareAnswer { body: AnswerBody::Held(held.freeze()), headers, status })
+    Ok(BareAnswer { body: AnswerBody::Buffered(held.freeze()), headers, status })
 }
 
 fn passed_headers(response: &reqwest::Response) -> Vec<(String, String)> {
