--- a/crates/node/src/edge/holdings.rs
+++ b/crates/node/src/edge/holdings.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldContent {
     content: Content,
     expires_at: UnixMs,
 }
@@ -40,7 +40,7 @@
 /// The content that a node holds.
 #[derive(Debug, Default)]
 pub(crate) struct Holdings {
-    held: IndexMap<ContentKey, Held>,
+    held: IndexMap<ContentKey, HeldContent>,
     held_bytes: usize,
 }
 
@@ -58,7 +58,7 @@
             return false;
         }
         self.held_bytes += content.size_bytes();
-        self.held.insert(key, Held { content, expires_at: now.plus(KEPT_MS) });
+        self.held.insert(key, HeldContent { content, expires_at: now.plus(KEPT_MS) });
         true
     }
 
