--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -123,12 +123,12 @@
         let dequeued = admission.finish(now, &self.workspace, service_us);
         self.shared.metrics.requests_in_flight.set(i64::from(admission.in_flight()));
         drop(admission);
-        settle_waiting(&self.shared, dequeued);
+        notify_waiting(&self.shared, dequeued);
     }
 }
 
 /// Tells requests that waited what became of them.
-fn settle_waiting(shared: &Shared, dequeued: Dequeued) {
+fn notify_waiting(shared: &Shared, dequeued: Dequeued) {
     let mut waiting = lock(&shared.traffic.admission_waiting);
     let admitted = dequeued.admitted.into_iter().map(|id| (id, None));
     let refused = dequeued.refused.into_iter().map(|(id, refusal)| (id, Some(refusal)));
@@ -167,7 +167,7 @@
             }
         };
         drop(admission);
-        settle_waiting(shared, dequeued);
+        notify_waiting(shared, dequeued);
         waited
     };
     let wait = Duration::from_millis(deadline.since_ms(shared.now()));
