--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -48,7 +48,7 @@
     Failed { engine_at_fault: bool, partial_kept: bool },
     Progress { segments: catkinmast_model::Segments },
     Safe { finished: Finished },
-    Whole { segments: catkinmast_model::Segments },
+    Complete { segments: catkinmast_model::Segments },
 }
 
 impl RunEvent {
@@ -123,7 +123,7 @@
         }
         RunEvent::Progress { segments } => vec![Event::RunProgress { attempt, sample, segments }],
         RunEvent::Safe { finished } => vec![Event::RunSafe { attempt, finished, sample }],
-        RunEvent::Whole { segments } => vec![
+        RunEvent::Complete { segments } => vec![
             Event::RunProgress { attempt, sample, segments },
             Event::RunComplete { attempt, sample },
         ],
@@ -178,7 +178,7 @@
         store(shared, &key, &content);
         return Err(RunEvent::Failed { engine_at_fault: true, partial_kept });
     }
-    let whole = RunEvent::Whole { segments: content.segments.clone() };
+    let whole = RunEvent::Complete { segments: content.segments.clone() };
     let gone = |_closed| RunEvent::Failed { engine_at_fault: false, partial_kept: false };
     events.send(whole).await.map_err(gone)?;
     content.score_millis = Some(score(shared, job, &content, events).await?);
