--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -133,7 +133,7 @@
             FollowerEvent::HeadUnavailable
         }
     };
-    shared.send_input(Input::Follow(event));
+    shared.send_input(Input::ConfigEvent(event));
 }
 
 async fn ask_peers(shared: Arc<Shared>, peers: Vec<SocketAddr>) {
@@ -152,7 +152,7 @@
             }
         }
     }
-    shared.send_input(Input::Follow(FollowerEvent::PeersAnswered { answers, newest }));
+    shared.send_input(Input::ConfigEvent(FollowerEvent::PeersAnswered { answers, newest }));
 }
 
 async fn watch(shared: Arc<Shared>, after_version: u64) {
@@ -163,7 +163,7 @@
             (None, false)
         }
     };
-    shared.send_input(Input::Follow(FollowerEvent::WatchEnded { head, succeeded }));
+    shared.send_input(Input::ConfigEvent(FollowerEvent::WatchEnded { head, succeeded }));
 }
 
 async fn fetch_body(
@@ -199,7 +199,7 @@
         }
     });
     shared.send_input(match body {
-        Some(body) => Input::Body(Box::new(body)),
-        None => Input::Follow(FollowerEvent::BodyMissing),
+        Some(body) => Input::ConfigBody(Box::new(body)),
+        None => Input::ConfigEvent(FollowerEvent::BodyMissing),
     });
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -46,11 +46,11 @@
 /// What happens to a node.
 #[derive(Debug)]
 pub(crate) enum Input {
-    Body(Box<InForce>),
+    ConfigBody(Box<InForce>),
     Command { command: Command, reply: oneshot::Sender<Reply>, trainer: Name },
     Datagram { from: SocketAddr, message: Message },
     DrainTarget { reply: oneshot::Sender<bool>, target: Name },
-    Follow(FollowerEvent),
+    ConfigEvent(FollowerEvent),
     Instances(Vec<Instance>),
     Leave,
     Lease { lease: Option<LeaseId>, report: Report, trainer: Name },
@@ -172,7 +172,7 @@
 
     fn input(&mut self, now: UnixMs, input: Input) {
         match input {
-            Input::Body(body) => self.body_fetched(now, *body),
+            Input::ConfigBody(body) => self.body_fetched(now, *body),
             Input::Command { command, reply, trainer } => {
                 self.trainer_command(now, &trainer, command, reply);
             }
@@ -186,7 +186,7 @@
                 // The operator may have hung up; the drain stands.
                 let _unheard = reply.send(known);
             }
-            Input::Follow(event) => self.follow(now, event),
+            Input::ConfigEvent(event) => self.follow(now, event),
             Input::Instances(instances) => self.instances(now, instances),
             Input::Leave => self.leave(now),
             Input::Lease { lease, report, trainer } => {
--- a/crates/node/src/edge/publish.rs
+++ b/crates/node/src/edge/publish.rs
@@ -162,7 +162,7 @@
 /// Lets this node follow at once; the others hear of it from the watchers and from us.
 fn tell_head(shared: &Shared, head: &Head, version: u64) {
     let head = observed_head(Some((head.clone(), version)));
-    shared.send_input(Input::Follow(FollowerEvent::HeadRead(head)));
+    shared.send_input(Input::ConfigEvent(FollowerEvent::HeadRead(head)));
 }
 
 fn accepted(operation: &Accepted) -> ApplyResult {
