--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -61,7 +61,7 @@
 
 /// What the control thread begins with.
 #[derive(Debug)]
-pub(crate) struct Start {
+pub(crate) struct StartArguments {
     pub inputs: Receiver<Input>,
     pub me: NodeFact,
     pub runtime: Handle,
@@ -88,10 +88,10 @@
 }
 
 /// Starts the control thread.
-pub(crate) fn spawn(start: Start) -> std::io::Result<std::thread::JoinHandle<()>> {
+pub(crate) fn spawn(start: StartArguments) -> std::io::Result<std::thread::JoinHandle<()>> {
     let name = format!("control-{}", start.me.name);
     std::thread::Builder::new().name(name).spawn(move || {
-        let Start { inputs, me, runtime, shared, socket } = start;
+        let StartArguments { inputs, me, runtime, shared, socket } = start;
         let settings = &shared.settings;
         let rng = Pcg64Mcg::seed_from_u64(me.incarnation.0 ^ u64::from(me.control.port()));
         let membership = Membership::open(me, settings.peers.clone(), settings.membership, rng);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{self, WebServer};
 use crate::clock::Clock;
-use crate::control::{self, Input, Start};
+use crate::control::{self, Input, StartArguments};
 use crate::edge::holdings::Holdings;
 use crate::edge::peer;
 use crate::metrics::Metrics;
@@ -113,7 +113,8 @@
         let stopped = Arc::new(OnceLock::new());
         receive_datagrams(&socket, &shared, &stopped)?;
         let runtime = Handle::current();
-        let start = Start { inputs: received, me, runtime, shared: Arc::clone(&shared), socket };
+        let start =
+            StartArguments { inputs: received, me, runtime, shared: Arc::clone(&shared), socket };
         // The thread ends when it is told to stop; nobody joins it.
         control::spawn(start).map_err(failed("control thread"))?;
         Ok(Self { inputs, peers_task, shared, stopped, web })
