--- a/crates/node/src/control/trainers.rs
+++ b/crates/node/src/control/trainers.rs
@@ -4,7 +4,7 @@
 use crate::control::duties::is_first;
 use crate::edge::holdings::ContentKey;
 use crate::edge::runner::{RunJob, run_for_owner};
-use crate::edge::{duties, store};
+use crate::edge::{owner_tasks, store};
 use catkinmast_config::{Document, Trainer};
 use catkinmast_lease::{Action, Change, HolderRecord, LeaseClaim, Report};
 use catkinmast_member::{Fact, NodeState, OwnerFact};
@@ -345,22 +345,22 @@
             }
             Effect::CopyAgain { attempt, holder, sample } => {
                 let key = ContentKey { attempt, sample, trainer: name };
-                self.runtime.spawn(duties::copy_again(shared, key, holder));
+                self.runtime.spawn(owner_tasks::copy_again(shared, key, holder));
             }
             Effect::FindHoldings => {
-                self.runtime.spawn(duties::find_holdings(shared, name));
+                self.runtime.spawn(owner_tasks::find_holdings(shared, name));
             }
             Effect::Forget { samples } => {
                 let key = |(sample, attempt)| ContentKey { attempt, sample, trainer: name.clone() };
                 let keys = samples.into_iter().map(key).collect();
-                self.runtime.spawn(duties::forget(shared, keys));
+                self.runtime.spawn(owner_tasks::forget(shared, keys));
             }
             Effect::LoadStep { digest, step } => {
                 self.runtime.spawn(store::load_step(shared, name, step, digest));
             }
             Effect::Order { address, engine, fence, version } => {
                 let order = WeightOrder { fence, model: duty.model.as_str().to_owned(), version };
-                self.runtime.spawn(duties::send_order(shared, engine, address, order));
+                self.runtime.spawn(owner_tasks::send_order(shared, engine, address, order));
             }
             Effect::ReadLedger => {
                 self.runtime.spawn(store::read_ledger(shared, name));
@@ -461,7 +461,13 @@
             };
             for (engine, address) in engines {
                 let (shared, model) = (Arc::clone(&self.shared), duty.model.clone());
-                self.runtime.spawn(duties::read_load(shared, name.clone(), model, engine, address));
+                self.runtime.spawn(owner_tasks::read_load(
+                    shared,
+                    name.clone(),
+                    model,
+                    engine,
+                    address,
+                ));
             }
         }
     }
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -5,8 +5,8 @@
 
 pub(crate) mod calls;
 pub(crate) mod content;
-pub(crate) mod duties;
 pub(crate) mod holdings;
+pub(crate) mod owner_tasks;
 pub(crate) mod peer;
 pub(crate) mod publish;
 pub(crate) mod runner;
