--- a/crates/node/src/control/duties.rs
+++ b/crates/node/src/control/duties.rs
@@ -8,7 +8,7 @@
 use catkinmast_route::rendezvous_rank;
 
 /// Tells whether `me` is the first of the live nodes for a duty.
-pub(crate) fn is_first<'n>(
+pub(crate) fn ranks_first<'n>(
     duty: &str,
     me: &Name,
     nodes: impl Iterator<Item = &'n NodeFact>,
--- a/crates/node/src/control/trainers.rs
+++ b/crates/node/src/control/trainers.rs
@@ -1,7 +1,7 @@
 //! The trainers that this node owns: leases, the aggregates, and their effects.
 
 use crate::control::Control;
-use crate::control::duties::is_first;
+use crate::control::duties::ranks_first;
 use crate::edge::holdings::ContentKey;
 use crate::edge::runner::{RunJob, run_for_owner};
 use crate::edge::{owner_tasks, store};
@@ -144,7 +144,7 @@
     pub(crate) fn rank_for_trainers(&mut self) {
         let me = self.membership.me().name.clone();
         for (name, duty) in &mut self.trainers.duties {
-            duty.first = is_first(name.as_str(), &me, self.membership.nodes());
+            duty.first = ranks_first(name.as_str(), &me, self.membership.nodes());
         }
     }
 
