--- a/crates/serve/src/trail.rs
+++ b/crates/serve/src/trail.rs
@@ -16,7 +16,7 @@
 const QUEUE_MAX_LINES: usize = 1_000;
 /// Lines of one event per second at most; further ones are suppressed and counted. It is four times
 /// the rate of the busiest event on the heaviest measured day.
-const KIND_MAX_LINES_PER_S: u32 = 100;
+const EVENT_MAX_LINES_PER_S: u32 = 100;
 /// Bytes that a pipe takes in one atomic write (`PIPE_BUF` of Linux).
 const WRITE_MAX_BYTES: usize = 4_096;
 /// The writer waits this long for more lines, so that it wakes up at most four times a second.
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug)]
-struct Kind {
+struct EventRate {
     suppressed: u32,
     name: &'static str,
     second: u64,
@@ -46,7 +46,7 @@
 /// The audit trail of a process.
 #[derive(Debug)]
 pub(crate) struct Trail {
-    kinds: RefCell<Vec<Kind>>,
+    event_rates: RefCell<Vec<EventRate>>,
     node: String,
 }
 
@@ -64,7 +64,7 @@
         if dispatch.apply().is_ok() {
             std::thread::spawn(move || shared.write_all());
         }
-        Self { kinds: RefCell::new(Vec::new()), node: node.to_owned() }
+        Self { event_rates: RefCell::new(Vec::new()), node: node.to_owned() }
     }
 
     /// Writes one line; `fields` must be an object.
@@ -87,23 +87,23 @@
     /// Counts a line against the rate of its event. Returns the number of lines suppressed before
     /// it, or none if this line is suppressed too.
     fn admit(&self, now: UnixMs, name: &'static str) -> Option<u32> {
-        let mut kinds = self.kinds.borrow_mut();
+        let mut event_rates = self.event_rates.borrow_mut();
         let second = now.0 / 1_000;
-        let at = kinds.iter().position(|kind| kind.name == name).unwrap_or_else(|| {
-            kinds.push(Kind { suppressed: 0, name, second, written: 0 });
-            kinds.len() - 1
+        let at = event_rates.iter().position(|rate| rate.name == name).unwrap_or_else(|| {
+            event_rates.push(EventRate { suppressed: 0, name, second, written: 0 });
+            event_rates.len() - 1
         });
-        let kind = &mut kinds[at];
-        if kind.second != second {
-            kind.second = second;
-            kind.written = 0;
+        let rate = &mut event_rates[at];
+        if rate.second != second {
+            rate.second = second;
+            rate.written = 0;
         }
-        if kind.written >= KIND_MAX_LINES_PER_S {
-            kind.suppressed += 1;
+        if rate.written >= EVENT_MAX_LINES_PER_S {
+            rate.suppressed += 1;
             return None;
         }
-        kind.written += 1;
-        Some(std::mem::take(&mut kind.suppressed))
+        rate.written += 1;
+        Some(std::mem::take(&mut rate.suppressed))
     }
 }
 
