--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{self, WebServer};
 use crate::clock::Clock;
-use crate::control::{self, Input, Start};
+use crate::control::{self, Input, StartArguments};
 use crate::edge::holdings::Holdings;
 use crate::edge::peer;
 use crate::metrics::Metrics;
@@ -84,7 +84,7 @@
             clock: Clock::start(),
             control,
             datagrams_waiting: AtomicUsize::new(0),
-            drain_wanted: Notify::new(),
+            drain_requested: Notify::new(),
             holdings: Mutex::new(Holdings::default()),
             in_progress: AtomicUsize::new(0),
             incarnation,
@@ -113,7 +113,8 @@
         let stopped = Arc::new(OnceLock::new());
         receive_datagrams(&socket, &shared, &stopped)?;
         let runtime = Handle::current();
-        let start = Start { inputs: received, me, runtime, shared: Arc::clone(&shared), socket };
+        let start =
+            StartArguments { inputs: received, me, runtime, shared: Arc::clone(&shared), socket };
         // The thread ends when it is told to stop; nobody joins it.
         control::spawn(start).map_err(failed("control thread"))?;
         Ok(Self { inputs, peers_task, shared, stopped, web })
@@ -135,8 +136,8 @@
     }
 
     /// Waits until an operator has asked this node to leave.
-    pub async fn drain_wanted(&self) {
-        self.shared.drain_wanted.notified().await;
+    pub async fn drain_requested(&self) {
+        self.shared.drain_requested.notified().await;
     }
 
     /// Leaves: vanishes from answers about addresses at once, serves until the last answer that
@@ -145,7 +146,7 @@
     /// The configuration's `drain_deadline_ms` bounds the wait; what is still in progress then is
     /// cut and counted in the report.
     pub async fn drain(mut self) -> DrainReport {
-        self.shared.tell(Input::Leave);
+        self.shared.send_input(Input::Leave);
         let deadline_ms =
             self.shared.snapshot().document().map_or(30_000, |d| d.limits.drain_deadline_ms);
         let deadline = self.shared.now().plus(deadline_ms);
