--- a/crates/bench/src/engines.rs
+++ b/crates/bench/src/engines.rs
@@ -1,4 +1,4 @@
-//! A small model of an engine: speed by batch size, heavy-tailed lengths, swaps, crashes.
+//! Model of an engine: speed by batch size, heavy-tailed sample lengths, weight swaps and crashes.
 
 use catkinmast_model::{Name, SampleId, Segments, UnixMs, Version};
 use catkinmast_rollout::{Attempt, EngineInfo, RunOrder};
@@ -6,46 +6,46 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-/// One sample in this many is a straggler.
+/// One sample in this many, on average, is a straggler.
 const STRAGGLER_EVERY: u64 = 40;
-/// A straggler's length, in medians.
+/// Factor by which a straggler is longer than it would be otherwise.
 const STRAGGLER_FACTOR: f64 = 10.0;
-/// Time between two reports of progress.
-const PROGRESS_EVERY_MS: u64 = 1_000;
-/// How many prompts an engine's cache holds.
+/// Interval between progress reports of a run.
+const PROGRESS_INTERVAL_MS: u64 = 1_000;
+/// Number of prompts in an engine's prefix cache.
 const CACHED_PROMPTS: usize = 16;
 
-/// What happens to running samples when new weights come in.
+/// RunUpdateKind a weight swap does to running samples.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SwapMode {
-    /// They are cut and start over.
+    /// Running samples are aborted and start over.
     Abort,
-    /// They go on under the new version.
+    /// Running samples continue under the new version.
     Continue,
-    /// They end under the old version first; nothing new starts meanwhile.
+    /// Running samples run_update under the old version before the swap; no sample starts meanwhile.
     FinishOld,
 }
 
-/// How engines behave.
+/// Parameters of the engine model.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineModel {
-    /// Seed of the samples' lengths.
+    /// Seed of the sample lengths.
     pub lengths_seed: u64,
-    /// Most sequences at once.
+    /// Maximum number of concurrent sequences.
     pub max_batch: u32,
-    /// Length of a usual sample.
+    /// Median length of a sample that is not a straggler.
     pub median_tokens: u32,
-    /// How long the prompt takes when it is not cached.
+    /// Prefill time of a prompt that is not cached.
     pub prefill_ms: u64,
-    /// The last engine's slowness, as a factor on time; 1 is as fast as the others.
+    /// Slowdown of the first engine; at 1 it is as fast as the others.
     pub slow_engine_factor: u32,
-    /// What a swap does to running samples.
+    /// RunUpdateKind a weight swap does to running samples.
     pub swap: SwapMode,
-    /// How long fetching and loading weights takes, during which the engine goes on.
+    /// Time to fetch and load weights, during which the engine keeps generating.
     pub swap_fetch_ms: u64,
-    /// How long the engine stands still for the swap itself.
+    /// Time for which the swap itself stops generation.
     pub swap_pause_ms: u64,
-    /// Tokens a second of a lone sequence.
+    /// Tokens per second of a single sequence on an idle engine.
     pub tokens_per_s: u32,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 struct RunSim {
     attempt: Attempt,
-    cold_until: UnixMs,
+    prefill_until: UnixMs,
     length: u32,
     owner: usize,
     progress_at: UnixMs,
@@ -76,27 +76,27 @@
     sample: SampleId,
     segments: Segments,
     started: bool,
-    /// Thousandths of a token gained but not yet whole.
+    /// Thousandths of a token generated towards the next whole token.
     token_millis: u64,
 }
 
-/// How a run ended, or got on.
+/// RunUpdateKind a run update reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum What {
-    Broken { kept: bool },
+pub(crate) enum RunUpdateKind {
+    Failed { kept: bool },
     Progress,
-    Whole,
+    Complete,
 }
 
-/// A change of a run that its owner hears of.
+/// Progress or end of a run, as reported to its owner.
 #[derive(Clone, Debug)]
-pub(crate) struct Finish {
+pub(crate) struct RunUpdate {
     pub attempt: Attempt,
     pub owner: usize,
     pub runner: usize,
     pub sample: SampleId,
     pub segments: Segments,
-    pub what: What,
+    pub kind: RunUpdateKind,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -105,7 +105,7 @@
     version: Version,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineSim {
     alive: bool,
@@ -123,17 +123,18 @@
     waiting: Vec<RunSim>,
 }
 
-/// A sample's length: alike within its group, the same at every engine, sometimes very long.
+/// Returns a sample's length in tokens: similar within a group, the same on every engine, and very
+/// long for stragglers.
 pub(crate) fn length_of(id: SampleId, model: &EngineModel) -> u32 {
-    let draw = |number: u64| {
-        let mut rng = Pcg64Mcg::seed_from_u64(number);
-        // The sum of three draws is close enough to a bell for a spread of lengths.
+    let deviation = |seed: u64| {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        // The sum of three uniform draws approximates a normal distribution.
         (0..3).map(|_| rng.random_range(-1.0..1.0)).sum::<f64>()
     };
     let step = model.lengths_seed.wrapping_mul(7_919).wrapping_add(id.step);
     let group = step.wrapping_mul(100_003).wrapping_add(u64::from(id.group));
     let own = group.wrapping_mul(1_009).wrapping_add(u64::from(id.index) + 7);
-    let factor = (0.45 * draw(group) + 0.2 * draw(own)).exp();
+    let factor = (0.45 * deviation(group) + 0.2 * deviation(own)).exp();
     let straggler = Pcg64Mcg::seed_from_u64(own ^ 0x5eed).random_range(0..STRAGGLER_EVERY) == 0;
     let tail = if straggler { STRAGGLER_FACTOR } else { 1.0 };
     (f64::from(model.median_tokens) * factor * tail).max(1.0) as u32
@@ -197,7 +198,7 @@
     ) {
         self.waiting.push(RunSim {
             attempt: order.attempt,
-            cold_until: UnixMs(0),
+            prefill_until: UnixMs(0),
             length: length_of(order.sample, &self.model),
             owner,
             progress_at: UnixMs(0),
@@ -210,9 +211,9 @@
     }
 
     pub(crate) fn cancel(&mut self, sample: SampleId, attempt: Attempt) {
-        let other = |run: &RunSim| (run.sample, run.attempt) != (sample, attempt);
-        self.running.retain(other);
-        self.waiting.retain(other);
+        let is_other = |run: &RunSim| (run.sample, run.attempt) != (sample, attempt);
+        self.running.retain(is_other);
+        self.waiting.retain(is_other);
     }
 
     pub(crate) fn segments(&self, sample: SampleId, attempt: Attempt) -> Option<Segments> {
@@ -221,9 +222,9 @@
     }
 
     pub(crate) fn order(&mut self, now: UnixMs, version: Version) {
-        let under_way = self.swap.is_some_and(|swap| swap.version == version);
-        if self.alive && version != self.version && !under_way {
-            // Fetch times differ a little, so that engines do not move in step.
+        let in_progress = self.swap.is_some_and(|swap| swap.version == version);
+        if self.alive && version != self.version && !in_progress {
+            // Fetch times vary by engine, so that engines do not swap at the same time.
             let spread_ms = self.seed % 1_000;
             let fetched_at = now.plus(self.model.swap_fetch_ms + spread_ms);
             self.swap = Some(SwapSim { fetched_at, version });
@@ -234,42 +235,42 @@
         self.fail_next_swap = true;
     }
 
-    pub(crate) fn crash(&mut self, broken: &mut Vec<Finish>) {
+    pub(crate) fn crash(&mut self, failed: &mut Vec<RunUpdate>) {
         self.alive = false;
         let waiting = std::mem::take(&mut self.waiting);
         for run in std::mem::take(&mut self.running).into_iter().chain(waiting) {
-            broken.push(finish(&run, What::Broken { kept: true }));
+            failed.push(run_update(&run, RunUpdateKind::Failed { kept: true }));
         }
     }
 
-    /// Runs of a dead runner stop; nobody is told, since nobody is left to tell.
-    pub(crate) fn runner_died(&mut self, node: usize) {
+    /// Drops the runs of a crashed runner without updates: the runner is what reports them.
+    pub(crate) fn drop_runs_of_runner(&mut self, node: usize) {
         self.running.retain(|run| run.runner != node);
         self.waiting.retain(|run| run.runner != node);
     }
 
-    /// Runs whose owner hung up are dropped by their runners.
-    pub(crate) fn owner_left(&mut self, node: usize) {
+    /// Drops the runs whose owner was replaced.
+    pub(crate) fn drop_runs_of_owner(&mut self, node: usize) {
         self.running.retain(|run| run.owner != node);
         self.waiting.retain(|run| run.owner != node);
     }
 
-    pub(crate) fn tick(&mut self, now: UnixMs, tick_ms: u64, finishes: &mut Vec<Finish>) {
+    pub(crate) fn tick(&mut self, now: UnixMs, tick_ms: u64, updates: &mut Vec<RunUpdate>) {
         if !self.alive {
             return;
         }
-        self.swap_weights(now, finishes);
+        self.swap_weights(now, updates);
         if now < self.paused_until {
             return;
         }
         self.admit(now);
-        let gain_millis = self.gain_millis(tick_ms);
+        let gained_millis = self.tokens_per_tick_millis(tick_ms);
         let mut running = std::mem::take(&mut self.running);
-        running.retain_mut(|run| !self.advance(now, run, gain_millis, finishes));
+        running.retain_mut(|run| !self.advance(now, run, gained_millis, updates));
         self.running = running;
     }
 
-    fn swap_weights(&mut self, now: UnixMs, finishes: &mut Vec<Finish>) {
+    fn swap_weights(&mut self, now: UnixMs, updates: &mut Vec<RunUpdate>) {
         let Some(swap) = self.swap.filter(|swap| swap.fetched_at <= now) else { return };
         if self.model.swap == SwapMode::FinishOld && !self.running.is_empty() {
             return;
@@ -280,7 +281,7 @@
         }
         if self.model.swap == SwapMode::Abort {
             for run in std::mem::take(&mut self.running) {
-                finishes.push(finish(&run, What::Broken { kept: false }));
+                updates.push(run_update(&run, RunUpdateKind::Failed { kept: false }));
             }
         }
         self.version = swap.version;
@@ -300,55 +301,59 @@
             self.cached.push(prompt);
             let surplus = self.cached.len().saturating_sub(CACHED_PROMPTS);
             self.cached.drain(..surplus);
-            run.cold_until = now.plus(if cached { 0 } else { self.model.prefill_ms });
+            run.prefill_until = now.plus(if cached { 0 } else { self.model.prefill_ms });
             run.started = true;
             self.running.push(run);
         }
     }
 
-    /// Tokens that each sequence gains: a full batch is half as fast for each as a lone one.
-    fn gain_millis(&self, tick_ms: u64) -> u64 {
-        let crowding = 1_000 + 1_000 * self.running.len() as u64 / u64::from(self.model.max_batch);
+    /// Returns the thousandths of a token that each sequence generates in a tick: at a full batch each
+    /// sequence runs at half the speed of a single one.
+    fn tokens_per_tick_millis(&self, tick_ms: u64) -> u64 {
+        let batch_slowdown_millis =
+            1_000 + 1_000 * self.running.len() as u64 / u64::from(self.model.max_batch);
         let slow = if self.number == 0 { self.model.slow_engine_factor.max(1) } else { 1 };
-        u64::from(self.model.tokens_per_s) * tick_ms * 1_000 / crowding / u64::from(slow)
+        u64::from(self.model.tokens_per_s) * tick_ms * 1_000
+            / batch_slowdown_millis
+            / u64::from(slow)
     }
 
-    /// Advances one run and tells whether it is over.
+    /// Advances one run and returns whether it is complete.
     fn advance(
         &mut self,
         now: UnixMs,
         run: &mut RunSim,
-        gain_millis: u64,
-        finishes: &mut Vec<Finish>,
+        gained_millis: u64,
+        updates: &mut Vec<RunUpdate>,
     ) -> bool {
-        if now < run.cold_until {
+        if now < run.prefill_until {
             return false;
         }
-        run.token_millis += gain_millis;
+        run.token_millis += gained_millis;
         let left = run.length.saturating_sub(run.segments.token_count());
         let gained = ((run.token_millis / 1_000) as u32).min(left);
         run.token_millis -= u64::from(gained) * 1_000;
         run.segments.push(self.version, gained);
         self.generated += u64::from(gained);
         if run.segments.token_count() >= run.length {
-            finishes.push(finish(run, What::Whole));
+            updates.push(run_update(run, RunUpdateKind::Complete));
             return true;
         }
         if now >= run.progress_at {
-            run.progress_at = now.plus(PROGRESS_EVERY_MS);
-            finishes.push(finish(run, What::Progress));
+            run.progress_at = now.plus(PROGRESS_INTERVAL_MS);
+            updates.push(run_update(run, RunUpdateKind::Progress));
         }
         false
     }
 }
 
-fn finish(run: &RunSim, what: What) -> Finish {
-    Finish {
+fn run_update(run: &RunSim, kind: RunUpdateKind) -> RunUpdate {
+    RunUpdate {
         attempt: run.attempt,
         owner: run.owner,
         runner: run.runner,
         sample: run.sample,
         segments: run.segments.clone(),
-        what,
+        kind,
     }
 }
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,4 +1,5 @@
-//! The policy benchmark: idle time, staleness, waste and recovery, against named baselines.
+//! Scheduling policy benchmark: trainer idle time, staleness, wasted tokens and recovery of the
+//! default policy against baselines.
 
 use crate::engines::{EngineModel, SwapMode, length_of};
 use crate::simulation::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
@@ -8,23 +9,23 @@
 use serde::Serialize;
 use std::str::FromStr;
 
-/// The longest that a run may take, in virtual time.
+/// Limit on the virtual time of a simulation.
 const RUN_MAX_MS: u64 = 6 * 3_600_000;
 
-/// One of the brief's two deployments.
+/// One of the two deployments that the benchmark models.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Deployment {
-    /// Nine citation engines; staleness weighs more.
+    /// Nine citation engines; low staleness has priority.
     Registre,
-    /// Twelve triage engines; idle time weighs more.
+    /// Twelve triage engines; low trainer idle time has priority.
     Cooperative,
 }
 
 /// deployment '{text}' is not known; write registre or cooperative
 #[derive(Clone, Debug, Display)]
 pub struct DeploymentError {
-    /// The refused text.
+    /// The text that names no deployment.
     pub text: String,
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl Deployment {
-    /// Returns the world of this deployment with the policy that ships.
+    /// Returns the settings of this deployment with the default policy.
     pub fn settings(self, seed: u64) -> SimulationSettings {
         let (engines, bound, weight) = match self {
             Self::Registre => (9, 2, 20),
@@ -71,37 +72,37 @@
     }
 }
 
-/// A policy with a name.
+/// A policy under comparison.
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
-    /// What it changes.
+    /// Changes the default settings to this policy.
     pub change: fn(&mut SimulationSettings),
-    /// Its name in the table.
+    /// Name in the table.
     pub name: &'static str,
 }
 
-/// One row of a table: the mean over the seeds.
+/// Results of one policy over all seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyRow {
-    /// Mean age of claimed samples, in versions.
+    /// Mean staleness of claimed samples, in weight versions.
     pub age_mean_versions: f64,
-    /// Age that 99 of 100 samples do not exceed.
+    /// Largest 99th percentile of staleness of any seed, in weight versions.
     pub age_p99_versions: u64,
-    /// Largest age.
+    /// Largest staleness, in weight versions.
     pub age_max_versions: u64,
-    /// Trainer idle time, in percent.
+    /// Mean share of time that the trainer waited for batches, in percent.
     pub idle_percent: f64,
-    /// Writes of the ledger for each step.
+    /// Mean number of ledger writes per step.
     pub ledger_writes_per_step: f64,
-    /// Largest ledger, in bytes.
+    /// Size of the largest ledger, in bytes.
     pub ledger_max_bytes: usize,
     /// Mean time of a step, in milliseconds.
     pub step_ms: u64,
-    /// Tokens generated that no claimed sample has, in percent of those generated.
+    /// Generated tokens that are in no fetched batch, in percent of all generated tokens.
     pub tokens_wasted_percent: f64,
-    /// The policy.
+    /// Name of the policy.
     pub variant: String,
-    /// Promises broken, over all seeds.
+    /// Number of violated guarantees, over all seeds.
     pub violations: usize,
 }
 
@@ -136,7 +137,7 @@
     }
 }
 
-/// Runs one variant over `seeds` seeds from `seed` on.
+/// Simulates one policy with each of `seeds` seeds, starting at `seed`.
 pub fn run_variant(
     deployment: Deployment,
     seed: u64,
@@ -156,7 +157,7 @@
     PolicyRow::of(variant.name, &outcomes, steps)
 }
 
-/// The baselines, from the plainest to the policy that ships.
+/// Scheduling policies, from the simplest baseline to the default.
 pub const SCHEDULES: [Variant; 4] = [
     Variant {
         name: "round robin, first come",
@@ -185,7 +186,7 @@
     Variant { name: "longest first, tail duplicated (ships)", change: |_| {} },
 ];
 
-/// One engine is four times slower than the others.
+/// Policies with one engine that is four times slower than the others.
 pub const SLOW_ENGINE: [Variant; 2] = [
     Variant {
         name: "longest first",
@@ -200,7 +201,7 @@
     },
 ];
 
-/// What a swap does to running samples.
+/// Ways in which a weight swap treats running samples.
 pub const SWAPS: [Variant; 3] = [
     Variant { name: "abort", change: |settings| settings.engine.swap = SwapMode::Abort },
     Variant {
@@ -210,14 +211,14 @@
     Variant { name: "continue (ships)", change: |_| {} },
 ];
 
-/// What survives the loss of the owner.
+/// What a new owner recovers after the loss of the previous one.
 pub const RECOVERIES: [Variant; 3] = [
     Variant { name: "start over", change: |settings| settings.recovery = Recovery::Nothing },
     Variant { name: "finished copies", change: |settings| settings.recovery = Recovery::Finished },
     Variant { name: "finished and partial (ships)", change: |_| {} },
 ];
 
-/// The weights between idle time and staleness.
+/// Weights of trainer idle time against staleness, in percent.
 pub const WEIGHTS: [Variant; 6] = [
     Variant { name: "0", change: |s| s.registration.idle_weight_percent = 0 },
     Variant { name: "20", change: |s| s.registration.idle_weight_percent = 20 },
@@ -227,12 +228,13 @@
     Variant { name: "100", change: |s| s.registration.idle_weight_percent = 100 },
 ];
 
-/// The owner of the trainer's steps dies in the middle of two steps.
+/// Crashes of the owner of the trainer's steps, in the middle of two steps.
 pub const OWNER_CRASHES: [(UnixMs, Fault); 2] =
     [(UnixMs(60_000), Fault::OwnerCrash), (UnixMs(200_000), Fault::OwnerCrash)];
 
-/// Returns the time in which no schedule can make one step: all tokens at full speed, or the
-/// longest sample alone on an engine.
+/// Returns a lower bound on the mean time of a step under any schedule: the time for all tokens
+/// with every engine at full batch, or for the longest sample alone on an engine, whichever is
+/// longer.
 pub fn step_lower_bound_ms(settings: &SimulationSettings) -> u64 {
     let model = settings.engine;
     let lengths = (1..=settings.steps).flat_map(|step| {
@@ -243,7 +245,7 @@
     });
     let lengths: Vec<u64> = lengths.map(u64::from).collect();
     let total: u64 = lengths.iter().sum::<u64>() / settings.steps;
-    // A full batch makes half as many tokens for each sequence, and `max_batch` of them.
+    // At a full batch, each of the `max_batch` sequences runs at half the speed of a single one.
     let capacity = settings.engines as u64 * u64::from(model.max_batch * model.tokens_per_s) / 2;
     let per_step = lengths.len() / settings.steps as usize;
     let longest: u64 = lengths.chunks(per_step).filter_map(|step| step.iter().max()).sum();
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -1,15 +1,17 @@
-//! A small world in virtual time around the real aggregate of a trainer's steps.
+//! Discrete-event simulation in virtual time of engines, a trainer and the ledger around the
+//! production [`Rollout`].
 //!
-//! It models just what the decisions depend on: engines whose speed falls as their batch fills,
-//! heavy-tailed lengths that are alike within a group, weight swaps, a trainer that trains and
-//! publishes, a ledger with compare-and-swap, and the faults. It is no cluster simulator: nodes
-//! are names that can die with what they hold. The same seed gives the same bytes on any machine.
+//! It models only what the scheduling decisions depend on: engines whose speed per sequence falls
+//! as their batch fills, heavy-tailed sample lengths that are similar within a group, weight swaps,
+//! a trainer that trains and publishes, a ledger with compare-and-swap, and faults. Nodes are only
+//! names that can fail together with the samples that they store; their network, processors and
+//! memory are not modelled. The same seed gives the same output on any machine.
 //!
-//! Every claim is checked as it is confirmed ([`Simulation::violations`]); the randomised tests and the
-//! benchmark use the same checks.
+//! Each ledger write, fetch and claim is checked as it happens, and violated guarantees are
+//! collected in [`Outcome::violations`]. The randomised tests and the benchmark use the same checks.
 
-use crate::engines::{EngineModel, EngineSim, Finish};
-use crate::trainer::{Next, TrainerSim};
+use crate::engines::{EngineModel, EngineSim, RunUpdate};
+use crate::trainer::{TrainerAction, TrainerSim};
 use catkinmast_model::{Fence, Name, SampleId, Segments, UnixMs};
 use catkinmast_rollout::{
     Attempt, Command, Effect, EngineInfo, Event, Finished, HoldingReport, Ledger, NodeInfo,
@@ -21,115 +23,115 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Time between two ticks of engines and owners.
+/// Interval between ticks of engines and owners.
 pub const TICK_MS: u64 = 250;
-/// How long a call of the key-value service takes.
-const STORE_MS: u64 = 5;
-/// How long a lost reply keeps its caller waiting.
-const LOST_REPLY_MS: u64 = 1_500;
-/// How long after a node's death another takes its duties over.
-const TAKEOVER_MS: u64 = 7_000;
-/// Where a world's addresses point; nothing is ever sent there.
-const NOWHERE: std::net::SocketAddr =
+/// Latency of a call to the key-value service.
+const STORE_LATENCY_MS: u64 = 5;
+/// Time after which a caller gives up on a lost reply.
+const LOST_REPLY_TIMEOUT_MS: u64 = 1_500;
+/// Time from the failure of the owner's node until another node takes over.
+const TAKEOVER_DELAY_MS: u64 = 7_000;
+/// Address of all simulated engines; nothing is ever sent to it.
+const UNUSED_ADDRESS: std::net::SocketAddr =
     std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// What survives the loss of the owner.
+/// RunUpdateKind a new owner recovers after the loss of the previous one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Recovery {
-    /// Nothing: every sample of the open step starts over.
+    /// Nothing: every sample of the open step is generated again.
     Nothing,
-    /// Finished samples with a holder that lives.
+    /// Finished samples that are stored on a node that is up.
     Finished,
-    /// Finished samples, and the tokens of running ones.
+    /// Finished samples, and the tokens of samples that were still running.
     Partials,
 }
 
-/// Everything a world is made of.
+/// Configuration of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationSettings {
-    /// How engines behave.
+    /// Model of the engines.
     pub engine: EngineModel,
-    /// How many engines there are.
+    /// Number of engines.
     pub engines: usize,
-    /// Groups in a step.
+    /// Number of groups in a step.
     pub groups: u32,
-    /// How many entry nodes there are.
+    /// Number of entry nodes.
     pub nodes: usize,
-    /// How orders are paced.
+    /// Pacing of the orders to load weights.
     pub orders: OrderSettings,
-    /// What survives the loss of the owner.
+    /// RunUpdateKind a new owner recovers after the loss of the previous one.
     pub recovery: Recovery,
-    /// What the trainer registers.
+    /// RunUpdateKind the trainer registers.
     pub registration: Registration,
-    /// Which parts of the policy are in force.
+    /// Scheduling policy.
     pub schedule: ScheduleSettings,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Steps to train.
+    /// Number of steps to train.
     pub steps: u64,
-    /// How many steps the trainer submits ahead of the one it trains on.
+    /// Number of steps that the trainer submits ahead of the one it trains on.
     pub submitted_ahead: u64,
-    /// How long the trainer trains on one batch.
+    /// Training time for one batch.
     pub train_batch_ms: u64,
 }
 
-/// Something that goes wrong at a point in time.
+/// A fault that is injected at a given time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// An engine dies, with the streams it was sending.
+    /// The engine with this index crashes; all its runs fail.
     EngineCrash(usize),
-    /// The next replies to writes of the ledger are lost.
+    /// The replies to this many following ledger writes are lost; the writes take effect.
     LoseReplies(u32),
-    /// The owner dies, with what it held.
+    /// The owner's node crashes; the samples that it stored are lost.
     OwnerCrash,
-    /// The owner is paused; another takes over, and the old one wakes up after it.
+    /// The owner is paused; another node takes over, and then the old owner resumes.
     OwnerPause,
-    /// The key-value service is away.
+    /// The key-value service is unavailable.
     StoreOutage {
-        /// For how long.
+        /// Duration of the outage.
         duration_ms: u64,
     },
-    /// The next swaps of an engine fail.
+    /// The next weight swap of the engine with this index fails.
     SwapFails(usize),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     Deliver { event: Event, owner: usize },
     Fault(Fault),
     Resend,
     Send { command: Command, owner: usize, reply_to: u64 },
     TakeOver,
     Tick,
-    Trained,
-    Wake { owner: usize },
+    BatchTrained,
+    ResumeOwner { owner: usize },
 }
 
-/// A queued happening; equal times keep the order in which they were queued.
+/// A scheduled event; events at the same time are processed in the order they were scheduled.
 #[derive(Clone, Debug)]
-pub(crate) struct Queued {
+pub(crate) struct QueuedEvent {
     at: UnixMs,
-    happening: Happening,
-    order: u64,
+    event: SimEvent,
+    sequence: u64,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
@@ -140,73 +142,73 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct Holding {
     score_millis: Option<i64>,
     segments: Segments,
 }
 
-/// What a run of a world came to.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Ages of all claimed samples, in versions, sorted.
+    /// Staleness of each claimed sample, in weight versions, in ascending order.
     pub ages: Vec<u64>,
-    /// When the last step was trained.
+    /// Virtual time at which the simulation ended.
     pub ended_at: UnixMs,
-    /// Writes of the ledger.
+    /// Number of ledger writes.
     pub ledger_writes: u64,
-    /// The largest ledger written, in bytes.
+    /// Size of the largest ledger written, in bytes of JSON.
     pub ledger_max_bytes: usize,
-    /// When each step was whole, since its trainer was ready for it.
+    /// Time from the end of one step's training to the end of the next one's.
     pub step_times_ms: Vec<u64>,
-    /// Tokens that engines produced.
+    /// Tokens that the engines generated.
     pub tokens_generated: u64,
-    /// Tokens of the samples that were claimed.
+    /// Tokens of the samples in fetched batches.
     pub tokens_used: u64,
-    /// How long the trainer waited for batches.
+    /// Total time that the trainer waited for batches.
     pub trainer_idle_ms: u64,
-    /// Promises that were broken.
+    /// Descriptions of the guarantees that were violated.
     pub violations: Vec<String>,
 }
 
 impl Outcome {
-    /// Returns the share of time in which the trainer waited, in percent.
+    /// Returns the share of time that the trainer waited for batches, in percent.
     pub fn idle_percent(&self) -> f64 {
         100.0 * self.trainer_idle_ms as f64 / self.ended_at.0.max(1) as f64
     }
 
-    /// Returns the mean age in versions.
+    /// Returns the mean staleness in weight versions.
     pub fn mean_age(&self) -> f64 {
         self.ages.iter().sum::<u64>() as f64 / self.ages.len().max(1) as f64
     }
 
-    /// Returns the age that 99 of 100 samples do not exceed.
+    /// Returns the 99th percentile of staleness in weight versions.
     pub fn p99_age(&self) -> u64 {
         self.ages.get(self.ages.len() * 99 / 100).copied().unwrap_or(0)
     }
 
-    /// Returns the mean time to a whole step, in milliseconds.
+    /// Returns the mean time of a step, in milliseconds.
     pub fn mean_step_ms(&self) -> u64 {
         self.step_times_ms.iter().sum::<u64>() / self.step_times_ms.len().max(1) as u64
     }
 }
 
-/// A world.
+/// A discrete-event simulation of a trainer's steps.
 #[derive(Debug)]
 pub struct Simulation {
     pub(crate) claimed: IndexMap<SampleId, u64>,
-    pub(crate) current: usize,
+    pub(crate) current_owner: usize,
     pub(crate) engines: Vec<EngineSim>,
     pub(crate) fence: Fence,
-    pub(crate) holdings: IndexMap<(usize, SampleId, Attempt), Held>,
+    pub(crate) holdings: IndexMap<(usize, SampleId, Attempt), Holding>,
     pub(crate) ledger: Option<(Ledger, u64)>,
-    pub(crate) lose_replies: u32,
+    pub(crate) replies_to_lose: u32,
     pub(crate) nodes_up: Vec<bool>,
     pub(crate) now: UnixMs,
-    pub(crate) order: u64,
+    pub(crate) sequence: u64,
     pub(crate) outage_until: UnixMs,
     pub(crate) outcome: Outcome,
     pub(crate) owners: IndexMap<usize, Owner>,
-    pub(crate) queue: BinaryHeap<Reverse<Queued>>,
+    pub(crate) queue: BinaryHeap<Reverse<QueuedEvent>>,
     pub(crate) reply_to: u64,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) settings: SimulationSettings,
@@ -226,23 +228,23 @@
 }
 
 impl Simulation {
-    /// Makes a world in which `faults` happen at their times.
+    /// Creates a simulation in which each of `faults` is injected at its time.
     pub fn open(settings: SimulationSettings, faults: &[(UnixMs, Fault)]) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let engines = (0..settings.engines)
             .map(|number| EngineSim::open(number, settings.engine, rng.random()))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             claimed: IndexMap::new(),
-            current: 0,
+            current_owner: 0,
             engines,
             fence: Fence(1),
             holdings: IndexMap::new(),
             ledger: None,
-            lose_replies: 0,
+            replies_to_lose: 0,
             nodes_up: vec![true; settings.nodes],
             now: UnixMs(0),
-            order: 0,
+            sequence: 0,
             outage_until: UnixMs(0),
             outcome: Outcome::default(),
             owners: IndexMap::new(),
@@ -250,13 +252,13 @@
             reply_to: 0,
             rng,
             trainer: TrainerSim {
-                asked: None,
+                pending: None,
                 batch: 1,
                 claimed_of_step: 0,
                 idle_ms: 0,
-                next: Next::Register,
+                next: TrainerAction::Register,
                 resend_at: UnixMs(0),
-                seen: IndexMap::new(),
+                fetched: IndexMap::new(),
                 step: 1,
                 submitted: 0,
                 version: 0,
@@ -266,25 +268,29 @@
             stored: IndexMap::new(),
         };
         for (at, fault) in faults {
-            world.at(*at, Happening::Fault(*fault));
+            simulation.schedule_at(*at, SimEvent::Fault(*fault));
         }
-        world.open_owner(0);
-        world.at(UnixMs(TICK_MS), Happening::Tick);
-        world.trainer_acts();
-        world
+        simulation.start_owner(0);
+        simulation.schedule_at(UnixMs(TICK_MS), SimEvent::Tick);
+        simulation.trainer_send_next();
+        simulation
     }
 
-    /// Runs until the trainer is done, at most until `ends_at`.
+    /// Runs until the trainer has on_batch_trained all steps; if it has not by `ends_at`, this is recorded as
+    /// a violation.
     pub fn run(mut self, ends_at: UnixMs) -> Outcome {
-        while self.trainer.next != Next::Done {
+        while self.trainer.next != TrainerAction::Done {
             let Some(Reverse(queued)) = self.queue.pop() else { break };
             self.now = queued.at;
             if self.now > ends_at {
-                let message = format!("not done at {ends_at} ms: {:?}", self.trainer.next);
+                let message = format!(
+                    "trainer not done at {ends_at} ms, next action: {:?}",
+                    self.trainer.next
+                );
                 self.outcome.violations.push(message);
                 break;
             }
-            self.happen(queued.happening);
+            self.process(queued.event);
         }
         self.check_end();
         self.outcome.ended_at = self.now;
@@ -294,27 +300,27 @@
         self.outcome
     }
 
-    fn at(&mut self, at: UnixMs, happening: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse(Queued { at, happening, order: self.order }));
+    fn schedule_at(&mut self, at: UnixMs, event: SimEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse(QueuedEvent { at, event, sequence: self.sequence }));
     }
 
-    pub(crate) fn after(&mut self, wait_ms: u64, happening: Happening) {
-        self.at(self.now.plus(wait_ms), happening);
+    pub(crate) fn schedule_after(&mut self, wait_ms: u64, event: SimEvent) {
+        self.schedule_at(self.now.plus(wait_ms), event);
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver { event, owner } => self.deliver(owner, event),
-            Happening::Fault(fault) => self.cause(fault),
-            Happening::Resend => self.trainer_resends(),
-            Happening::Send { command, owner, reply_to } => {
+    fn process(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver { event, owner } => self.deliver(owner, event),
+            SimEvent::Fault(fault) => self.inject_fault(fault),
+            SimEvent::Resend => self.trainer_resend_if_due(),
+            SimEvent::Send { command, owner, reply_to } => {
                 self.deliver(owner, Event::Command { command, reply_to });
             }
-            Happening::TakeOver => self.take_over(),
-            Happening::Tick => self.tick(),
-            Happening::Trained => self.trained(),
-            Happening::Wake { owner } => {
+            SimEvent::TakeOver => self.take_over(),
+            SimEvent::Tick => self.tick(),
+            SimEvent::BatchTrained => self.on_batch_trained(),
+            SimEvent::ResumeOwner { owner } => {
                 if let Some(owner) = self.owners.get_mut(&owner) {
                     owner.paused = false;
                 }
@@ -322,13 +328,13 @@
         }
     }
 
-    fn open_owner(&mut self, node: usize) {
+    fn start_owner(&mut self, node: usize) {
         let writer = format!("node-{node}:{}", self.fence);
         let (rollout, effects) =
             Rollout::open(writer, self.fence, self.settings.schedule, self.settings.orders);
         self.owners.insert(node, Owner { paused: false, rollout });
-        self.current = node;
-        self.carry_out(node, effects);
+        self.current_owner = node;
+        self.apply_effects(node, effects);
         let engines = self.engine_infos();
         let nodes = self.node_infos();
         self.deliver(node, Event::Engines(engines));
@@ -337,7 +343,7 @@
 
     fn engine_infos(&self) -> Vec<EngineInfo> {
         let alive = self.engines.iter().filter(|engine| engine.is_alive());
-        alive.map(|engine| engine.info(NOWHERE)).collect()
+        alive.map(|engine| engine.info(UNUSED_ADDRESS)).collect()
     }
 
     fn node_infos(&self) -> Vec<NodeInfo> {
@@ -353,24 +359,24 @@
     fn deliver(&mut self, node: usize, event: Event) {
         let Some(owner) = self.owners.get_mut(&node) else { return };
         if owner.paused {
-            // It waits in the paused process's sockets until it wakes.
-            return self.after(TICK_MS, Happening::Deliver { event, owner: node });
+            // The message stays in the paused process's socket buffer until the process resumes.
+            return self.schedule_after(TICK_MS, SimEvent::Deliver { event, owner: node });
         }
         let effects = owner.rollout.handle(self.now, event);
-        self.carry_out(node, effects);
+        self.apply_effects(node, effects);
     }
 
     fn deliver_later(&mut self, wait_ms: u64, node: usize, event: Event) {
-        self.after(wait_ms, Happening::Deliver { event, owner: node });
+        self.schedule_after(wait_ms, SimEvent::Deliver { event, owner: node });
     }
 
-    fn carry_out(&mut self, node: usize, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, node: usize, effects: Vec<Effect>) {
         for effect in effects {
-            self.effect(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn effect(&mut self, node: usize, effect: Effect) {
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Cancel { attempt, sample } => {
                 self.engines.iter_mut().for_each(|engine| engine.cancel(sample, attempt));
@@ -388,9 +394,9 @@
                 self.holdings.retain(|(_, id, attempt), _| !gone.contains(&(*id, *attempt)));
             }
             Effect::LoadStep { digest, step } => {
-                let away = self.now < self.outage_until;
-                let spec = self.stored.get(&(step, digest)).filter(|_| !away).cloned();
-                let wait_ms = if away { 500 } else { STORE_MS };
+                let unavailable = self.now < self.outage_until;
+                let spec = self.stored.get(&(step, digest)).filter(|_| !unavailable).cloned();
+                let wait_ms = if unavailable { 500 } else { STORE_LATENCY_MS };
                 self.deliver_later(wait_ms, node, Event::StepLoaded { spec, step });
             }
             Effect::Order { engine, version, .. } => {
@@ -399,19 +405,20 @@
                 }
             }
             Effect::ReadLedger => {
-                let away = self.now < self.outage_until;
+                let unavailable = self.now < self.outage_until;
                 let read = self.ledger.clone().map(|(ledger, version)| (Box::new(ledger), version));
-                let event = if away { Event::LedgerUnknown } else { Event::LedgerRead(read) };
-                self.deliver_later(STORE_MS, node, event);
+                let event =
+                    if unavailable { Event::LedgerUnknown } else { Event::LedgerRead(read) };
+                self.deliver_later(STORE_LATENCY_MS, node, event);
             }
-            Effect::Reply { reply, reply_to } => self.trainer_hears(reply_to, reply),
+            Effect::Reply { reply, reply_to } => self.trainer_receive_reply(reply_to, reply),
             Effect::Run(order) => self.start_run(node, &order),
             Effect::StoreStep { digest, spec, step } => {
                 let stored = self.now >= self.outage_until;
                 if stored {
                     self.stored.insert((step, digest), spec);
                 }
-                self.deliver_later(STORE_MS, node, Event::StepStored { step, stored });
+                self.deliver_later(STORE_LATENCY_MS, node, Event::StepStored { step, stored });
             }
             Effect::WriteLedger { expect, ledger } => self.write_ledger(node, expect, *ledger),
         }
@@ -419,11 +426,11 @@
 
     fn write_ledger(&mut self, node: usize, expect: Option<u64>, ledger: Ledger) {
         if self.now < self.outage_until {
-            return self.deliver_later(STORE_MS, node, Event::LedgerUnknown);
+            return self.deliver_later(STORE_LATENCY_MS, node, Event::LedgerUnknown);
         }
         let version = self.ledger.as_ref().map(|(_, version)| *version);
         if version != expect {
-            return self.deliver_later(STORE_MS, node, Event::LedgerConflict);
+            return self.deliver_later(STORE_LATENCY_MS, node, Event::LedgerConflict);
         }
         self.check_ledger(&ledger);
         let next = version.unwrap_or(0) + 1;
@@ -431,15 +438,15 @@
         self.outcome.ledger_max_bytes = self.outcome.ledger_max_bytes.max(size_bytes);
         self.outcome.ledger_writes += 1;
         self.ledger = Some((ledger, next));
-        if self.lose_replies > 0 {
-            self.lose_replies -= 1;
-            return self.deliver_later(LOST_REPLY_MS, node, Event::LedgerUnknown);
+        if self.replies_to_lose > 0 {
+            self.replies_to_lose -= 1;
+            return self.deliver_later(LOST_REPLY_TIMEOUT_MS, node, Event::LedgerUnknown);
         }
-        self.deliver_later(STORE_MS, node, Event::LedgerWritten { version: next });
+        self.deliver_later(STORE_LATENCY_MS, node, Event::LedgerWritten { version: next });
     }
 
-    /// Once written, a batch's samples never change, a settled batch stays settled, and no sample
-    /// stands in two batches that are not void.
+    /// Checks that a batch's samples never change once written, that a settled batch stays settled,
+    /// that no sample is in two batches that are not void, and that the fencing number never falls.
     fn check_ledger(&mut self, new: &Ledger) {
         let mut placed = IndexSet::new();
         let usable = new
@@ -456,7 +463,10 @@
         }
         let Some((old, _)) = &self.ledger else { return };
         if new.fence < old.fence {
-            self.outcome.violations.push(format!("fence {} after {}", new.fence, old.fence));
+            self.outcome.violations.push(format!(
+                "ledger written with fencing number {} after {}",
+                new.fence, old.fence
+            ));
         }
         for (number, after) in &new.batches {
             let Some(before) = old.batches.get(number) else { continue };
@@ -481,7 +491,7 @@
             let (attempt, sample) = (order.attempt, order.sample);
             let event =
                 Event::RunFailed { attempt, engine_at_fault: true, partial_kept: false, sample };
-            return self.deliver_later(STORE_MS, owner, event);
+            return self.deliver_later(STORE_LATENCY_MS, owner, event);
         };
         engine.start(order, owner, runner, held.unwrap_or_default());
     }
@@ -492,18 +502,18 @@
 
     fn copy(&mut self, from: usize, sample: SampleId, attempt: Attempt) -> Option<Name> {
         let held = self.holdings.get(&(from, sample, attempt))?.clone();
-        let takers: Vec<usize> =
+        let candidates: Vec<usize> =
             (0..self.nodes_up.len()).filter(|node| self.nodes_up[*node] && *node != from).collect();
-        if takers.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let taker = takers[self.rng.random_range(0..takers.len())];
-        self.holdings.insert((taker, sample, attempt), held);
-        Some(node_name(taker))
+        let copy_holder = candidates[self.rng.random_range(0..candidates.len())];
+        self.holdings.insert((copy_holder, sample, attempt), held);
+        Some(node_name(copy_holder))
     }
 
     fn find_holdings(&self) -> Vec<HoldingReport> {
-        let survives = |held: &Held| match self.settings.recovery {
+        let survives = |held: &Holding| match self.settings.recovery {
             Recovery::Nothing => false,
             Recovery::Finished => held.score_millis.is_some(),
             Recovery::Partials => true,
@@ -521,18 +531,18 @@
     }
 
     fn tick(&mut self) {
-        let mut finishes = Vec::new();
+        let mut updates = Vec::new();
         for engine in &mut self.engines {
-            engine.tick(self.now, TICK_MS, &mut finishes);
+            engine.tick(self.now, TICK_MS, &mut updates);
         }
-        for finish in finishes {
-            self.run_changed(finish);
+        for update in updates {
+            self.apply_run_update(update);
         }
         let owners: Vec<usize> = self.owners.keys().copied().collect();
         for owner in owners {
             let paused = self.owners.get(&owner).is_some_and(|owner| owner.paused);
             if !paused {
-                let fence = (owner == self.current).then_some(self.fence);
+                let fence = (owner == self.current_owner).then_some(self.fence);
                 self.deliver(owner, Event::OrderFence(fence));
                 for number in 0..self.engines.len() {
                     let engine = self.engines[number].name().clone();
@@ -542,29 +552,29 @@
                 self.deliver(owner, Event::Tick);
             }
         }
-        self.after(TICK_MS, Happening::Tick);
+        self.schedule_after(TICK_MS, SimEvent::Tick);
     }
 
-    fn run_changed(&mut self, finish: Finish) {
-        let Finish { attempt, owner, runner, sample, segments, what } = finish;
+    fn apply_run_update(&mut self, update: RunUpdate) {
+        let RunUpdate { attempt, owner, runner, sample, segments, kind } = update;
         if !self.nodes_up[runner] {
             return;
         }
         let progress = Event::RunProgress { attempt, sample, segments: segments.clone() };
         self.deliver(owner, progress);
         let mut hold = |score_millis| {
-            let held = Held { score_millis, segments: segments.clone() };
+            let held = Holding { score_millis, segments: segments.clone() };
             self.holdings.insert((runner, sample, attempt), held);
         };
-        match what {
-            crate::engines::What::Progress => hold(None),
-            crate::engines::What::Broken { kept } => {
+        match kind {
+            crate::engines::RunUpdateKind::Progress => hold(None),
+            crate::engines::RunUpdateKind::Failed { kept } => {
                 hold(None);
                 let event =
                     Event::RunFailed { attempt, engine_at_fault: true, partial_kept: kept, sample };
-                self.deliver_later(STORE_MS, owner, event);
+                self.deliver_later(STORE_LATENCY_MS, owner, event);
             }
-            crate::engines::What::Whole => {
+            crate::engines::RunUpdateKind::Complete => {
                 hold(Some(1_000));
                 let mut holders = vec![node_name(runner)];
                 holders.extend(self.copy(runner, sample, attempt));
@@ -575,38 +585,41 @@
         }
     }
 
-    fn cause(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::EngineCrash(number) => {
-                let mut broken = Vec::new();
+                let mut failed = Vec::new();
                 if let Some(engine) = self.engines.get_mut(number) {
-                    engine.crash(&mut broken);
+                    engine.crash(&mut failed);
                 }
-                for finish in broken {
-                    self.run_changed(finish);
+                for update in failed {
+                    self.apply_run_update(update);
                 }
                 let engines = self.engine_infos();
-                self.deliver_later(1_000, self.current, Event::Engines(engines));
+                self.deliver_later(1_000, self.current_owner, Event::Engines(engines));
             }
-            Fault::LoseReplies(count) => self.lose_replies += count,
+            Fault::LoseReplies(count) => self.replies_to_lose += count,
             Fault::OwnerCrash => {
-                let dead = self.current;
+                let dead = self.current_owner;
                 self.nodes_up[dead] = false;
                 self.owners.swap_remove(&dead);
                 for engine in &mut self.engines {
-                    engine.runner_died(dead);
+                    engine.drop_runs_of_runner(dead);
                 }
                 if self.nodes_up.iter().any(|up| *up) {
-                    self.after(TAKEOVER_MS, Happening::TakeOver);
+                    self.schedule_after(TAKEOVER_DELAY_MS, SimEvent::TakeOver);
                 }
             }
             Fault::OwnerPause => {
-                let paused = self.current;
+                let paused = self.current_owner;
                 if let Some(owner) = self.owners.get_mut(&paused) {
                     owner.paused = true;
                 }
-                self.after(TAKEOVER_MS, Happening::TakeOver);
-                self.after(TAKEOVER_MS + 3_000, Happening::Wake { owner: paused });
+                self.schedule_after(TAKEOVER_DELAY_MS, SimEvent::TakeOver);
+                self.schedule_after(
+                    TAKEOVER_DELAY_MS + 3_000,
+                    SimEvent::ResumeOwner { owner: paused },
+                );
             }
             Fault::StoreOutage { duration_ms } => self.outage_until = self.now.plus(duration_ms),
             Fault::SwapFails(number) => {
@@ -621,22 +634,22 @@
         let next = (0..self.nodes_up.len())
             .find(|node| self.nodes_up[*node] && !self.owners.contains_key(node));
         let Some(next) = next else { return };
-        // A run whose owner died is dropped by its runner, which keeps its tokens.
+        // A runner stops a run whose owner was replaced and keeps its tokens.
         for engine in &mut self.engines {
-            engine.owner_left(self.current);
+            engine.drop_runs_of_owner(self.current_owner);
         }
         self.fence = Fence(self.fence.0 + 1);
-        self.open_owner(next);
+        self.start_owner(next);
     }
 
     fn check_end(&mut self) {
         let ends = std::mem::take(&mut self.outcome.step_times_ms);
         let starts = [0].into_iter().chain(ends.iter().copied());
         self.outcome.step_times_ms = starts.zip(&ends).map(|(start, end)| end - start).collect();
-        let whole = u64::from(self.settings.groups * self.settings.registration.group_size);
-        let wanted = whole * self.settings.steps;
-        if self.outcome.violations.is_empty() && self.claimed.len() as u64 != wanted {
-            let message = format!("{} of {wanted} samples were claimed", self.claimed.len());
+        let step_samples = u64::from(self.settings.groups * self.settings.registration.group_size);
+        let expected = step_samples * self.settings.steps;
+        if self.outcome.violations.is_empty() && self.claimed.len() as u64 != expected {
+            let message = format!("{} of {expected} samples were claimed", self.claimed.len());
             self.outcome.violations.push(message);
         }
     }
