--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,9 +1,11 @@
-//! What each role costs, from slopes measured on the real aggregates.
+//! Capacity benchmark: resource use of each role by size, as lines fitted to measurements of the
+//! production types.
 //!
-//! State is counted in allocated bytes, messages by encoding them, spread in virtual time: these
-//! figures are the same on every machine and stand on the page `docs/CAPACITY.md`, which a test
-//! compares with this command. Processor time is measured as well, beside a reference operation
-//! in the same run; it is printed only when asked for, and never compared.
+//! Counted figures are the same on every machine: state in allocated bytes, messages in encoded
+//! bytes, propagation in virtual time. They are in `docs/CAPACITY.md`, and a test compares that page
+//! with the output of this command. Processor time differs between machines, so it is reported
+//! relative to a reference operation measured in the same run, is left out with `--counted`, and no
+//! test compares it.
 
 use crate::fleet::VirtualFleet;
 use crate::slope::Slope;
@@ -32,13 +34,13 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// The users' size: entry nodes.
+/// Number of entry nodes in the users' deployments.
 pub const NODES: f64 = 320.0;
-/// The users' size: workers.
+/// Number of workers in the users' deployments.
 pub const WORKERS: f64 = 870.0;
-/// The users' size: samples in a step.
+/// Number of samples in a step in the users' deployments.
 pub const STEP_SAMPLES: f64 = 2_048.0;
-/// Sizes of the fleet at which messages are counted.
+/// Fleet sizes at which messages are counted.
 const FLEET_SIZES: [usize; 4] = [8, 32, 128, 320];
 /// Numbers of workers at which state is counted.
 const WORKER_SIZES: [usize; 4] = [100, 300, 600, 870];
@@ -47,23 +49,23 @@
 /// Numbers of tickets at which a table is counted.
 const TICKET_SIZES: [usize; 4] = [500, 1_000, 2_000, 4_000];
 
-/// A counted figure with its slope.
+/// A figure that is the same on every machine, with its growth by size.
 #[derive(Clone, Debug, Serialize)]
 pub struct CountedFigure {
-    /// What is counted, with its unit.
+    /// Description of the figure, with its unit.
     pub figure: &'static str,
-    /// The unit of size.
+    /// Unit of size, such as node or sample.
     pub per: &'static str,
-    /// The fitted line.
+    /// Line fitted to the measurements.
     pub slope: Slope,
-    /// The users' size.
+    /// Size in the users' deployments.
     pub users_size: f64,
 }
 
 fn name(text: &str) -> Name {
     match text.parse() {
         Ok(name) => name,
-        Err(error) => unreachable!("'{text}' is a name: {error}"),
+        Err(error) => unreachable!("generated name '{text}' is invalid: {error}"),
     }
 }
 
@@ -98,13 +100,13 @@
     }
 }
 
-/// Counts the bytes that a value holds after it was made.
-fn held_bytes<T>(make: impl FnOnce() -> T) -> f64 {
+/// Returns the heap bytes that a value holds once constructed.
+fn allocated_bytes<T>(make: impl FnOnce() -> T) -> f64 {
     let region = Region::new(&INSTRUMENTED_SYSTEM);
     let value = make();
     let change = region.change();
     drop(value);
-    // Growth by reallocation is counted in both already.
+    // `bytes_allocated` and `bytes_deallocated` already include reallocations.
     (change.bytes_allocated as i64 - change.bytes_deallocated as i64) as f64
 }
 
@@ -117,7 +119,7 @@
     for fact in facts {
         table.merge(fact, 3);
     }
-    // Sent on already, as in a fleet that has settled.
+    // No fact is pending any more, as in a fleet whose views have converged.
     while !table.take_pending(1_200, 3).is_empty() {}
     table
 }
@@ -141,8 +143,9 @@
     }
 }
 
-/// An owner that has taken over, with one step of `samples` samples and engines for all of them.
-fn owner(samples: usize) -> (Rollout, Vec<Effect>) {
+/// Returns an owner that has completed its takeover, with one step of `samples` samples and engine
+/// slots for all of them, and the effects of the last event.
+fn owner_with_step(samples: usize) -> (Rollout, Vec<Effect>) {
     let (schedule, orders) = (ScheduleSettings::default(), OrderSettings::default());
     let (mut rollout, _) = Rollout::open("node:1", Fence(1), schedule, orders);
     let now = UnixMs(1);
@@ -179,9 +182,10 @@
     Finished { holders: vec![name("entry-0001"), name("entry-0002")], score_millis: 500, segments }
 }
 
-/// An owner all of whose samples are safe, and the ledger that binds the first batches.
+/// Returns an owner whose samples are all complete and copied, and the ledger that binds the first
+/// batches.
 fn finished_owner(samples: usize) -> (Rollout, Option<Ledger>) {
-    let (mut rollout, effects) = owner(samples);
+    let (mut rollout, effects) = owner_with_step(samples);
     let mut ledger = None;
     for effect in effects {
         let Effect::Run(order) = effect else { continue };
@@ -233,8 +237,8 @@
     table
 }
 
-/// Bytes that a node sends and receives in a calm second, at one size of the fleet.
-fn calm_bytes(nodes: usize) -> f64 {
+/// Returns the bytes per second that a node sends and receives while nothing changes.
+fn idle_bytes_per_s(nodes: usize) -> f64 {
     let mut fleet = VirtualFleet::open(nodes, 1, 0);
     fleet.run_until(UnixMs(40_000));
     let before = fleet.traffic();
@@ -242,45 +246,48 @@
     (fleet.traffic().bytes - before.bytes) as f64 / 30.0 / nodes as f64
 }
 
-/// How a new revision spreads: the time until all know it, and the bytes it cost each node.
-fn spread(nodes: usize, seed: u64, loss_percent: u32) -> (f64, f64) {
+/// Measures the propagation of a new configuration revision. Returns the time in milliseconds until
+/// all nodes know it, and the bytes per node beyond the traffic without changes.
+fn measure_propagation(nodes: usize, seed: u64, loss_percent: u32) -> (f64, f64) {
     let mut fleet = VirtualFleet::open(nodes, seed, loss_percent);
     fleet.run_until(UnixMs(40_000));
-    let calm_before = fleet.traffic();
+    let idle_before = fleet.traffic();
     fleet.run_until(fleet.now().plus(10_000));
-    let calm = fleet.traffic().bytes - calm_before.bytes;
+    let idle_bytes = fleet.traffic().bytes - idle_before.bytes;
     let fact =
         Fact::Config(ConfigFact { digest: format!("{seed:032x}"), revision: Revision(seed) });
     let before = fleet.traffic();
-    let began = fleet.now();
+    let started = fleet.now();
     fleet.observe(1, fact.clone());
-    let known = fleet.run_until_holds(began.plus(60_000), |fleet| fleet.all_know(&fact));
-    fleet.run_until(began.plus(10_000));
-    let bytes = (fleet.traffic().bytes - before.bytes).saturating_sub(calm);
-    let took_ms = known.map_or(f64::INFINITY, |at| at.since_ms(began) as f64);
+    let known = fleet.run_until_holds(started.plus(60_000), |fleet| fleet.all_know(&fact));
+    fleet.run_until(started.plus(10_000));
+    let bytes = (fleet.traffic().bytes - before.bytes).saturating_sub(idle_bytes);
+    let took_ms = known.map_or(f64::INFINITY, |at| at.since_ms(started) as f64);
     (took_ms, bytes as f64 / nodes as f64)
 }
 
-/// Bytes of the busiest node in the worst second-equivalent of a loss: `dead` nodes die at once.
-fn loss_of(nodes: usize, dead: usize) -> (f64, f64) {
+/// Measures the simultaneous failure of `dead` nodes. Returns the time in milliseconds until all
+/// others agree, and the mean bytes per second of the busiest node until then.
+fn measure_node_loss(nodes: usize, dead: usize) -> (f64, f64) {
     let mut fleet = VirtualFleet::open(nodes, 1, 0);
     fleet.run_until(UnixMs(40_000));
     let before = fleet.traffic();
-    let began = fleet.now();
-    // A data centre: every fifth node.
+    let started = fleet.now();
+    // Every fifth node is in the same data centre.
     (0..dead).for_each(|number| fleet.kill(number * 5 + 1));
-    let agreed = fleet.run_until_holds(began.plus(120_000), VirtualFleet::all_agree);
-    let took_ms = agreed.map_or(f64::INFINITY, |at| at.since_ms(began) as f64);
+    let agreed = fleet.run_until_holds(started.plus(120_000), VirtualFleet::all_agree);
+    let took_ms = agreed.map_or(f64::INFINITY, |at| at.since_ms(started) as f64);
     let busiest = fleet.traffic().busiest_node_bytes - before.busiest_node_bytes;
     (took_ms, busiest as f64 * 1_000.0 / took_ms.max(1.0))
 }
 
-/// Fits a line over the logarithm of the fleet's size: news travels in rounds that double.
-fn over_log2(points: &[(usize, f64)]) -> Slope {
+/// Fits a line over the binary logarithm of the fleet's size: each gossip round about doubles the
+/// number of nodes that know an update.
+fn fit_over_log2(points: &[(usize, f64)]) -> Slope {
     Slope::fit(points.iter().map(|(nodes, value)| ((*nodes as f64).log2(), *value)).collect())
 }
 
-/// Counts everything that is the same on every machine.
+/// Returns all figures that are the same on every machine.
 pub fn count_figures() -> Vec<CountedFigure> {
     let mut rows = count_messages();
     rows.extend(count_state());
@@ -288,14 +295,17 @@
 }
 
 fn count_messages() -> Vec<CountedFigure> {
-    let calm: Vec<(usize, f64)> = FLEET_SIZES.map(|nodes| (nodes, calm_bytes(nodes))).to_vec();
+    let idle: Vec<(usize, f64)> =
+        FLEET_SIZES.map(|nodes| (nodes, idle_bytes_per_s(nodes))).to_vec();
     let worst = |nodes: usize| {
-        let runs = (1..=3).map(|seed| spread(nodes, seed, 1));
+        let runs = (1..=3).map(|seed| measure_propagation(nodes, seed, 1));
         runs.fold((0.0_f64, 0.0_f64), |(took, bytes), run| (took.max(run.0), bytes.max(run.1)))
     };
-    let spreads = FLEET_SIZES.map(|nodes| (nodes, worst(nodes)));
-    let losses: Vec<(usize, (f64, f64))> =
-        FLEET_SIZES[1..].iter().map(|nodes| (*nodes, loss_of(*nodes, nodes / 5))).collect();
+    let propagations = FLEET_SIZES.map(|nodes| (nodes, worst(nodes)));
+    let losses: Vec<(usize, (f64, f64))> = FLEET_SIZES[1..]
+        .iter()
+        .map(|nodes| (*nodes, measure_node_loss(*nodes, nodes / 5)))
+        .collect();
     let first = |runs: &[(usize, (f64, f64))]| -> Vec<(usize, f64)> {
         runs.iter().map(|(nodes, (first, _))| (*nodes, *first)).collect()
     };
@@ -305,64 +315,66 @@
     let row = |figure, points: &[(usize, f64)]| CountedFigure {
         figure,
         per: "log2 node",
-        slope: over_log2(points),
+        slope: fit_over_log2(points),
         users_size: NODES.log2(),
     };
     vec![
-        row("calm control traffic, bytes/s sent and received by a node", &calm),
-        row("a changed fact, bytes sent and received by a node (1 % loss)", &second(&spreads)),
-        row("a changed fact known to all, ms (1 % loss, worst of 3 seeds)", &first(&spreads)),
+        row("calm control traffic, bytes/s sent and received by a node", &idle),
+        row("a changed fact, bytes sent and received by a node (1 % loss)", &second(&propagations)),
+        row("a changed fact known to all, ms (1 % loss, worst of 3 seeds)", &first(&propagations)),
         row("a data centre dies: until all others agree, ms", &first(&losses)),
         row("a data centre dies: bytes/s of the busiest node meanwhile", &second(&losses)),
     ]
 }
 
 fn count_state() -> Vec<CountedFigure> {
-    let counted = |figure, per, slope, users_size| CountedFigure { figure, per, slope, users_size };
+    let row = |figure, per, slope, users_size| CountedFigure { figure, per, slope, users_size };
     vec![
-        counted(
+        row(
             "facts about nodes, bytes of state",
             "node",
             slope_of(&FLEET_SIZES, |nodes| {
-                held_bytes(|| fact_table_of((0..nodes).map(|n| Fact::Node(node_fact(n)))))
+                allocated_bytes(|| fact_table_of((0..nodes).map(|n| Fact::Node(node_fact(n)))))
             }),
             NODES,
         ),
-        counted(
+        row(
             "facts about workers, bytes of state",
             "worker",
             slope_of(&WORKER_SIZES, |workers| {
-                held_bytes(|| fact_table_of((0..workers).map(|n| Fact::Target(target_fact(n)))))
+                allocated_bytes(|| {
+                    fact_table_of((0..workers).map(|n| Fact::Target(target_fact(n))))
+                })
             }),
             WORKERS,
         ),
-        counted(
+        row(
             "a copy of the workers' facts for traffic threads, bytes of state",
             "worker",
             slope_of(&WORKER_SIZES, |workers| {
-                held_bytes(|| (0..workers).map(target_fact).collect::<Vec<_>>())
+                allocated_bytes(|| (0..workers).map(target_fact).collect::<Vec<_>>())
             }),
             WORKERS,
         ),
-        counted(
+        row(
             "answers kept for tickets (200 bytes each), bytes of state",
             "ticket",
-            slope_of(&TICKET_SIZES, |tickets| held_bytes(|| ticket_table(tickets))),
+            slope_of(&TICKET_SIZES, |tickets| allocated_bytes(|| ticket_table(tickets))),
             4_000.0,
         ),
-        counted(
+        row(
             "a step at its owner, all running, bytes of state",
             "sample",
-            slope_of(&SAMPLE_SIZES, |samples| held_bytes(|| owner(samples).0)),
+            slope_of(&SAMPLE_SIZES, |samples| allocated_bytes(|| owner_with_step(samples).0)),
             STEP_SAMPLES,
         ),
-        counted(
+        row(
             "a step at its owner, all safe, bytes of state",
             "sample",
-            slope_of(&SAMPLE_SIZES, |samples| held_bytes(|| finished_owner(samples).0)),
+            slope_of(&SAMPLE_SIZES, |samples| allocated_bytes(|| finished_owner(samples).0)),
             STEP_SAMPLES,
         ),
-        counted(
+        row(
             "the ledger with four bound batches, bytes of its value",
             "sample",
             slope_of(&SAMPLE_SIZES, ledger_bytes),
@@ -371,23 +383,23 @@
     ]
 }
 
-/// Processor time of one event, beside a reference operation in the same run.
+/// Processor time of one event, with a reference operation measured in the same run.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimedEvent {
-    /// The event.
+    /// Description of the event.
     pub event: &'static str,
-    /// Nanoseconds for each, on this machine.
+    /// Nanoseconds per event on this machine.
     pub nanoseconds: f64,
-    /// In reference operations: one BLAKE3 hash of 1 KiB.
+    /// Time in units of the reference operation, one BLAKE3 hash of 1 KiB.
     pub references: f64,
 }
 
 fn nanoseconds(times: u32, mut run: impl FnMut(u32)) -> f64 {
-    // The best of five rounds: what other processes take away is not counted.
+    // The best of five rounds, to leave out interference by other processes.
     let round = |run: &mut dyn FnMut(u32)| {
-        let began = Instant::now();
+        let started = Instant::now();
         (0..times).for_each(&mut *run);
-        began.elapsed().as_nanos() as f64 / f64::from(times)
+        started.elapsed().as_nanos() as f64 / f64::from(times)
     };
     (0..5).map(|_| round(&mut run)).fold(f64::INFINITY, f64::min)
 }
@@ -418,7 +430,7 @@
         nanoseconds(2_000, |_| {
             let frame = seal(&key, &message, DATAGRAM_MAX_BYTES).unwrap_or_default();
             let opened = open::<Message>(&key, &frame, DATAGRAM_MAX_BYTES);
-            assert!(opened.is_ok(), "the frame is ours");
+            assert!(opened.is_ok(), "a frame sealed with the same key must open");
         }),
     );
     let rng = Pcg64Mcg::seed_from_u64(1);
@@ -431,7 +443,7 @@
         view.observe(UnixMs(0), Fact::Target(target_fact(number)));
     }
     let mut now = 0;
-    // Settle: what is fresh is sent on before anything is timed.
+    // Lets the view send all pending facts, so that the timing covers the steady state.
     for _ in 0..2_000 {
         now += 50;
         view.tick(UnixMs(now));
@@ -493,7 +505,7 @@
 }
 
 fn time_steps(add: &mut impl FnMut(&'static str, f64)) {
-    let (mut rollout, effects) = owner(STEP_SAMPLES as usize);
+    let (mut rollout, effects) = owner_with_step(STEP_SAMPLES as usize);
     let orders: Vec<(SampleId, Attempt)> = effects
         .into_iter()
         .filter_map(|effect| match effect {
@@ -529,7 +541,7 @@
     );
 }
 
-/// Writes the counted figures as a table in Markdown.
+/// Formats the counted figures as a Markdown table.
 pub fn markdown_table(rows: &[CountedFigure]) -> String {
     let heading = "| counted | measured at growing sizes | slope | error | at the users' size |";
     let mut lines = vec![heading.to_owned(), "| --- | --- | ---: | ---: | ---: |".to_owned()];
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -12,11 +12,11 @@
 use catkinmast_model::UnixMs;
 use std::process::ExitCode;
 
-/// The title of the table whose curve can be drawn.
+/// Title of the table that `--plot` draws.
 const WEIGHTS_TITLE: &str = "weight of idle time, in percent";
 
-/// catkinmast-bench: benchmarks of the decisions, in virtual time. The same seed gives the same
-/// bytes on any machine.
+/// catkinmast-bench: benchmarks of scheduling, routing and capacity, in virtual time. The same seed
+/// gives the same output on any machine, except for processor times.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -31,7 +31,7 @@
     Route(Route),
 }
 
-/// idle time, staleness, waste and recovery of a trainer's steps
+/// trainer idle time, staleness, wasted tokens and recovery of scheduling policies
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "policy")]
 struct Policy {
@@ -41,13 +41,14 @@
     /// first seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many seeds (default 5)
+    /// number of consecutive seeds (default 5)
     #[argh(option, default = "5")]
     seeds: u64,
-    /// none or owner: whether the owner of the steps dies twice in the schedule tables
+    /// none or owner (default none): whether the owner of the steps crashes twice in all tables, or
+    /// only in the table on the loss of the owner
     #[argh(option, default = "String::from(\"none\")")]
     faults: String,
-    /// file into which the weights' curve is drawn, as SVG
+    /// SVG file for a plot of trainer idle time against staleness
     #[argh(option)]
     plot: Option<String>,
     /// print JSON
@@ -55,11 +56,11 @@
     json: bool,
 }
 
-/// what each role costs, from slopes measured on the real aggregates
+/// resource use of each role by size, and processor time of events
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "capacity")]
 struct Capacity {
-    /// only what is counted, which is the same on every machine
+    /// only counted figures, which are the same on every machine; no processor times
     #[argh(switch)]
     counted: bool,
     /// print JSON
@@ -67,7 +68,7 @@
     json: bool,
 }
 
-/// Runs the command line of this process.
+/// Parses this process's arguments and runs the benchmark that they name.
 pub fn main() -> ExitCode {
     match argh::from_env::<Arguments>().command {
         Command::Capacity(capacity) => run_capacity(&capacity),
@@ -76,7 +77,7 @@
     }
 }
 
-/// choice of target, retries to a dead third, overload
+/// choice of target, retries when a third of the targets is down, overload
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "route")]
 struct Route {
@@ -88,7 +89,7 @@
     json: bool,
 }
 
-/// Ways of choosing, in the order of the table.
+/// Ways of choosing targets, in the order of the table.
 const CHOOSERS: [Chooser; 4] =
     [Chooser::RoundRobin, Chooser::LaggingReport, Chooser::Least, Chooser::TwoChoices];
 
@@ -187,7 +188,7 @@
         ("weight swap", &SWAPS[..], faults),
         ("loss of the owner", &RECOVERIES[..], &OWNER_CRASHES[..]),
     ];
-    let mut broken = 0;
+    let mut violations = 0;
     for (title, variants, faults) in tables {
         let run = |variant: &Variant| {
             run_variant(policy.deployment, policy.seed, policy.seeds, faults, *variant)
@@ -195,12 +196,12 @@
         let rows: Vec<PolicyRow> = variants.iter().map(run).collect();
         if title == WEIGHTS_TITLE
             && let Some(file) = &policy.plot
-            && let Err(error) = plot::weights(file, policy.deployment, &rows)
+            && let Err(error) = plot::plot_weights(file, policy.deployment, &rows)
         {
             eprintln!("--plot: '{file}' cannot be drawn: {error}");
             return ExitCode::from(2);
         }
-        broken += rows.iter().map(|row| row.violations).sum::<usize>();
+        violations += rows.iter().map(|row| row.violations).sum::<usize>();
         if policy.json {
             let table = serde_json::json!({ "table": title, "rows": rows });
             println!("{table}");
@@ -208,7 +209,7 @@
             print_table(title, &rows, bound_ms);
         }
     }
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn print_table(title: &str, rows: &[PolicyRow], bound_ms: u64) {
--- a/crates/bench/src/engines.rs
+++ b/crates/bench/src/engines.rs
@@ -15,14 +15,14 @@
 /// Number of prompts in an engine's prefix cache.
 const CACHED_PROMPTS: usize = 16;
 
-/// RunUpdateKind a weight swap does to running samples.
+/// What a weight swap does to running samples.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SwapMode {
     /// Running samples are aborted and start over.
     Abort,
     /// Running samples continue under the new version.
     Continue,
-    /// Running samples run_update under the old version before the swap; no sample starts meanwhile.
+    /// Running samples finish under the old version before the swap; no sample starts meanwhile.
     FinishOld,
 }
 
@@ -39,7 +39,7 @@
     pub prefill_ms: u64,
     /// Slowdown of the first engine; at 1 it is as fast as the others.
     pub slow_engine_factor: u32,
-    /// RunUpdateKind a weight swap does to running samples.
+    /// What a weight swap does to running samples.
     pub swap: SwapMode,
     /// Time to fetch and load weights, during which the engine keeps generating.
     pub swap_fetch_ms: u64,
@@ -80,7 +80,7 @@
     token_millis: u64,
 }
 
-/// RunUpdateKind a run update reports.
+/// What a run update reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunUpdateKind {
     Failed { kept: bool },
@@ -144,7 +144,7 @@
     pub(crate) fn open(number: usize, model: EngineModel, seed: u64) -> Self {
         let name = match format!("engine-{number}").parse() {
             Ok(name) => name,
-            Err(error) => unreachable!("'engine-{number}' is a name: {error}"),
+            Err(error) => unreachable!("generated name 'engine-{number}' is invalid: {error}"),
         };
         Self {
             alive: true,
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,6 +1,8 @@
-//! Many membership views on a virtual network: messages, bytes and times are counted.
+//! Simulated fleet: many membership views on a virtual network, which counts messages, bytes and
+//! time.
 //!
-//! The views are the real aggregates; the network has latencies, loss and cuts, and nothing else.
+//! The views are the production `Membership`; the network models only latency, loss and a partition
+//! between two regions.
 
 use catkinmast_member::{
     Fact, FactKey, Membership, MembershipSettings, Message, NodeFact, NodeState, Output,
@@ -13,21 +15,21 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// Time between two ticks of a view.
+/// Interval between ticks of a view.
 const TICK_MS: u64 = 100;
-/// IP and UDP headers of a datagram.
+/// Size of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
-/// Latency inside a data centre, inside a region, and between regions.
+/// One-way latency within a data centre, within a region, and between regions.
 const LATENCIES_MS: [u64; 3] = [1, 2, 30];
 
-/// A fleet on a virtual network.
+/// A fleet of nodes on a virtual network.
 #[derive(Debug)]
 pub struct VirtualFleet {
-    cut: bool,
+    partitioned: bool,
     loss_percent: u32,
     members: Vec<Member>,
     now: UnixMs,
-    order: u64,
+    sequence: u64,
     queue: BinaryHeap<Reverse<(UnixMs, u64, usize, Packet)>>,
     rng: Pcg64Mcg,
 }
@@ -43,7 +45,8 @@
     view: Membership,
 }
 
-/// A message on its way; ordered by its sender only to make the queue's order total.
+/// A message in transit, or a tick when `message` is none. Packets have an order only because the
+/// queue's tuples need one; the sequence number before them is unique.
 #[derive(Clone, Debug)]
 struct Packet {
     from: usize,
@@ -70,14 +73,14 @@
     }
 }
 
-/// What a fleet has sent so far.
+/// Total traffic of a fleet.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
-    /// The largest sum of bytes sent and received by one node.
+    /// Bytes sent and received by the node with the most traffic.
     pub busiest_node_bytes: u64,
-    /// Bytes sent and received by all nodes, headers included.
+    /// Bytes sent and received by all nodes, including IP and UDP headers.
     pub bytes: u64,
-    /// Messages sent by all nodes.
+    /// Number of messages sent by all nodes.
     pub messages: u64,
 }
 
@@ -99,24 +102,24 @@
 fn name(text: &str) -> Name {
     match text.parse() {
         Ok(name) => name,
-        Err(error) => unreachable!("'{text}' is a name: {error}"),
+        Err(error) => unreachable!("generated name '{text}' is invalid: {error}"),
     }
 }
 
-/// Data centre of a node: five of them, the first three in one region.
-fn place(node: usize) -> usize {
+/// Returns the data centre of a node: one of five, of which the first three are in one region.
+fn data_centre(node: usize) -> usize {
     node % 5
 }
 
 fn region(node: usize) -> usize {
-    usize::from(place(node) >= 3)
+    usize::from(data_centre(node) >= 3)
 }
 
 fn node_fact(node: usize, incarnation: u64) -> NodeFact {
     NodeFact {
         capacity_millicores: 1_000,
         control: address(node),
-        data_centre: name(&format!("place-{}", place(node))),
+        data_centre: name(&format!("place-{}", data_centre(node))),
         has_data_folder: node.is_multiple_of(16),
         http: address(node),
         incarnation: Incarnation(incarnation),
@@ -127,14 +130,14 @@
 }
 
 impl VirtualFleet {
-    /// Opens a fleet of `nodes` views, all started at once, the first of which is everybody's seed.
+    /// Creates a fleet of `nodes` views that start at the same time. Node 0 is the seed of all others.
     pub fn open(nodes: usize, seed: u64, loss_percent: u32) -> Self {
         let mut fleet = Self {
-            cut: false,
+            partitioned: false,
             loss_percent,
             members: Vec::new(),
             now: UnixMs(0),
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
@@ -162,18 +165,18 @@
             self.members[node] = member;
         } else {
             self.members.push(member);
-            // Ticks of different nodes do not fall together.
+            // Nodes tick at different times.
             let first = self.now.plus(1 + self.rng.random_range(0..TICK_MS));
             self.enqueue(first, node, Packet { from: node, message: None });
         }
     }
 
     fn enqueue(&mut self, at: UnixMs, to: usize, packet: Packet) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, to, packet)));
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, to, packet)));
     }
 
-    /// Returns the time.
+    /// Returns the current virtual time.
     pub const fn now(&self) -> UnixMs {
         self.now
     }
@@ -189,7 +192,8 @@
         self.now = ends_at;
     }
 
-    /// Runs until `holds` or `ends_at`, and returns when it held.
+    /// Runs until `holds` returns true and returns that time, or none if it does not by `ends_at`.
+    /// The condition is checked every 20 ms.
     pub fn run_until_holds(
         &mut self,
         ends_at: UnixMs,
@@ -217,11 +221,11 @@
                 let member = &mut self.members[to];
                 if member.up && !member.paused {
                     let outputs = member.view.tick(self.now);
-                    self.carry_out(to, outputs);
+                    self.apply_outputs(to, outputs);
                 }
             }
             Some(message) if self.members[to].paused => {
-                // It waits in the paused process's socket.
+                // The message stays in the paused process's socket buffer.
                 let packet = Packet { message: Some(message), ..packet };
                 self.enqueue(self.now.plus(TICK_MS), to, packet);
             }
@@ -230,13 +234,13 @@
                 let member = &mut self.members[to];
                 member.received_bytes += bytes;
                 let outputs = member.view.receive(self.now, address(packet.from), message);
-                self.carry_out(to, outputs);
+                self.apply_outputs(to, outputs);
             }
             Some(_) => {}
         }
     }
 
-    fn carry_out(&mut self, from: usize, outputs: Vec<Output>) {
+    fn apply_outputs(&mut self, from: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Changed(fact) => self.members[from].changes.push((self.now, fact)),
@@ -249,67 +253,67 @@
         let member = &mut self.members[from];
         member.sent_bytes += size_bytes(&message);
         member.sent_messages += 1;
-        let apart = self.cut && region(from) != region(to);
+        let separated = self.partitioned && region(from) != region(to);
         let lost = self.rng.random_range(0..100) < self.loss_percent;
-        if to >= self.members.len() || apart || lost {
+        if to >= self.members.len() || separated || lost {
             return;
         }
-        let near = if place(from) == place(to) {
+        let distance = if data_centre(from) == data_centre(to) {
             0
         } else if region(from) == region(to) {
             1
         } else {
             2
         };
-        let at = self.now.plus(LATENCIES_MS[near]);
+        let at = self.now.plus(LATENCIES_MS[distance]);
         self.enqueue(at, to, Packet { from, message: Some(message) });
     }
 
-    /// Lets a node find out a fact.
+    /// Makes a node observe a fact.
     pub fn observe(&mut self, node: usize, fact: Fact) {
         self.members[node].changes.push((self.now, fact.clone()));
         let outputs = self.members[node].view.observe(self.now, fact);
-        self.carry_out(node, outputs);
+        self.apply_outputs(node, outputs);
     }
 
-    /// Stops a node without a word.
+    /// Stops a node without letting it leave the fleet.
     pub fn kill(&mut self, node: usize) {
         self.members[node].up = false;
     }
 
-    /// Starts a node that was stopped, as a new life at the same address.
+    /// Starts a stopped node as a new incarnation at the same address.
     pub fn restart(&mut self, node: usize) {
         let incarnation = self.members[node].view.me().incarnation.0 + 1;
         self.add(node, incarnation);
     }
 
-    /// Stops a process in the middle; its datagrams wait.
+    /// Pauses a node's process; datagrams to it are delivered after it resumes.
     pub fn pause(&mut self, node: usize) {
         self.members[node].paused = true;
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused node.
     pub fn resume(&mut self, node: usize) {
         self.members[node].paused = false;
     }
 
-    /// Lets a node leave.
+    /// Makes a node leave the fleet in an orderly way.
     pub fn leave(&mut self, node: usize) {
         let outputs = self.members[node].view.leave(self.now);
-        self.carry_out(node, outputs);
+        self.apply_outputs(node, outputs);
     }
 
-    /// Cuts the two regions from each other, or joins them.
-    pub const fn set_partitioned(&mut self, cut: bool) {
-        self.cut = cut;
+    /// Starts or ends a network partition between the two regions.
+    pub const fn set_partitioned(&mut self, partitioned: bool) {
+        self.partitioned = partitioned;
     }
 
-    /// Returns how many nodes the fleet has.
+    /// Returns the number of nodes, including stopped ones.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Tells whether the fleet has no node.
+    /// Returns whether the fleet has no nodes.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -319,7 +323,7 @@
         region(node)
     }
 
-    /// Returns what `viewer` believes of `node`; none when it does not know it.
+    /// Returns the state of `node` in the view of `viewer`, or none if the view does not have it.
     pub fn state(&self, viewer: usize, node: usize) -> Option<NodeState> {
         let key = FactKey::Node(name(&format!("entry-{node}")));
         match self.members[viewer].view.facts().get(&key) {
@@ -328,14 +332,14 @@
         }
     }
 
-    /// Tells whether every node that is up knows `fact`.
+    /// Returns whether `fact` is in the view of every node that is up and not paused.
     pub fn all_know(&self, fact: &Fact) -> bool {
         let key = fact.key();
         let up = self.members.iter().filter(|member| member.up && !member.paused);
         up.map(|member| member.view.facts().get(&key)).all(|held| held == Some(fact))
     }
 
-    /// Tells whether every node that is up sees exactly the nodes that are up as live.
+    /// Returns whether, in the view of every node that is up, exactly the nodes that are up are live.
     pub fn all_agree(&self) -> bool {
         let up: Vec<usize> = (0..self.len()).filter(|node| self.members[*node].up).collect();
         up.iter().all(|viewer| {
@@ -346,17 +350,17 @@
         })
     }
 
-    /// Returns the changes that a node noticed, with their times.
+    /// Returns the changed facts of a node's view, with the times of the changes.
     pub fn changes(&self, node: usize) -> &[(UnixMs, Fact)] {
         &self.members[node].changes
     }
 
-    /// Returns what was sent so far.
+    /// Returns the total traffic since the start.
     pub fn traffic(&self) -> Traffic {
-        let of = |member: &Member| member.sent_bytes + member.received_bytes;
+        let bytes_of = |member: &Member| member.sent_bytes + member.received_bytes;
         Traffic {
-            busiest_node_bytes: self.members.iter().map(of).max().unwrap_or(0),
-            bytes: self.members.iter().map(of).sum(),
+            busiest_node_bytes: self.members.iter().map(bytes_of).max().unwrap_or(0),
+            bytes: self.members.iter().map(bytes_of).sum(),
             messages: self.members.iter().map(|member| member.sent_messages).sum(),
         }
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,8 +1,10 @@
-//! Benchmarks of the decisions, in virtual time.
+//! Benchmarks of scheduling, routing and capacity, in virtual time.
 //!
-//! [`Simulation`] runs the real aggregate of a trainer's steps in a small model of engines, trainer,
-//! ledger and faults. `policy` compares policies in it. The same seed gives the same bytes on any
-//! machine, so the tests bound the figures exactly.
+//! [`Simulation`] runs the production code for a trainer's steps against models of the engines, the
+//! trainer, the ledger and faults; [`run_variant`] compares scheduling policies in it. [`run_choice`]
+//! and [`run_overload`] do the same for routing and admission, and [`VirtualFleet`] for membership.
+//! The same seed gives the same figures on any machine, so tests can assert exact bounds. Only
+//! [`time_events`] depends on the machine.
 
 mod capacity;
 mod command;
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Pictures of tables, for the docs.
+//! Plots of benchmark tables as SVG files.
 
 use crate::policy::{Deployment, PolicyRow};
 use plotters::prelude::{
@@ -6,11 +6,11 @@
 };
 use plotters::style::IntoFont;
 
-/// Size of a picture, in pixels.
+/// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (640, 420);
 
-/// Draws idle time against staleness, a point for each weight.
-pub(crate) fn weights(
+/// Plots trainer idle time against staleness, with one point per weight.
+pub(crate) fn plot_weights(
     file: &str,
     deployment: Deployment,
     rows: &[PolicyRow],
@@ -25,14 +25,14 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let most_age = rows.iter().map(|row| row.age_mean_versions).fold(0.5, f64::max) * 1.2;
+    let max_age = rows.iter().map(|row| row.age_mean_versions).fold(0.5, f64::max) * 1.2;
     let caption = format!("{deployment:?}: trainer idle time against staleness, by weight");
     let mut chart = ChartBuilder::on(&area)
         .caption(caption, ("sans-serif", 16).into_font())
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..most_age, 0.0..100.0)?;
+        .build_cartesian_2d(0.0..max_age, 0.0..100.0)?;
     chart
         .configure_mesh()
         .x_desc("mean age of claimed samples, versions")
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -124,7 +124,7 @@
 fn target_name(number: usize) -> Name {
     match format!("target-{number}").parse() {
         Ok(name) => name,
-        Err(error) => unreachable!("'target-{number}' is a name: {error}"),
+        Err(error) => unreachable!("generated name 'target-{number}' is invalid: {error}"),
     }
 }
 
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -35,7 +35,7 @@
 const UNUSED_ADDRESS: std::net::SocketAddr =
     std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// RunUpdateKind a new owner recovers after the loss of the previous one.
+/// What a new owner recovers after the loss of the previous one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Recovery {
     /// Nothing: every sample of the open step is generated again.
@@ -59,9 +59,9 @@
     pub nodes: usize,
     /// Pacing of the orders to load weights.
     pub orders: OrderSettings,
-    /// RunUpdateKind a new owner recovers after the loss of the previous one.
+    /// What a new owner recovers after the loss of the previous one.
     pub recovery: Recovery,
-    /// RunUpdateKind the trainer registers.
+    /// What the trainer registers.
     pub registration: Registration,
     /// Scheduling policy.
     pub schedule: ScheduleSettings,
@@ -219,7 +219,7 @@
 fn node_name(node: usize) -> Name {
     match format!("node-{node}").parse() {
         Ok(name) => name,
-        Err(error) => unreachable!("'node-{node}' is a name: {error}"),
+        Err(error) => unreachable!("generated name 'node-{node}' is invalid: {error}"),
     }
 }
 
@@ -276,8 +276,8 @@
         simulation
     }
 
-    /// Runs until the trainer has on_batch_trained all steps; if it has not by `ends_at`, this is recorded as
-    /// a violation.
+    /// Runs until the trainer has trained all steps; if it has not by `ends_at`, records a
+    /// violation.
     pub fn run(mut self, ends_at: UnixMs) -> Outcome {
         while self.trainer.next != TrainerAction::Done {
             let Some(Reverse(queued)) = self.queue.pop() else { break };
--- a/crates/bench/src/slope.rs
+++ b/crates/bench/src/slope.rs
@@ -1,29 +1,29 @@
-//! Straight lines through measured points.
+//! Linear regression of measured values over size.
 
 use serde::Serialize;
 
 /// A line fitted to points by least squares.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Slope {
-    /// Value at size 0.
+    /// Value of the line at size 0.
     pub base: f64,
-    /// The largest difference between a point and the line, in percent of the point.
+    /// Largest deviation of the line from a point, in percent of the point's value.
     pub error_percent: f64,
-    /// Growth for each unit of size.
+    /// Growth per unit of size.
     pub per_unit: f64,
-    /// The points: size and value.
+    /// Measured points, each a size and a value.
     pub points: Vec<(f64, f64)>,
 }
 
 impl Slope {
-    /// Fits a line to points.
+    /// Fits a line to points of size and value.
     pub fn fit(points: Vec<(f64, f64)>) -> Self {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let along: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        let per_unit = if spread > 0.0 { along / spread } else { 0.0 };
+        let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let sum_xy: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let per_unit = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         let base = mean_y - per_unit * mean_x;
         let error = |(x, y): &(f64, f64)| {
             if *y == 0.0 { 0.0 } else { 100.0 * (base + per_unit * x - y).abs() / y.abs() }
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -159,7 +159,7 @@
             Some(before) if *before != samples => {
                 self.outcome
                     .violations
-                    .push(format!("batch {batch} has other samples when fetched again"));
+                    .push(format!("batch {batch} has different samples when fetched again"));
             }
             Some(_) => {}
             None => {
--- a/tests/all/capacity.rs
+++ b/tests/all/capacity.rs
@@ -1,31 +1,33 @@
-//! The capacity page stands on counted figures; here they are counted again.
+//! Compares the figures on the capacity page with the output of the capacity benchmark.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Marks the beginning of the counted table on the page.
+/// Marks the beginning of the table on the page.
 const BEGIN: &str = "<!-- counted: begin -->\n";
-/// Marks its end.
+/// Marks the end of the table.
 const END: &str = "<!-- counted: end -->";
 
-/// Symptom: the page promises what the code no longer does.
-/// Sequence: a change of a message or a table makes a node need more; nobody counts again.
-/// Cause: figures on a page do not follow the code.
+/// Guards against outdated figures on the capacity page: a change to a message or a table makes a
+/// node use more memory or bandwidth, and the page is not updated with it.
 #[test]
-fn the_page_shows_what_the_command_counts() {
+fn the_capacity_page_matches_the_counted_figures() {
     // Arrange
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/CAPACITY.md");
-    let page = std::fs::read_to_string(page).expect("the page");
+    let page = std::fs::read_to_string(page).expect("docs/CAPACITY.md can be read");
     let shown = page.split_once(BEGIN).and_then(|(_, rest)| rest.split_once(END));
-    let (shown, _) = shown.expect("the marks of the table");
+    let (shown, _) = shown.expect("the page has both markers of the table");
 
     // Act
     let output = Command::new(env!("CARGO_BIN_EXE_catkinmast-bench"))
         .args(["capacity", "--counted"])
         .output()
-        .expect("the command runs");
+        .expect("catkinmast-bench runs");
 
     // Assert
-    let counted = String::from_utf8(output.stdout).expect("text");
-    assert_eq!(shown, counted, "copy the command's table onto the page");
+    let counted = String::from_utf8(output.stdout).expect("the output is UTF-8");
+    assert_eq!(
+        shown, counted,
+        "copy the table of `catkinmast-bench capacity --counted` to docs/CAPACITY.md"
+    );
 }
