--- a/crates/node/src/api/answer.rs
+++ b/crates/node/src/api/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are not a success: problems and refusals, always as JSON.
+//! Error responses of the HTTP API: invalid requests and refusals, always as JSON.
 
 use crate::edge::calls::{NoCall, VERDICT_HEADER};
 use catkinmast_model::{Refusal, UnixMs, Verdict};
@@ -10,13 +10,13 @@
 use serde::de::DeserializeOwned;
 use std::io::Cursor;
 
-/// When to come back if nothing better is known.
-const RETRY_MS: u64 = 500;
+/// Delay before a retry where the refusal names no time.
+const DEFAULT_RETRY_DELAY_MS: u64 = 500;
 
-/// Why a request was not done.
+/// An error response; its serialized form is the JSON body.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Problem {
-    /// The field or parameter that is wrong, if one is.
+    /// The invalid field or parameter, if the error concerns one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
     pub message: String,
@@ -28,7 +28,7 @@
 }
 
 impl Problem {
-    /// A request that is wrong in itself; nothing was run.
+    /// Returns the error for an invalid request: status 400, nothing was run.
     pub(crate) fn invalid(field: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             field: Some(field.into()),
@@ -62,9 +62,9 @@
 }
 
 impl From<Refusal> for Problem {
-    /// A refusal is something that can pass, so it always says when to come back.
+    /// Converts a refusal. Its cause is temporary, so the response always has a retry time.
     fn from(refusal: Refusal) -> Self {
-        let soon = || UnixMs::from_wall_clock().plus(RETRY_MS);
+        let default_retry_at = || UnixMs::from_wall_clock().plus(DEFAULT_RETRY_DELAY_MS);
         let status = match refusal.verdict {
             Verdict::NotRun => 503,
             Verdict::MayHaveRun | Verdict::Ran => 502,
@@ -72,7 +72,7 @@
         Self {
             field: None,
             message: refusal.message,
-            retry_at_unix_ms: Some(refusal.retry_at_unix_ms.unwrap_or_else(soon)),
+            retry_at_unix_ms: Some(refusal.retry_at_unix_ms.unwrap_or_else(default_retry_at)),
             status,
             verdict: refusal.verdict,
         }
@@ -96,15 +96,15 @@
     }
 }
 
-/// Reads a JSON body of at most `most_bytes`; an error names the place in the text.
+/// Reads a JSON body of at most `max_bytes`; a parse error names the line and column.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     data: Data<'_>,
-    most_bytes: u64,
+    max_bytes: u64,
 ) -> Result<T, Problem> {
-    let read = data.open(most_bytes.bytes()).into_bytes().await;
+    let read = data.open(max_bytes.bytes()).into_bytes().await;
     let bytes = read.map_err(|error| Problem::invalid("body", format!("was cut: {error}")))?;
     if !bytes.is_complete() {
-        let message = format!("the body is longer than {most_bytes} bytes");
+        let message = format!("the body is longer than {max_bytes} bytes");
         return Err(Problem { status: 413, ..Problem::invalid("body", message) });
     }
     serde_json::from_slice(&bytes).map_err(|error| Problem::invalid("body", error.to_string()))
--- a/crates/node/src/api/call.rs
+++ b/crates/node/src/api/call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: `/v1/call/<service>/<path>`, any method, bodies streamed.
+//! Calls of plain services at `/v1/call/<service>/<path>`. Long bodies are streamed.
 
 use crate::api::answer::Problem;
 use crate::api::guard::RequestContext;
@@ -18,16 +18,16 @@
 use tokio::sync::mpsc;
 use tokio_util::io::StreamReader;
 
-/// A body up to this size is held, so that it can be sent again; a longer one is streamed.
-const HELD_BODY_MAX_BYTES: usize = 64 * 1024;
-/// Size of the pieces in which a longer body is passed on.
-const PIECE_BYTES: usize = 16 * 1024;
-/// The prefix of every path that is served here.
+/// A shorter body is buffered, so that a retry can send it again; a longer one is streamed.
+const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
+/// Size of the chunks in which a streamed body is forwarded.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Path prefix of the routes in this module.
 const PREFIX: &str = "/v1/call/";
-/// A caller's own bound on the time that a call may take.
+/// Request header with the caller's timeout for the call.
 const TIMEOUT_HEADER: &str = "Catkinmast-Timeout-Ms";
 
-/// Serves calls of plain services.
+/// Route handler for calls of plain services.
 #[derive(Clone, Copy, Debug)]
 struct CallHandler;
 
@@ -49,11 +49,11 @@
 #[async_trait]
 impl Handler for CallHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let answered = match serve(request, data).await {
+        let result = match serve(request, data).await {
             Ok(answer) => respond(answer),
             Err(problem) => problem.respond_to(request),
         };
-        match answered {
+        match result {
             Ok(response) => Outcome::Success(response),
             Err(status) => Outcome::Error(status),
         }
@@ -68,36 +68,37 @@
     let (service, path) = split_path(request)?;
     let snapshot = shared.snapshot();
     let (_, call) = find_call(&snapshot, &service, &path)?;
-    let most = snapshot.document().map_or(0, |document| document.limits.request_body_max_bytes);
-    let (body, pump) = open_body(request, data, most).await?;
+    let max_bytes =
+        snapshot.document().map_or(0, |document| document.limits.request_body_max_bytes);
+    let (body, forwarding) = open_body(request, data, max_bytes).await?;
     let call_request = CallRequest {
         body,
-        headers: own_headers(request),
-        method: method_of(request)?,
+        headers: request_headers(request),
+        method: request_method(request)?,
         path,
         service: &service,
         workspace: &workspace,
         timeout_ms: timeout_ms(request)?,
     };
     let ticket = request.headers().get_one(ticket::TICKET_HEADER);
-    let calling = async {
+    let call_future = async {
         match ticket.filter(|_| !call.idempotent) {
             Some(text) => ticket::call_once(shared, call_request, text, request).await,
             None => call_service(shared, call_request).await.map_err(Problem::from),
         }
     };
-    match pump {
-        // The body comes in while the call is under way; the answer may end the pump early.
-        Some(pump) => {
-            tokio::pin!(pump);
-            tokio::pin!(calling);
+    match forwarding {
+        // The body is received while the call runs; an early answer stops the forwarding.
+        Some(forwarding) => {
+            tokio::pin!(forwarding);
+            tokio::pin!(call_future);
             tokio::select! {
                 biased;
-                answer = &mut calling => answer,
-                () = &mut pump => calling.await,
+                answer = &mut call_future => answer,
+                () = &mut forwarding => call_future.await,
             }
         }
-        None => calling.await,
+        None => call_future.await,
     }
 }
 
@@ -112,12 +113,12 @@
     Ok((service.to_owned(), format!("/{path}{query}")))
 }
 
-fn own_headers(request: &Request<'_>) -> Vec<(String, String)> {
+fn request_headers(request: &Request<'_>) -> Vec<(String, String)> {
     let headers = request.headers().iter();
     headers.map(|header| (header.name().to_string(), header.value().to_owned())).collect()
 }
 
-fn method_of(request: &Request<'_>) -> Result<reqwest::Method, Problem> {
+fn request_method(request: &Request<'_>) -> Result<reqwest::Method, Problem> {
     let name = request.method().as_str();
     reqwest::Method::from_bytes(name.as_bytes())
         .map_err(|_unknown| Problem::invalid("method", format!("'{name}' is not known")))
@@ -134,72 +135,73 @@
     }
 }
 
-/// Reads a short body whole, or prepares the passing on of a longer one.
+/// Reads a short body into memory, or returns a stream and the future that feeds it.
 async fn open_body<'r>(
     request: &Request<'_>,
     data: Data<'r>,
-    most: u64,
+    max_bytes: u64,
 ) -> Result<(CallBody, Option<impl Future<Output = ()> + use<'r>>), Problem> {
-    let announced = request.headers().get_one("Content-Length").and_then(|text| text.parse().ok());
-    if announced.is_some_and(|length: u64| length > most) {
-        return Err(too_long(most));
+    let content_length =
+        request.headers().get_one("Content-Length").and_then(|text| text.parse().ok());
+    if content_length.is_some_and(|length: u64| length > max_bytes) {
+        return Err(too_long(max_bytes));
     }
-    let mut stream = data.open((most + 1).bytes());
-    let mut first = Vec::new();
-    let mut limited = (&mut stream).take(HELD_BODY_MAX_BYTES as u64);
-    let read = limited.read_to_end(&mut first).await;
+    let mut stream = data.open((max_bytes + 1).bytes());
+    let mut buffered = Vec::new();
+    let mut limited_stream = (&mut stream).take(BUFFERED_BODY_MAX_BYTES as u64);
+    let read = limited_stream.read_to_end(&mut buffered).await;
     read.map_err(|error| Problem::invalid("body", format!("was cut: {error}")))?;
-    if first.len() as u64 > most {
-        return Err(too_long(most));
+    if buffered.len() as u64 > max_bytes {
+        return Err(too_long(max_bytes));
     }
-    if announced
-        .is_some_and(|length| length > first.len() as u64 && first.len() < HELD_BODY_MAX_BYTES)
-    {
+    if content_length.is_some_and(|length| {
+        length > buffered.len() as u64 && buffered.len() < BUFFERED_BODY_MAX_BYTES
+    }) {
         return Err(Problem::invalid("body", "ended before its announced length"));
     }
-    if first.len() < HELD_BODY_MAX_BYTES {
-        return Ok((CallBody::Held(Bytes::from(first)), None));
+    if buffered.len() < BUFFERED_BODY_MAX_BYTES {
+        return Ok((CallBody::Held(Bytes::from(buffered)), None));
     }
-    let (sender, mut pieces) = mpsc::channel::<Result<Bytes, std::io::Error>>(4);
-    let received = futures::stream::poll_fn(move |context| pieces.poll_recv(context));
-    let body = CallBody::Streamed(reqwest::Body::wrap_stream(received));
-    Ok((body, Some(pump(stream, first, sender, most, announced))))
+    let (sender, mut chunks) = mpsc::channel::<Result<Bytes, std::io::Error>>(4);
+    let chunk_stream = futures::stream::poll_fn(move |context| chunks.poll_recv(context));
+    let body = CallBody::Streamed(reqwest::Body::wrap_stream(chunk_stream));
+    Ok((body, Some(forward_body(stream, buffered, sender, max_bytes, content_length))))
 }
 
-fn too_long(most: u64) -> Problem {
-    let message = format!("the body is longer than request_body_max_bytes ({most})");
+fn too_long(max_bytes: u64) -> Problem {
+    let message = format!("the body is longer than request_body_max_bytes ({max_bytes})");
     Problem { status: 413, ..Problem::invalid("body", message) }
 }
 
-/// Passes a long body on. One that was cut, or is too long, ends as an error, so that the target
-/// never takes a part for the whole.
-async fn pump(
+/// Forwards a long body. A truncated or too long body ends with an error, so that the target never
+/// takes it for complete.
+async fn forward_body(
     mut stream: DataStream<'_>,
-    first: Vec<u8>,
+    buffered: Vec<u8>,
     sender: mpsc::Sender<Result<Bytes, std::io::Error>>,
-    most: u64,
-    announced: Option<u64>,
+    max_bytes: u64,
+    content_length: Option<u64>,
 ) {
-    let mut passed = first.len() as u64;
-    let mut next = Ok(Bytes::from(first));
+    let mut forwarded_bytes = buffered.len() as u64;
+    let mut next = Ok(Bytes::from(buffered));
     loop {
         let failed = next.is_err();
         if sender.send(next).await.is_err() || failed {
             return;
         }
-        let mut piece = vec![0; PIECE_BYTES];
-        next = match stream.read(&mut piece).await {
-            Ok(0) if announced.is_some_and(|length| length != passed) => {
+        let mut chunk = vec![0; CHUNK_BYTES];
+        next = match stream.read(&mut chunk).await {
+            Ok(0) if content_length.is_some_and(|length| length != forwarded_bytes) => {
                 Err(std::io::ErrorKind::UnexpectedEof.into())
             }
             Ok(0) => return,
             Ok(count) => {
-                passed += count as u64;
-                piece.truncate(count);
-                if passed > most {
+                forwarded_bytes += count as u64;
+                chunk.truncate(count);
+                if forwarded_bytes > max_bytes {
                     Err(std::io::Error::other("the body is too long"))
                 } else {
-                    Ok(Bytes::from(piece))
+                    Ok(Bytes::from(chunk))
                 }
             }
             Err(error) => Err(error),
@@ -219,14 +221,14 @@
         }
         AnswerBody::Streamed { length_bytes, response: target } => {
             let permit = answer.permit;
-            let pieces = target.bytes_stream().map_err(std::io::Error::other);
-            // The permit lives as long as the stream. The announced length is what makes a cut
-            // visible: the connection closes before it is reached.
-            let pieces = pieces.inspect(move |_| {
-                let _held = &permit;
+            let chunks = target.bytes_stream().map_err(std::io::Error::other);
+            // The permit is released when the stream ends. With the content length, the caller
+            // detects a truncated answer: the connection closes before all bytes are sent.
+            let chunks = chunks.inspect(move |_| {
+                let _permit = &permit;
             });
             response.raw_header("Content-Length", length_bytes.to_string());
-            response.streamed_body(StreamReader::new(Box::pin(pieces)));
+            response.streamed_body(StreamReader::new(Box::pin(chunks)));
         }
     }
     response.ok::<std::convert::Infallible>().map_err(|never| match never {})
--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -1,8 +1,8 @@
 //! Generation for applications: tokens from an engine chosen by selector, streamed as JSON lines.
 //!
-//! A stream that breaks at its engine goes on at another one from the tokens already sent, so the
-//! caller receives the whole answer. The last line counts the tokens; without it the answer is
-//! not whole, and a caller must treat it so.
+//! If an engine's stream fails, another engine resumes after the tokens already sent, so the caller
+//! still receives the complete answer. The last line has the token count; an answer without it is
+//! incomplete, and the caller must treat it as such.
 
 use crate::api::answer::{Problem, read_json};
 use crate::api::guard::RequestContext;
@@ -24,20 +24,20 @@
 use std::time::Instant;
 use tokio::sync::mpsc;
 
-/// The largest request body, in bytes.
+/// Maximum size of the request body.
 const BODY_MAX_BYTES: u64 = 256 * 1024;
-/// Most answers that one engine gives a node at once.
+/// Maximum number of requests that a node has in flight at one engine.
 const ENGINE_IN_FLIGHT_MAX: u32 = 64;
-/// Most engines tried for one answer.
-const TRIES_MAX: usize = 4;
-/// The priority of applications at an engine; samples for trainers are below it.
+/// Maximum number of engines tried for one answer.
+const ENGINES_TRIED_MAX: usize = 4;
+/// Priority of application requests at an engine, above that of trainers' samples.
 const CALLER_PRIORITY: u8 = 100;
-/// How long a request waits for a place.
+/// How long a request may wait for admission.
 const ADMISSION_WAIT_MS: u64 = 2_000;
-/// Lines that wait for a slow caller.
-const LINES_WAITING: usize = 64;
+/// Maximum number of lines buffered for a slow caller.
+const LINES_BUFFERED_MAX: usize = 64;
 
-/// What a caller asks for.
+/// The request body.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct GenerateBody {
@@ -78,11 +78,11 @@
     }
     let deadline = shared.now().plus(ADMISSION_WAIT_MS);
     let permit = admit(&shared, &workspace, CallClass::Lookup, deadline).await?;
-    let (sender, mut lines) = mpsc::channel(LINES_WAITING);
+    let (sender, mut lines) = mpsc::channel(LINES_BUFFERED_MAX);
     tokio::spawn(async move {
         Generation { model, selector, body, sender, shared, _permit: permit }.run().await;
     });
-    // The first line decides the status: a refusal before any token is no stream.
+    // A refusal before the first token is answered with an error status instead of a stream.
     let first = match lines.recv().await {
         Some(Line::Refused { message, verdict }) => {
             let refusal = Refusal { message, retry_at_unix_ms: None, verdict };
@@ -102,6 +102,7 @@
     })
 }
 
+/// One answer in progress.
 struct Generation {
     model: Name,
     selector: Selector,
@@ -111,9 +112,9 @@
     _permit: Permit,
 }
 
-/// Why one engine's part of an answer ended before the whole.
-enum Broken {
-    CallerLeft,
+/// Why the stream from one engine ended early.
+enum StreamFailure {
+    CallerDisconnected,
     Engine(String),
 }
 
@@ -122,7 +123,7 @@
         let mut segments = Segments::default();
         let mut tried = Vec::new();
         let mut message = format!("no live engine of model '{}' fits", self.model);
-        while tried.len() < TRIES_MAX {
+        while tried.len() < ENGINES_TRIED_MAX {
             let engines = self.shared.snapshot().engines(&self.model, &self.selector);
             let engines = stable_subset(self.shared.me(), &engines, SUBSET_SIZE);
             let Some(flight) = pick(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX) else {
@@ -130,29 +131,33 @@
             };
             let engine = flight.target().clone();
             tried.push(engine.clone());
-            let began = Instant::now();
+            let started_at = Instant::now();
             match self.stream_from(&engine, &mut segments).await {
                 Ok(()) => {
-                    let latency_us = began.elapsed().as_micros() as u64;
+                    let latency_us = started_at.elapsed().as_micros() as u64;
                     return flight.finish(Outcome::Answered { latency_us });
                 }
-                Err(Broken::CallerLeft) => return,
-                Err(Broken::Engine(why)) => {
+                Err(StreamFailure::CallerDisconnected) => return,
+                Err(StreamFailure::Engine(reason)) => {
                     flight.finish(Outcome::Failed);
-                    log::info!("engine {engine} broke an answer: {why}");
-                    message = format!("engine {engine}: {why}");
+                    log::info!("engine {engine} failed during an answer: {reason}");
+                    message = format!("engine {engine}: {reason}");
                 }
             }
         }
         let verdict = if tried.is_empty() { Verdict::NotRun } else { Verdict::MayHaveRun };
-        // A caller that has left needs no refusal.
-        let _unheard = self.sender.send(Line::Refused { message, verdict }).await;
+        // Sending fails only if the caller has disconnected.
+        let _disconnected = self.sender.send(Line::Refused { message, verdict }).await;
     }
 
-    async fn stream_from(&self, engine: &Name, segments: &mut Segments) -> Result<(), Broken> {
-        let broken = |message: String| Broken::Engine(message);
+    async fn stream_from(
+        &self,
+        engine: &Name,
+        segments: &mut Segments,
+    ) -> Result<(), StreamFailure> {
+        let engine_failure = |message: String| StreamFailure::Engine(message);
         let address = self.shared.snapshot().address(engine);
-        let address = address.ok_or_else(|| broken("it is gone".to_owned()))?;
+        let address = address.ok_or_else(|| engine_failure("it is gone".to_owned()))?;
         let number = self.shared.next_request.fetch_add(1, Ordering::Relaxed);
         let request = GenerateRequest {
             max_tokens: self.body.max_tokens,
@@ -164,12 +169,14 @@
             seed: self.body.seed,
         };
         let opened = self.shared.clients.engines.generate(address, &request).await;
-        let mut lines = opened.map_err(|error| broken(error.to_string()))?;
+        let mut lines = opened.map_err(|error| engine_failure(error.to_string()))?;
         while let Some(line) = lines.next().await {
-            match line.map_err(|error| broken(error.to_string()))? {
+            match line.map_err(|error| engine_failure(error.to_string()))? {
                 EngineLine::Chunk { start, tokens, version, .. } => {
                     if start != segments.token_count() {
-                        return Err(broken(format!("tokens from {start} were not expected")));
+                        return Err(engine_failure(format!(
+                            "tokens from {start} were not expected"
+                        )));
                     }
                     segments.push(version, tokens.len() as u32);
                     self.send(Line::Chunk { start, tokens, version }).await?;
@@ -178,14 +185,14 @@
                     return self.send(Line::End { count, segments: segments.clone() }).await;
                 }
                 EngineLine::End { count, .. } => {
-                    return Err(broken(format!("{count} tokens were announced")));
+                    return Err(engine_failure(format!("{count} tokens were announced")));
                 }
             }
         }
-        Err(broken("the stream ended without its end line".to_owned()))
+        Err(engine_failure("the stream ended without its end line".to_owned()))
     }
 
-    async fn send(&self, line: Line) -> Result<(), Broken> {
-        self.sender.send(line).await.map_err(|_closed| Broken::CallerLeft)
+    async fn send(&self, line: Line) -> Result<(), StreamFailure> {
+        self.sender.send(line).await.map_err(|_closed| StreamFailure::CallerDisconnected)
     }
 }
--- a/crates/node/src/api/guard.rs
+++ b/crates/node/src/api/guard.rs
@@ -1,4 +1,4 @@
-//! Who is asking, found out before a handler runs.
+//! The request guard that identifies the client before a handler runs.
 
 use crate::api::answer::Problem;
 use crate::auth::{Identity, Role};
@@ -8,7 +8,7 @@
 use std::convert::Infallible;
 use std::sync::Arc;
 
-/// The bearer of the request's token, none when there is no token that we know.
+/// The node's shared state and the identity of the client, none if its token is missing or unknown.
 #[derive(Debug)]
 pub(crate) struct RequestContext {
     pub identity: Option<Identity>,
@@ -29,7 +29,11 @@
 }
 
 impl RequestContext {
-    /// Checks that the bearer may act in a role, and returns the bearer's name.
+    /// Checks that the client has a role, and returns the client's name.
+    ///
+    /// # Errors
+    ///
+    /// Status 401 without a known token, 403 if the token is for another role.
     pub(crate) fn require_role(&self, role: Role) -> Result<String, Problem> {
         if self.shared.may(self.identity.as_ref(), role) {
             let name = self.identity.as_ref().map_or("anybody", |identity| identity.name.as_str());
@@ -44,7 +48,11 @@
         })
     }
 
-    /// Checks that the bearer is the trainer itself.
+    /// Checks that the client is this trainer.
+    ///
+    /// # Errors
+    ///
+    /// Status 401 without a known token, 403 if the token is not this trainer's.
     pub(crate) fn require_trainer(&self, trainer: &str) -> Result<(), Problem> {
         let name = self.require_role(Role::Trainer)?;
         if name == trainer || self.shared.is_open() {
--- a/crates/node/src/api/mod.rs
+++ b/crates/node/src/api/mod.rs
@@ -1,8 +1,9 @@
-//! The HTTP interface of a node, for callers, trainers and operators.
+//! The HTTP API of a node, for callers, trainers and operators.
 //!
-//! Handlers read the snapshot, ask the aggregates on the request path, and hand commands to the
-//! control thread. Whatever is given up on is answered at once with its verdict and the time to
-//! come back ([`answer::Problem`]); nothing is held back to keep a client from asking again.
+//! Handlers read the snapshot, use the state shared by all requests (admission, routing, tickets),
+//! and send commands to the control thread. A request that cannot be served is answered at once
+//! with its verdict and a retry time ([`answer::Problem`]); an answer is never delayed to slow down
+//! a client's retries.
 
 #![expect(clippy::redundant_type_annotations, reason = "written by the framework's route macros")]
 
@@ -22,10 +23,11 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// How long the web framework lets connections end once it is told to stop.
+/// How long the web framework waits for open connections to end when it shuts down.
 ///
-/// It looks once whether any connection is open, and then waits the whole time. The drain has
-/// waited for every request before that, so this only has to flush what a slow caller still reads.
+/// The framework checks once for open connections and then waits the full time. The drain has
+/// waited for all requests before that, so this only covers answers still being sent to slow
+/// callers.
 const STOP_GRACE_S: u32 = 5;
 
 /// The running web server.
@@ -36,7 +38,11 @@
     pub task: tokio::task::JoinHandle<()>,
 }
 
-/// Serves the interface at the address of the settings.
+/// Starts the web server at the address in the settings, and returns once it listens.
+///
+/// # Errors
+///
+/// A message for the operator if the server is misconfigured or the address cannot be bound.
 pub(crate) async fn serve(shared: Arc<Shared>) -> Result<WebServer, String> {
     let http = shared.settings.http;
     let figment = rocket::Config::figment()
@@ -44,13 +50,14 @@
         .merge(("port", http.port()))
         .merge(("log_level", "off"))
         .merge(("cli_colors", false))
-        // The framework would stop by itself on SIGTERM, in the middle of the drain.
+        // By default the framework shuts down on SIGTERM, before the drain has ended.
         .merge(("shutdown.ctrlc", false))
         .merge(("shutdown.signals", Vec::<String>::new()))
         .merge(("shutdown.grace", STOP_GRACE_S))
         .merge(("shutdown.mercy", 1));
     let (ready, bound) = oneshot::channel();
-    let rocket = mount(rocket::custom(figment), Arc::clone(&shared)).attach(announce(ready));
+    let rocket =
+        mount(rocket::custom(figment), Arc::clone(&shared)).attach(report_bound_address(ready));
     let rocket = rocket.attach(count_requests(shared));
     let ignited = rocket.ignite().await.map_err(|error| error.pretty_print().to_string())?;
     let shutdown = ignited.shutdown();
@@ -63,24 +70,24 @@
     Ok(WebServer { address, shutdown, task })
 }
 
-fn announce(ready: oneshot::Sender<SocketAddr>) -> AdHoc {
+fn report_bound_address(ready: oneshot::Sender<SocketAddr>) -> AdHoc {
     let ready = std::sync::Mutex::new(Some(ready));
     AdHoc::on_liftoff("announce the bound address", move |rocket| {
         let address = SocketAddr::new(rocket.config().address, rocket.config().port);
         let sender = crate::shared::lock(&ready).take();
         Box::pin(async move {
             if let Some(sender) = sender {
-                // Nobody waits any more when the start was given up.
-                let _unheard = sender.send(address);
+                // Sending fails only if the start was cancelled.
+                let _cancelled = sender.send(address);
             }
         })
     })
 }
 
-/// Counts a request from its arrival until the last piece of its answer was handed over.
+/// Counts a request as in progress from its arrival until its answer is sent.
 ///
-/// A planned stop waits for this count. The framework keeps a request's cache until its answer
-/// was sent, whichever way the handler ended.
+/// A graceful shutdown waits for this count to reach zero. The framework keeps a request's local
+/// cache until the answer is sent, however the handler ends.
 fn count_requests(shared: Arc<Shared>) -> AdHoc {
     AdHoc::on_request("count requests in progress", move |request, _| {
         let shared = Arc::clone(&shared);
--- a/crates/node/src/api/operator.rs
+++ b/crates/node/src/api/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: the configuration, status, drains, and the audit trail.
+//! Endpoints for operators: the configuration, status, drains, and the audit trail.
 
 #![expect(clippy::needless_pass_by_value, reason = "the framework hands guards over by value")]
 
@@ -24,27 +24,26 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The largest request of an operator, in bytes.
+/// Maximum size of a request body.
 const REQUEST_MAX_BYTES: u64 = 1 << 20;
-/// Entries of the audit trail shown without a number asked for.
-const AUDIT_SHOWN: usize = 100;
-/// Milliseconds of a day.
+/// Number of audit entries returned by default.
+const AUDIT_ENTRIES_DEFAULT: usize = 100;
 const DAY_MS: u64 = 86_400_000;
-/// How many days of the audit trail are read at most for one request.
-const AUDIT_DAYS_READ: u64 = 14;
-/// How often the writing of an audit entry is tried.
-const AUDIT_TRIES: u32 = 20;
-/// Pause between two tries.
-const AUDIT_PAUSE: Duration = Duration::from_secs(3);
+/// Maximum number of days of the audit trail read for one request.
+const AUDIT_DAYS_READ_MAX: u64 = 14;
+/// Maximum number of attempts to write an audit entry.
+const AUDIT_WRITE_ATTEMPTS_MAX: u32 = 20;
+/// Delay between two of these attempts.
+const AUDIT_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// The configuration in force at the node that was asked.
+/// The configuration in force at this node.
 #[derive(Debug, Serialize)]
 pub(crate) struct ConfigView {
     revision: u64,
     text: String,
 }
 
-/// Shows the configuration in force here.
+/// Returns the configuration in force at this node, revision 0 without text if there is none.
 #[get("/v1/config")]
 pub(crate) fn show(context: RequestContext) -> Result<Json<ConfigView>, Problem> {
     context.require_role(Role::Operator)?;
@@ -82,14 +81,14 @@
         ApplyResult::Refused { .. } => (Status::BadGateway, "may_have_run", request.base_revision),
     };
     let what = format!("config apply, operation {}", request.operation_id);
-    record(
+    record_audit_entry(
         &context.shared,
-        AuditEntry::now(&author, what, outcome).revisions(request.base_revision, to),
+        AuditEntry::now(&author, what, outcome).with_revisions(request.base_revision, to),
     );
     Ok((status, Json(result)))
 }
 
-/// Lists the accepted operations, newest last.
+/// Lists the accepted configuration changes, newest last.
 #[get("/v1/config/history")]
 pub(crate) async fn history(context: RequestContext) -> Result<Json<Vec<Accepted>>, Problem> {
     context.require_role(Role::Operator)?;
@@ -107,7 +106,7 @@
     text: String,
 }
 
-/// Compares a document with the configuration in force here.
+/// Compares a document with the configuration in force at this node.
 #[post("/v1/config/diff", data = "<data>")]
 pub(crate) async fn diff_config(
     context: RequestContext,
@@ -120,7 +119,7 @@
     Ok(Json(diff(in_force, &text)))
 }
 
-/// What a node knows.
+/// The status of a node and its view of the deployment.
 #[derive(Debug, Serialize)]
 pub(crate) struct StatusView {
     config_revision: u64,
@@ -135,7 +134,7 @@
     targets: Vec<TargetFact>,
 }
 
-/// Shows members, targets, owners and load, as this node sees them.
+/// Returns nodes, targets, trainers' owners and load, as this node sees them.
 #[get("/v1/status")]
 pub(crate) fn status(context: RequestContext) -> Result<Json<StatusView>, Problem> {
     context.require_role(Role::Operator)?;
@@ -159,7 +158,7 @@
     }))
 }
 
-/// Lets a node leave: it serves what it has, and its process ends when it is done.
+/// Drains a node: it leaves the deployment, finishes the work in progress, and exits.
 #[post("/v1/nodes/<node>/drain")]
 pub(crate) async fn drain_node(context: RequestContext, node: &str) -> Result<Status, Problem> {
     let who = context.require_role(Role::Operator)?;
@@ -178,26 +177,29 @@
             return Err(Refusal::may_have_run(message).into());
         }
     }
-    record(shared, AuditEntry::now(&who, format!("drain node {node}"), "accepted"));
+    record_audit_entry(shared, AuditEntry::now(&who, format!("drain node {node}"), "accepted"));
     Ok(Status::Accepted)
 }
 
-/// Lets no new work go to a target, for as long as it keeps its life.
+/// Drains a target: it receives no new work until its next incarnation.
 #[post("/v1/targets/<target>/drain")]
 pub(crate) async fn drain_target(context: RequestContext, target: &str) -> Result<Status, Problem> {
     let who = context.require_role(Role::Operator)?;
     let name: Name =
         target.parse().map_err(|error| Problem::invalid("target", format!("{error}")))?;
-    let (reply, known) = oneshot::channel();
+    let (reply, found) = oneshot::channel();
     context.shared.tell(Input::DrainTarget { reply, target: name });
-    if known.await != Ok(true) {
+    if found.await != Ok(true) {
         return Err(Problem::with_status(404, format!("target '{target}' is not known")));
     }
-    record(&context.shared, AuditEntry::now(&who, format!("drain target {target}"), "accepted"));
+    record_audit_entry(
+        &context.shared,
+        AuditEntry::now(&who, format!("drain target {target}"), "accepted"),
+    );
     Ok(Status::Accepted)
 }
 
-/// One operator's action.
+/// An entry of the audit trail: one operator's action.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct AuditEntry {
     at_unix_ms: UnixMs,
@@ -220,62 +222,64 @@
         }
     }
 
-    fn revisions(self, from: u64, to: u64) -> Self {
+    fn with_revisions(self, from: u64, to: u64) -> Self {
         Self { from_revision: Some(from), to_revision: Some(to), ..self }
     }
 }
 
-/// Writes an entry of the audit trail; while the service is away it is tried again, and the log
-/// has it in any case.
-fn record(shared: &Arc<Shared>, entry: AuditEntry) {
+/// Logs an audit entry and writes it to the store in the background, with retries.
+fn record_audit_entry(shared: &Arc<Shared>, entry: AuditEntry) {
     let shared = Arc::clone(shared);
     let value = serde_json::to_string(&entry).unwrap_or_default();
     log::info!("audit: {value}");
     let number = shared.next_request.fetch_add(1, Ordering::Relaxed);
-    let day = audit_day(entry.at_unix_ms);
+    let day = audit_day_key(entry.at_unix_ms);
     let key = format!("audit/{day}/{:014}-{}-{number}", entry.at_unix_ms.0, shared.me());
     tokio::spawn(async move {
-        for _ in 0..AUDIT_TRIES {
+        for _ in 0..AUDIT_WRITE_ATTEMPTS_MAX {
             shared.metrics.count_kv_call("audit");
-            // The key is ours alone, so writing it twice writes the same.
+            // Only this call writes the key, so a repeated write is harmless.
             if shared.clients.store.put(&key, &value, Expect::Any, None).await.is_ok() {
                 return;
             }
-            tokio::time::sleep(AUDIT_PAUSE).await;
+            tokio::time::sleep(AUDIT_RETRY_DELAY).await;
         }
-        log::error!("an audit entry is only in this log: {value}");
+        log::error!("audit entry not written to the store, it is only in this log: {value}");
     });
 }
 
-/// Days since the Unix epoch: the trail is kept and read by the day, so that reading its end does
-/// not grow with its age.
-fn audit_day(at: UnixMs) -> String {
+/// Returns the day since the Unix epoch as the key part of that day's entries.
+///
+/// The trail is stored and read by day, so that the cost of reading the newest entries does not
+/// grow with its length.
+fn audit_day_key(at: UnixMs) -> String {
     format!("{:06}", at.0 / DAY_MS)
 }
 
-/// Reads the newest entries of the audit trail, oldest first.
+/// Returns the newest entries of the audit trail, oldest first.
 #[get("/v1/audit?<last>")]
 pub(crate) async fn audit(
     context: RequestContext,
     last: Option<usize>,
 ) -> Result<Json<Vec<AuditEntry>>, Problem> {
     context.require_role(Role::Operator)?;
-    let wanted = last.unwrap_or(AUDIT_SHOWN);
+    let limit = last.unwrap_or(AUDIT_ENTRIES_DEFAULT);
     let today = UnixMs::from_wall_clock().0;
     let mut entries: Vec<AuditEntry> = Vec::new();
-    for day in 0..AUDIT_DAYS_READ {
-        if entries.len() >= wanted {
+    for day in 0..AUDIT_DAYS_READ_MAX {
+        if entries.len() >= limit {
             break;
         }
-        let prefix = format!("audit/{}/", audit_day(UnixMs(today.saturating_sub(day * DAY_MS))));
+        let prefix =
+            format!("audit/{}/", audit_day_key(UnixMs(today.saturating_sub(day * DAY_MS))));
         context.shared.metrics.count_kv_call("audit");
         let listed = context.shared.clients.store.list(&prefix).await.map_err(|error| {
             let refusal = Refusal::not_run(error.to_string());
             Problem::from(refusal.retry_at(context.shared.now().plus(1_000)))
         })?;
-        let of_day = listed.iter().filter_map(|entry| serde_json::from_str(&entry.value).ok());
-        entries = of_day.chain(entries).collect();
+        let day_entries = listed.iter().filter_map(|entry| serde_json::from_str(&entry.value).ok());
+        entries = day_entries.chain(entries).collect();
     }
-    entries.drain(..entries.len().saturating_sub(wanted));
+    entries.drain(..entries.len().saturating_sub(limit));
     Ok(Json(entries))
 }
--- a/crates/node/src/api/public.rs
+++ b/crates/node/src/api/public.rs
@@ -1,4 +1,4 @@
-//! What needs no token but the right to call: addresses, health, metrics.
+//! Endpoints for clients of any role: addresses, health, metrics. Only addresses need a token.
 
 #![expect(clippy::needless_pass_by_value, reason = "the framework hands guards over by value")]
 
@@ -10,7 +10,7 @@
 use rocket::get;
 use rocket::serde::json::Json;
 
-/// Tells which addresses to use, those of the caller's data centre first.
+/// Returns the addresses of the nodes, those of the caller's data centre first.
 #[get("/v1/addresses?<data_centre>")]
 pub(crate) fn addresses(
     context: RequestContext,
@@ -43,13 +43,13 @@
     )))
 }
 
-/// Tells that the process runs.
+/// Liveness probe: always succeeds.
 #[get("/healthz")]
 pub(crate) const fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// Tells whether new callers should come here.
+/// Readiness probe: succeeds if this node accepts new callers.
 #[get("/readyz")]
 pub(crate) fn readyz(context: RequestContext) -> Result<&'static str, Problem> {
     let snapshot = context.shared.snapshot();
@@ -65,7 +65,7 @@
     Ok("ready\n")
 }
 
-/// Gives the counters as OpenMetrics text.
+/// Returns the metrics in the OpenMetrics text format.
 #[get("/metrics")]
 pub(crate) fn metrics(context: RequestContext) -> (rocket::http::ContentType, String) {
     let kind = rocket::http::ContentType::new("application", "openmetrics-text")
--- a/crates/node/src/api/ticket.rs
+++ b/crates/node/src/api/ticket.rs
@@ -1,7 +1,6 @@
-//! Calls with a ticket: run at most once, by the node life that the ticket names.
+//! Calls with a ticket: run at most once, by the node and incarnation that the ticket names.
 
 use crate::api::answer::Problem;
-
 use crate::edge::calls::{Answer, AnswerBody, CallRequest, admit, call_service};
 use crate::shared::{Shared, lock};
 use bytes::Bytes;
@@ -12,18 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The header in which a caller sends its ticket.
+/// Request header with the caller's ticket.
 pub(crate) const TICKET_HEADER: &str = "Catkinmast-Ticket";
-/// Marks a call that another node has passed on, so that it is not passed on again.
+/// Marks a call that another node has forwarded, so that it is not forwarded again.
 const FORWARDED_HEADER: &str = "Catkinmast-Forwarded";
-/// The longest answer that is recorded for repetitions, in bytes.
+/// Maximum size of an answer that is recorded for repetitions.
 const RECORDED_MAX_BYTES: usize = 64 * 1024;
-/// When to ask again about a call that is running.
+/// Delay before a caller asks again about a running call.
 const RUNNING_RETRY_MS: u64 = 200;
-/// How long a passed-on call may take.
+/// Timeout of a forwarded call.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a call whose ticket names this life, or passes it to the node that the ticket names.
+/// Runs a call whose ticket names this incarnation of this node, or forwards it to the node named.
 pub(crate) async fn call_once(
     shared: &Arc<Shared>,
     call: CallRequest<'_>,
@@ -47,8 +46,8 @@
     ticket: &Ticket,
 ) -> Result<Answer, Problem> {
     let retry_at = shared.now().plus(RUNNING_RETRY_MS);
-    let begin = lock(&shared.traffic.tickets).begin(UnixMs::from_wall_clock(), ticket);
-    match begin {
+    let decision = lock(&shared.traffic.tickets).begin(UnixMs::from_wall_clock(), ticket);
+    match decision {
         TicketDecision::Run => {}
         TicketDecision::Expired => {
             let message = "the ticket has expired, so nobody remembers whether its call ran";
@@ -82,12 +81,13 @@
         }
     };
     guard.settled = true;
-    lock(&shared.traffic.tickets).record_answer(ticket, record(&answer));
+    lock(&shared.traffic.tickets).record_answer(ticket, recorded_answer(&answer));
     Ok(answer)
 }
 
-/// Marks a ticket as unsettled when its call ends in any way that is not an answer or `NotRun`:
-/// the handler may be dropped in the middle, and a repetition must not run then.
+/// Marks a ticket as unsettled on drop unless its call ended with an answer or as `NotRun`.
+///
+/// The handler may be dropped during the call; a repetition must not run then.
 struct TicketGuard<'a> {
     settled: bool,
     shared: &'a Arc<Shared>,
@@ -102,9 +102,9 @@
     }
 }
 
-fn record(answer: &Answer) -> RecordedAnswer {
-    let kind = |(name, _): &&(String, String)| name.eq_ignore_ascii_case("content-type");
-    let content_type = answer.headers.iter().find(kind).map(|(_, value)| value.clone());
+fn recorded_answer(answer: &Answer) -> RecordedAnswer {
+    let is_content_type = |(name, _): &&(String, String)| name.eq_ignore_ascii_case("content-type");
+    let content_type = answer.headers.iter().find(is_content_type).map(|(_, value)| value.clone());
     let body = match &answer.body {
         AnswerBody::Held(bytes) if bytes.len() <= RECORDED_MAX_BYTES => Some(bytes.to_vec()),
         _ => None,
@@ -125,19 +125,21 @@
     };
     let deadline = shared.now().plus(1_000);
     let permit = admit(shared, workspace, CallClass::Act, deadline).await.map_err(|refusal| {
-        // Only the repetition was refused: the call itself ran.
+        // Only the repetition is refused: the call itself has run.
         Problem::from(Refusal { verdict: Verdict::Ran, ..refusal })
     })?;
     let mut headers = vec![("Catkinmast-Replayed".to_owned(), "true".to_owned())];
-    headers.extend(recorded.content_type.map(|kind| ("Content-Type".to_owned(), kind)));
+    headers.extend(
+        recorded.content_type.map(|content_type| ("Content-Type".to_owned(), content_type)),
+    );
     let body = AnswerBody::Held(Bytes::from(body));
     Ok(Answer { body, headers, permit, status: recorded.status })
 }
 
-/// Passes a call to the node that its ticket names.
+/// Forwards a call to the node that its ticket names.
 ///
-/// Whatever goes wrong on the way is `MayHaveRun`: an earlier sending of the same ticket may have
-/// reached that node, even if this one did not.
+/// Every failure but a refused admission is `MayHaveRun`: an earlier attempt with the same ticket
+/// may have reached that node, even if this one did not.
 async fn forward(
     shared: &Arc<Shared>,
     call: CallRequest<'_>,
@@ -153,18 +155,18 @@
     };
     let permit = admit(shared, call.workspace, CallClass::Act, shared.now().plus(2_000)).await?;
     let url = format!("http://{}{}", node.http, request.uri());
-    let mut sending = shared.clients.once.request(call.method.clone(), url);
+    let mut outgoing = shared.clients.once.request(call.method.clone(), url);
     for (name, value) in &call.headers {
-        let own = ["connection", "content-length", "host", "transfer-encoding"];
-        if !own.contains(&name.to_ascii_lowercase().as_str()) {
-            sending = sending.header(name, value);
+        let excluded_headers = ["connection", "content-length", "host", "transfer-encoding"];
+        if !excluded_headers.contains(&name.to_ascii_lowercase().as_str()) {
+            outgoing = outgoing.header(name, value);
         }
     }
     let body = match call.body {
         crate::edge::calls::CallBody::Held(bytes) => reqwest::Body::from(bytes),
         crate::edge::calls::CallBody::Streamed(stream) => stream,
     };
-    let sent = sending.header(FORWARDED_HEADER, "1").body(body).timeout(FORWARD_TIMEOUT);
+    let sent = outgoing.header(FORWARDED_HEADER, "1").body(body).timeout(FORWARD_TIMEOUT);
     let failed = |error: reqwest::Error| {
         let message = format!("node {} of the ticket broke off: {error}", ticket.node);
         Problem::from(Refusal::may_have_run(message).retry_at(retry_at))
--- a/crates/node/src/api/trainer.rs
+++ b/crates/node/src/api/trainer.rs
@@ -1,4 +1,4 @@
-//! Trainers: register, submit a step, fetch a batch, claim it, publish a version, see progress.
+//! Endpoints for trainers: registration, steps, batches, weight versions and progress.
 
 use crate::api::answer::{Problem, read_json};
 use crate::api::guard::RequestContext;
@@ -17,23 +17,23 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The largest step, in bytes of its text.
-const STEP_MAX_BYTES: u64 = 64 << 20;
-/// The largest small request, in bytes.
-const SMALL_MAX_BYTES: u64 = 16 * 1024;
-/// The longest wait for a batch.
-const WAIT_MAX_MS: u64 = 10_000;
-/// How many samples of a batch are read from their holders at once.
-const READS_AT_ONCE: usize = 8;
+/// Maximum size of a step's JSON text.
+const STEP_BODY_MAX_BYTES: u64 = 64 << 20;
+/// Maximum size of the body of any other request.
+const SMALL_BODY_MAX_BYTES: u64 = 16 * 1024;
+/// Maximum time that a fetch waits for its batch to be bound.
+const FETCH_WAIT_MAX_MS: u64 = 10_000;
+/// Number of samples of a batch that are read from their holders concurrently.
+const CONCURRENT_READS_MAX: usize = 8;
 
-/// Checks the token and the trainer's name against the configuration.
-fn known_trainer(context: &RequestContext, trainer: &str) -> Result<Name, Problem> {
+/// Checks that the token is this trainer's and that the trainer is configured.
+fn authorized_trainer(context: &RequestContext, trainer: &str) -> Result<Name, Problem> {
     context.require_trainer(trainer)?;
-    listed_trainer(context, trainer)
+    configured_trainer(context, trainer)
 }
 
-/// Checks a trainer's name against the configuration.
-fn listed_trainer(context: &RequestContext, trainer: &str) -> Result<Name, Problem> {
+/// Checks that a trainer is configured.
+fn configured_trainer(context: &RequestContext, trainer: &str) -> Result<Name, Problem> {
     let name: Name =
         trainer.parse().map_err(|error| Problem::invalid("trainer", format!("{error}")))?;
     let snapshot = context.shared.snapshot();
@@ -47,8 +47,8 @@
     }
 }
 
-/// Turns the owner's answer into what the trainer sees; `wanted` picks the answer that is due.
-fn settle<T>(reply: Reply, wanted: impl FnOnce(Reply) -> Option<T>) -> Result<T, Problem> {
+/// Converts the owner's reply to a response; `expected` extracts the expected reply.
+fn extract_reply<T>(reply: Reply, expected: impl FnOnce(Reply) -> Option<T>) -> Result<T, Problem> {
     match reply {
         Reply::Invalid(error) => Err(Problem::invalid(error.field, error.message)),
         Reply::NotYet { retry_at } => {
@@ -59,33 +59,33 @@
             410,
             format!("batch {batch} is void: it aged beyond the bound, or its content was lost"),
         )),
-        other => wanted(other).ok_or_else(|| Problem::with_status(500, "an unexpected answer")),
+        other => expected(other).ok_or_else(|| Problem::with_status(500, "an unexpected answer")),
     }
 }
 
-/// Sets the trainer's bound and sizes.
+/// Sets the trainer's staleness bound and its group and batch sizes.
 #[put("/v1/trainers/<trainer>", data = "<data>")]
 pub(crate) async fn register(
     context: RequestContext,
     trainer: &str,
     data: Data<'_>,
 ) -> Result<Json<Registration>, Problem> {
-    let name = known_trainer(&context, trainer)?;
-    let registration = read_json(data, SMALL_MAX_BYTES).await?;
+    let name = authorized_trainer(&context, trainer)?;
+    let registration = read_json(data, SMALL_BODY_MAX_BYTES).await?;
     let reply = command_owner(&context.shared, &name, Command::Register(registration)).await;
-    settle(reply, |reply| match reply {
+    extract_reply(reply, |reply| match reply {
         Reply::Registered(registration) => Some(Json(registration)),
         _ => None,
     })
 }
 
-/// Names what was accepted.
+/// The response to an accepted step.
 #[derive(Debug, Serialize)]
 pub(crate) struct StepAccepted {
     step: u64,
 }
 
-/// Adds a step; the same step again changes nothing.
+/// Submits a step; submitting the same step again changes nothing.
 #[put("/v1/trainers/<trainer>/steps/<step>", data = "<data>")]
 pub(crate) async fn submit(
     context: RequestContext,
@@ -93,29 +93,29 @@
     step: u64,
     data: Data<'_>,
 ) -> Result<Json<StepAccepted>, Problem> {
-    let name = known_trainer(&context, trainer)?;
-    let spec: StepSpec = read_json(data, STEP_MAX_BYTES).await?;
+    let name = authorized_trainer(&context, trainer)?;
+    let spec: StepSpec = read_json(data, STEP_BODY_MAX_BYTES).await?;
     let reply = command_owner(&context.shared, &name, Command::Submit { step, spec }).await;
-    settle(reply, |reply| match reply {
+    extract_reply(reply, |reply| match reply {
         Reply::Accepted { step } => Some(Json(StepAccepted { step })),
         _ => None,
     })
 }
 
-/// The version at which a trainer claims.
+/// The request body of a claim: the trainer's weight version.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClaimBody {
     at_version: Version,
 }
 
-/// Names what was claimed.
+/// The response to a claim.
 #[derive(Debug, Serialize)]
 pub(crate) struct BatchClaimed {
     batch: u64,
 }
 
-/// Takes the right to use a batch; the same claim again is the same right.
+/// Claims the right to train on a batch; repeating the claim changes nothing.
 #[post("/v1/trainers/<trainer>/batches/<batch>/claim", data = "<data>")]
 pub(crate) async fn claim(
     context: RequestContext,
@@ -123,56 +123,56 @@
     batch: u64,
     data: Data<'_>,
 ) -> Result<Json<BatchClaimed>, Problem> {
-    let name = known_trainer(&context, trainer)?;
-    let ClaimBody { at_version } = read_json(data, SMALL_MAX_BYTES).await?;
+    let name = authorized_trainer(&context, trainer)?;
+    let ClaimBody { at_version } = read_json(data, SMALL_BODY_MAX_BYTES).await?;
     let reply = command_owner(&context.shared, &name, Command::Claim { at_version, batch }).await;
-    settle(reply, |reply| match reply {
+    extract_reply(reply, |reply| match reply {
         Reply::Claimed { batch } => Some(Json(BatchClaimed { batch })),
         _ => None,
     })
 }
 
-/// Names the version in force.
+/// The response to a publication: the latest published version.
 #[derive(Debug, Serialize)]
 pub(crate) struct VersionPublished {
     version: Version,
 }
 
-/// Announces weights that stand in the weight store.
+/// Publishes a weight version; the weights must already be in the weight store.
 #[put("/v1/trainers/<trainer>/versions/<version>")]
 pub(crate) async fn publish(
     context: RequestContext,
     trainer: &str,
     version: u64,
 ) -> Result<Json<VersionPublished>, Problem> {
-    let name = known_trainer(&context, trainer)?;
+    let name = authorized_trainer(&context, trainer)?;
     let command = Command::Publish { version: Version(version) };
     let reply = command_owner(&context.shared, &name, command).await;
-    settle(reply, |reply| match reply {
+    extract_reply(reply, |reply| match reply {
         Reply::Published { version } => Some(Json(VersionPublished { version })),
         _ => None,
     })
 }
 
-/// Tells how far the trainer's steps are, to the trainer and to operators.
+/// Returns the progress of the trainer's steps, to the trainer and to operators.
 #[get("/v1/trainers/<trainer>/progress")]
 pub(crate) async fn progress(
     context: RequestContext,
     trainer: &str,
 ) -> Result<Json<catkinmast_rollout::Progress>, Problem> {
     let name = if context.require_role(Role::Operator).is_ok() {
-        listed_trainer(&context, trainer)?
+        configured_trainer(&context, trainer)?
     } else {
-        known_trainer(&context, trainer)?
+        authorized_trainer(&context, trainer)?
     };
     let reply = command_owner(&context.shared, &name, Command::Progress).await;
-    settle(reply, |reply| match reply {
+    extract_reply(reply, |reply| match reply {
         Reply::Progress(progress) => Some(Json(progress)),
         _ => None,
     })
 }
 
-/// One line of a batch.
+/// One line of a batch's JSON lines.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 enum Line {
@@ -181,7 +181,7 @@
     Sample { attempt: String, id: SampleId, score: f64, segments: Segments, tokens: Vec<u32> },
 }
 
-/// Reads a batch as JSON lines; the last line counts the samples.
+/// Streams a batch as JSON lines; the last line has the sample count.
 #[get("/v1/trainers/<trainer>/batches/<batch>?<wait_ms>")]
 pub(crate) async fn fetch(
     context: RequestContext,
@@ -189,11 +189,11 @@
     batch: u64,
     wait_ms: Option<u64>,
 ) -> Result<TextStream![String], Problem> {
-    let name = known_trainer(&context, trainer)?;
-    let wait_ms = wait_ms.unwrap_or(0).min(WAIT_MAX_MS);
+    let name = authorized_trainer(&context, trainer)?;
+    let wait_ms = wait_ms.unwrap_or(0).min(FETCH_WAIT_MAX_MS);
     let until = context.shared.now().plus(wait_ms);
     let reply = command_owner(&context.shared, &name, Command::Fetch { batch, until }).await;
-    let view = settle(reply, |reply| match reply {
+    let view = extract_reply(reply, |reply| match reply {
         Reply::Batch(view) => Some(view),
         _ => None,
     })?;
@@ -201,39 +201,41 @@
     Ok(TextStream! {
         let BatchView { batch, samples, step } = view;
         let count = samples.len();
-        yield text_of(&Line::Batch { batch, samples: count, step });
+        yield json_line(&Line::Batch { batch, samples: count, step });
         let reads = samples.into_iter().map(|sample| read_sample(&shared, &name, sample));
-        let mut lines = futures::stream::iter(reads).buffered(READS_AT_ONCE);
-        let mut whole = 0;
+        let mut lines = futures::stream::iter(reads).buffered(CONCURRENT_READS_MAX);
+        let mut sent_count = 0;
         while let Some(line) = lines.next().await {
-            // A sample that nobody holds ends the answer without its last line: the trainer asks
-            // again, and by then the batch is void and its samples are being made anew.
+            // A lost sample ends the answer without its last line. The trainer then fetches again,
+            // and finds the batch void and its samples being generated anew.
             let Some(line) = line else { break };
-            whole += 1;
-            yield text_of(&line);
+            sent_count += 1;
+            yield json_line(&line);
         }
-        if whole == count {
-            yield text_of(&Line::End { samples: count });
+        if sent_count == count {
+            yield json_line(&Line::End { samples: count });
         }
     })
 }
 
-fn text_of(line: &Line) -> String {
+fn json_line(line: &Line) -> String {
     let mut text = serde_json::to_string(line).unwrap_or_default();
     text.push('\n');
     text
 }
 
-/// Reads a sample's tokens and checks them against what the owner knows of it.
+/// Reads a sample's tokens and checks them against the owner's record of the sample.
+///
+/// If no holder has them, reports the loss to the owner and returns none.
 async fn read_sample(shared: &Arc<Shared>, trainer: &Name, bound: BoundView) -> Option<Line> {
     let BoundView { attempt, finished, id } = bound;
     let key = ContentKey { attempt, sample: id, trainer: trainer.clone() };
     let content = content::read(shared, &key, &finished.holders).await;
-    let fits = |content: &Content| {
+    let is_consistent = |content: &Content| {
         content.segments == finished.segments
             && content.tokens.len() == finished.segments.token_count() as usize
     };
-    if let Some(content) = content.filter(fits) {
+    if let Some(content) = content.filter(is_consistent) {
         Some(Line::Sample {
             attempt: attempt.to_string(),
             id,
@@ -242,7 +244,7 @@
             tokens: content.tokens,
         })
     } else {
-        log::warn!("no holder has sample {id} of trainer {trainer}");
+        log::warn!("no holder has the tokens of sample {id} of trainer {trainer}");
         let lost = PeerRequest::ContentLost { attempt, sample: id, trainer: trainer.clone() };
         report_lost(shared, trainer, lost).await;
         None
@@ -254,6 +256,6 @@
     let owner = snapshot.owners.get(trainer).and_then(|owner| snapshot.node(&owner.node));
     let Some(owner) = owner else { return };
     if let Err(error) = ask(shared, owner.control, &lost).await {
-        log::warn!("the owner of trainer {trainer} was not told of a lost sample: {error}");
+        log::warn!("cannot report a lost sample to the owner of trainer {trainer}: {error}");
     }
 }
