--- a/crates/node/src/api/call.rs
+++ b/crates/node/src/api/call.rs
@@ -160,7 +160,7 @@
         return Err(Problem::invalid("body", "ended before its announced length"));
     }
     if buffered.len() < BUFFERED_BODY_MAX_BYTES {
-        return Ok((CallBody::Held(Bytes::from(buffered)), None));
+        return Ok((CallBody::Buffered(Bytes::from(buffered)), None));
     }
     let (sender, mut chunks) = mpsc::channel::<Result<Bytes, std::io::Error>>(4);
     let chunk_stream = futures::stream::poll_fn(move |context| chunks.poll_recv(context));
@@ -216,7 +216,7 @@
         response.raw_header_adjoin(name, value);
     }
     match answer.body {
-        AnswerBody::Held(bytes) => {
+        AnswerBody::Buffered(bytes) => {
             response.sized_body(bytes.len(), Cursor::new(bytes));
         }
         AnswerBody::Streamed { length_bytes, response: target } => {
--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -7,7 +7,7 @@
 use crate::api::answer::{Problem, read_json};
 use crate::api::guard::RequestContext;
 use crate::auth::Role;
-use crate::edge::calls::{Permit, admit, pick};
+use crate::edge::calls::{Permit, admit, choose_target};
 use crate::shared::Shared;
 use crate::snapshot::SUBSET_SIZE;
 use catkinmast_config::CallClass;
@@ -29,7 +29,7 @@
 /// Maximum number of requests that a node has in flight at one engine.
 const ENGINE_IN_FLIGHT_MAX: u32 = 64;
 /// Maximum number of engines tried for one answer.
-const ENGINES_TRIED_MAX: usize = 4;
+const ATTEMPTS_MAX: usize = 4;
 /// Priority of application requests at an engine, above that of trainers' samples.
 const CALLER_PRIORITY: u8 = 100;
 /// How long a request may wait for admission.
@@ -123,10 +123,11 @@
         let mut segments = Segments::default();
         let mut tried = Vec::new();
         let mut message = format!("no live engine of model '{}' fits", self.model);
-        while tried.len() < ENGINES_TRIED_MAX {
+        while tried.len() < ATTEMPTS_MAX {
             let engines = self.shared.snapshot().engines(&self.model, &self.selector);
             let engines = stable_subset(self.shared.me(), &engines, SUBSET_SIZE);
-            let Some(flight) = pick(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX) else {
+            let Some(flight) = choose_target(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX)
+            else {
                 break;
             };
             let engine = flight.target().clone();
--- a/crates/node/src/api/guard.rs
+++ b/crates/node/src/api/guard.rs
@@ -35,7 +35,7 @@
     ///
     /// Status 401 without a known token, 403 if the token is for another role.
     pub(crate) fn require_role(&self, role: Role) -> Result<String, Problem> {
-        if self.shared.may(self.identity.as_ref(), role) {
+        if self.shared.may_act_as(self.identity.as_ref(), role) {
             let name = self.identity.as_ref().map_or("anybody", |identity| identity.name.as_str());
             return Ok(name.to_owned());
         }
@@ -55,7 +55,7 @@
     /// Status 401 without a known token, 403 if the token is not this trainer's.
     pub(crate) fn require_trainer(&self, trainer: &str) -> Result<(), Problem> {
         let name = self.require_role(Role::Trainer)?;
-        if name == trainer || self.shared.is_open() {
+        if name == trainer || self.shared.has_open_access() {
             return Ok(());
         }
         let message = format!("the token of trainer '{name}' does not speak for '{trainer}'");
--- a/crates/node/src/api/operator.rs
+++ b/crates/node/src/api/operator.rs
@@ -6,7 +6,7 @@
 use crate::api::guard::RequestContext;
 use crate::auth::Role;
 use crate::control::Input;
-use crate::edge::peer::{PeerReply, PeerRequest, ask};
+use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
 use crate::edge::publish::{self, ApplyRequest, ApplyResult};
 use crate::edge::store::read_head;
 use crate::shared::Shared;
@@ -165,13 +165,13 @@
     let shared = &context.shared;
     let name: Name = node.parse().map_err(|error| Problem::invalid("node", format!("{error}")))?;
     if name == *shared.me() {
-        shared.drain_wanted.notify_one();
+        shared.drain_requested.notify_one();
     } else {
         let snapshot = shared.snapshot();
         let Some(found) = snapshot.node(&name) else {
             return Err(Problem::with_status(404, format!("node '{node}' is not known")));
         };
-        if let Ok(PeerReply::Done) = ask(shared, found.control, &PeerRequest::Drain).await {
+        if let Ok(PeerReply::Done) = call_peer(shared, found.control, &PeerRequest::Drain).await {
         } else {
             let message = format!("node '{node}' did not answer");
             return Err(Refusal::may_have_run(message).into());
@@ -188,7 +188,7 @@
     let name: Name =
         target.parse().map_err(|error| Problem::invalid("target", format!("{error}")))?;
     let (reply, found) = oneshot::channel();
-    context.shared.tell(Input::DrainTarget { reply, target: name });
+    context.shared.send_input(Input::DrainTarget { reply, target: name });
     if found.await != Ok(true) {
         return Err(Problem::with_status(404, format!("target '{target}' is not known")));
     }
--- a/crates/node/src/api/public.rs
+++ b/crates/node/src/api/public.rs
@@ -16,7 +16,7 @@
     context: RequestContext,
     data_centre: Option<&str>,
 ) -> Result<Json<AddressAnswer>, Problem> {
-    if !context.shared.is_open() && context.identity.is_none() {
+    if !context.shared.has_open_access() && context.identity.is_none() {
         context.require_role(Role::Caller)?;
     }
     let snapshot = context.shared.snapshot();
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -46,11 +46,11 @@
 /// What happens to a node.
 #[derive(Debug)]
 pub(crate) enum Input {
-    Body(Box<InForce>),
+    ConfigBody(Box<InForce>),
     Command { command: Command, reply: oneshot::Sender<Reply>, trainer: Name },
     Datagram { from: SocketAddr, message: Message },
     DrainTarget { reply: oneshot::Sender<bool>, target: Name },
-    Follow(FollowerEvent),
+    ConfigEvent(FollowerEvent),
     Instances(Vec<Instance>),
     Leave,
     Lease { lease: Option<LeaseId>, report: Report, trainer: Name },
@@ -61,7 +61,7 @@
 
 /// What the control thread begins with.
 #[derive(Debug)]
-pub(crate) struct Start {
+pub(crate) struct StartArguments {
     pub inputs: Receiver<Input>,
     pub me: NodeFact,
     pub runtime: Handle,
@@ -88,10 +88,10 @@
 }
 
 /// Starts the control thread.
-pub(crate) fn spawn(start: Start) -> std::io::Result<std::thread::JoinHandle<()>> {
+pub(crate) fn spawn(start: StartArguments) -> std::io::Result<std::thread::JoinHandle<()>> {
     let name = format!("control-{}", start.me.name);
     std::thread::Builder::new().name(name).spawn(move || {
-        let Start { inputs, me, runtime, shared, socket } = start;
+        let StartArguments { inputs, me, runtime, shared, socket } = start;
         let settings = &shared.settings;
         let rng = Pcg64Mcg::seed_from_u64(me.incarnation.0 ^ u64::from(me.control.port()));
         let membership = Membership::open(me, settings.peers.clone(), settings.membership, rng);
@@ -172,7 +172,7 @@
 
     fn input(&mut self, now: UnixMs, input: Input) {
         match input {
-            Input::Body(body) => self.body_fetched(now, *body),
+            Input::ConfigBody(body) => self.body_fetched(now, *body),
             Input::Command { command, reply, trainer } => {
                 self.trainer_command(now, &trainer, command, reply);
             }
@@ -186,7 +186,7 @@
                 // The operator may have hung up; the drain stands.
                 let _unheard = reply.send(known);
             }
-            Input::Follow(event) => self.follow(now, event),
+            Input::ConfigEvent(event) => self.follow(now, event),
             Input::Instances(instances) => self.instances(now, instances),
             Input::Leave => self.leave(now),
             Input::Lease { lease, report, trainer } => {
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -23,7 +23,7 @@
 /// Names a request in its answer, as the log lines that concern it do.
 const REQUEST_HEADER: &str = "Catkinmast-Request";
 /// Most targets tried for one call.
-const TRIES_MAX: usize = 3;
+const ATTEMPTS_MAX: usize = 3;
 /// When a caller should come back if no target could be used.
 const NO_TARGET_RETRY_MS: u64 = 500;
 /// Headers of a request that concern one connection only, or this system.
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(crate) enum CallBody {
     /// All of it is here, so it can be sent again.
-    Held(Bytes),
+    Buffered(Bytes),
     /// It is being received; it can be sent once.
     Streamed(reqwest::Body),
 }
@@ -66,7 +66,7 @@
     /// Makes the call by which a sample is scored.
     pub(crate) fn scoring(scorer: &'a Name, body: Bytes) -> Self {
         Self {
-            body: CallBody::Held(body),
+            body: CallBody::Buffered(body),
             headers: vec![("Content-Type".to_owned(), "application/json".to_owned())],
             method: reqwest::Method::POST,
             path: "/score".to_owned(),
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     /// All of it is here.
-    Held(Bytes),
+    Buffered(Bytes),
     /// It is longer than is held; its length is known, so that a cut shows.
     Streamed { length_bytes: u64, response: reqwest::Response },
 }
@@ -98,7 +98,7 @@
 impl Answer {
     pub(crate) async fn into_bytes(self) -> Result<Bytes, Refusal> {
         match self.body {
-            AnswerBody::Held(bytes) => Ok(bytes),
+            AnswerBody::Buffered(bytes) => Ok(bytes),
             AnswerBody::Streamed { response, .. } => response
                 .bytes()
                 .await
@@ -123,12 +123,12 @@
         let dequeued = admission.finish(now, &self.workspace, service_us);
         self.shared.metrics.requests_in_flight.set(i64::from(admission.in_flight()));
         drop(admission);
-        settle_waiting(&self.shared, dequeued);
+        notify_waiting(&self.shared, dequeued);
     }
 }
 
 /// Tells requests that waited what became of them.
-fn settle_waiting(shared: &Shared, dequeued: Dequeued) {
+fn notify_waiting(shared: &Shared, dequeued: Dequeued) {
     let mut waiting = lock(&shared.traffic.admission_waiting);
     let admitted = dequeued.admitted.into_iter().map(|id| (id, None));
     let refused = dequeued.refused.into_iter().map(|(id, refusal)| (id, Some(refusal)));
@@ -167,7 +167,7 @@
             }
         };
         drop(admission);
-        settle_waiting(shared, dequeued);
+        notify_waiting(shared, dequeued);
         waited
     };
     let wait = Duration::from_millis(deadline.since_ms(shared.now()));
@@ -188,13 +188,13 @@
 }
 
 /// A call in flight at a target; one that is dropped unfinished teaches nothing.
-pub(crate) struct Flight {
+pub(crate) struct TargetCall {
     choice: Choice,
     done: bool,
     shared: Arc<Shared>,
 }
 
-impl Flight {
+impl TargetCall {
     pub(crate) fn target(&self) -> &Name {
         &self.choice.target
     }
@@ -205,7 +205,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for TargetCall {
     fn drop(&mut self) {
         if !self.done {
             let mut targets = lock(&self.shared.traffic.targets);
@@ -215,18 +215,18 @@
 }
 
 /// Chooses one of `targets` that was not tried yet.
-pub(crate) fn pick(
+pub(crate) fn choose_target(
     shared: &Arc<Shared>,
     targets: &[Name],
     tried: &[Name],
     in_flight_max: u32,
-) -> Option<Flight> {
+) -> Option<TargetCall> {
     let untried = targets.iter().filter(|name| !tried.contains(name));
     let untried: Vec<Name> = untried.cloned().collect();
     let mut rng = lock(&shared.traffic.rng);
     let choice =
         lock(&shared.traffic.targets).pick(shared.now(), &untried, in_flight_max, &mut *rng)?;
-    Some(Flight { choice, done: false, shared: Arc::clone(shared) })
+    Some(TargetCall { choice, done: false, shared: Arc::clone(shared) })
 }
 
 /// Why a target gave no answer that can be passed on.
@@ -282,7 +282,8 @@
     let targets = snapshot.services.get(&service.name).cloned().unwrap_or_default();
     let mut tried = Vec::new();
     loop {
-        let Some(flight) = pick(shared, &targets, &tried, service.target_in_flight_max) else {
+        let Some(flight) = choose_target(shared, &targets, &tried, service.target_in_flight_max)
+        else {
             return Err(no_target(shared, &service.name, targets.len(), tried.len()));
         };
         tried.push(flight.target().clone());
@@ -298,10 +299,11 @@
         flight.finish(failure.outcome);
         log::debug!("request {id}: target {target}: {} ({})", failure.message, failure.verdict);
         if failure.leaving {
-            shared.tell(Input::TargetRefused { target: target.clone() });
+            shared.send_input(Input::TargetRefused { target: target.clone() });
         }
         let may_repeat = call.idempotent || !failure.verdict.may_have_run();
-        let can_repeat = matches!(request.body, CallBody::Held(_)) && tried.len() < TRIES_MAX;
+        let can_repeat =
+            matches!(request.body, CallBody::Buffered(_)) && tried.len() < ATTEMPTS_MAX;
         let in_time = shared.now() < deadline;
         if may_repeat
             && can_repeat
@@ -336,18 +338,18 @@
 
 /// Why there is no such call.
 #[derive(Debug)]
-pub(crate) enum NoCall {
+pub(crate) enum CallLookupError {
     /// The node cannot tell yet.
     NotReady(Refusal),
     /// The configuration lists no such service, or no such call of it.
     Unlisted { field: &'static str, message: String },
 }
 
-impl From<NoCall> for Refusal {
-    fn from(no_call: NoCall) -> Self {
+impl From<CallLookupError> for Refusal {
+    fn from(no_call: CallLookupError) -> Self {
         match no_call {
-            NoCall::NotReady(refusal) => refusal,
-            NoCall::Unlisted { message, .. } => Self::not_run(message),
+            CallLookupError::NotReady(refusal) => refusal,
+            CallLookupError::Unlisted { message, .. } => Self::not_run(message),
         }
     }
 }
@@ -357,19 +359,19 @@
     snapshot: &'s crate::snapshot::Snapshot,
     service: &str,
     path: &str,
-) -> Result<(&'s PlainService, &'s Call), NoCall> {
+) -> Result<(&'s PlainService, &'s Call), CallLookupError> {
     let Some(document) = snapshot.document() else {
         let message = "this node does not know the configuration in force yet";
-        return Err(NoCall::NotReady(Refusal::not_run(message)));
+        return Err(CallLookupError::NotReady(Refusal::not_run(message)));
     };
     let Some(found) = document.service(service) else {
         let message = format!("service '{service}' is not configured");
-        return Err(NoCall::Unlisted { field: "service", message });
+        return Err(CallLookupError::Unlisted { field: "service", message });
     };
     let bare = path.split('?').next().unwrap_or(path);
     found.call(bare).map(|call| (found, call)).ok_or_else(|| {
         let message = format!("service '{service}' lists no call '{bare}'");
-        NoCall::Unlisted { field: "path", message }
+        CallLookupError::Unlisted { field: "path", message }
     })
 }
 
@@ -390,12 +392,12 @@
     request: &mut CallRequest<'_>,
     call: &Call,
     deadline: UnixMs,
-    flight: &Flight,
+    flight: &TargetCall,
 ) -> Result<(BareAnswer, u64), Failure> {
     let Some(address) = snapshot.address(flight.target()) else {
         return Err(Failure::new(Verdict::NotRun, "has no address"));
     };
-    let client = if call.idempotent { &shared.clients.pooled } else { &shared.clients.once };
+    let client = if call.idempotent { &shared.clients.pooled } else { &shared.clients.unpooled };
     let url = format!("http://{address}{}", request.path);
     let mut sending = client.request(request.method.clone(), url);
     for (name, value) in &request.headers {
@@ -403,10 +405,10 @@
             sending = sending.header(name, value);
         }
     }
-    let body = std::mem::replace(&mut request.body, CallBody::Held(Bytes::new()));
+    let body = std::mem::replace(&mut request.body, CallBody::Buffered(Bytes::new()));
     sending = match body {
-        CallBody::Held(bytes) => {
-            request.body = CallBody::Held(bytes.clone());
+        CallBody::Buffered(bytes) => {
+            request.body = CallBody::Buffered(bytes.clone());
             sending.body(bytes)
         }
         CallBody::Streamed(stream) => {
@@ -461,7 +463,7 @@
         }
         held.extend_from_slice(&chunk);
     }
-    Ok(BareAnswer { body: AnswerBody::Held(held.freeze()), headers, status })
+    Ok(BareAnswer { body: AnswerBody::Buffered(held.freeze()), headers, status })
 }
 
 fn passed_headers(response: &reqwest::Response) -> Vec<(String, String)> {
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -133,7 +133,7 @@
 }
 
 /// Asks a peer one question.
-pub(crate) async fn ask(
+pub(crate) async fn call_peer(
     shared: &Shared,
     to: SocketAddr,
     request: &PeerRequest,
@@ -245,17 +245,17 @@
             PeerReply::Config(held.map(|in_force| in_force.text.clone()))
         }
         PeerRequest::ContentLost { attempt, sample, trainer } => {
-            shared.tell(Input::Rollout {
+            shared.send_input(Input::Rollout {
                 event: catkinmast_rollout::Event::ContentLost { attempt, sample },
                 trainer,
             });
             PeerReply::Done
         }
-        PeerRequest::CopyTo { avoid, key } => {
-            PeerReply::Copied(crate::edge::content::copy_elsewhere(shared, &key, &avoid).await)
-        }
+        PeerRequest::CopyTo { avoid, key } => PeerReply::Copied(
+            crate::edge::content::copy_to_another_node(shared, &key, &avoid).await,
+        ),
         PeerRequest::Drain => {
-            shared.drain_wanted.notify_one();
+            shared.drain_requested.notify_one();
             PeerReply::Done
         }
         PeerRequest::Fetch { key } => {
@@ -282,16 +282,20 @@
             PeerReply::Stored(lock(&shared.holdings).store(now, key, content))
         }
         PeerRequest::Trainer { command, trainer } => {
-            PeerReply::Trainer(command_here(shared, trainer, command).await)
+            PeerReply::Trainer(handle_command_locally(shared, trainer, command).await)
         }
         PeerRequest::Run(_) => PeerReply::Done,
     }
 }
 
 /// Hands a trainer's command to the control thread of this node.
-pub(crate) async fn command_here(shared: &Shared, trainer: Name, command: Command) -> Reply {
+pub(crate) async fn handle_command_locally(
+    shared: &Shared,
+    trainer: Name,
+    command: Command,
+) -> Reply {
     let (reply, answered) = oneshot::channel();
-    shared.tell(Input::Command { command, reply, trainer });
+    shared.send_input(Input::Command { command, reply, trainer });
     match tokio::time::timeout(COMMAND_TIMEOUT, answered).await {
         Ok(Ok(reply)) => reply,
         _ => Reply::Refused(Refusal::may_have_run("the command was not answered in time")),
@@ -299,7 +303,11 @@
 }
 
 /// Hands a trainer's command to the node that owns the trainer's steps.
-pub(crate) async fn command_owner(shared: &Shared, trainer: &Name, command: Command) -> Reply {
+pub(crate) async fn forward_command_to_owner(
+    shared: &Shared,
+    trainer: &Name,
+    command: Command,
+) -> Reply {
     let snapshot = shared.snapshot();
     let retry_at = shared.now().plus(300);
     let Some(owner) = snapshot.owners.get(trainer) else {
@@ -307,14 +315,14 @@
         return Reply::Refused(refusal.retry_at(retry_at));
     };
     if owner.node == *shared.me() && owner.incarnation == shared.incarnation {
-        return command_here(shared, trainer.clone(), command).await;
+        return handle_command_locally(shared, trainer.clone(), command).await;
     }
     let Some(node) = snapshot.node(&owner.node) else {
         let refusal = Refusal::not_run("the node that owned the trainer's steps is gone");
         return Reply::Refused(refusal.retry_at(retry_at));
     };
     let request = PeerRequest::Trainer { command, trainer: trainer.clone() };
-    match ask(shared, node.control, &request).await {
+    match call_peer(shared, node.control, &request).await {
         Ok(PeerReply::Trainer(reply)) => reply,
         Err(PeerError::Unreachable(error)) => {
             let message = format!("node {} owns the trainer's steps: {error}", owner.node);
--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -6,7 +6,7 @@
 
 use crate::control::Input;
 use crate::edge::calls::{CallRequest, call_service};
-use crate::edge::content::copy_elsewhere;
+use crate::edge::content::copy_to_another_node;
 use crate::edge::holdings::{Content, ContentKey};
 use crate::edge::peer::run_remotely;
 use crate::shared::{Shared, lock};
@@ -48,7 +48,7 @@
     Failed { engine_at_fault: bool, partial_kept: bool },
     Progress { segments: catkinmast_model::Segments },
     Safe { finished: Finished },
-    Whole { segments: catkinmast_model::Segments },
+    Complete { segments: catkinmast_model::Segments },
 }
 
 impl RunEvent {
@@ -85,12 +85,13 @@
             None => {}
         }
     };
-    let tell = |event| shared.tell(Input::Rollout { event, trainer: trainer.clone() });
+    let report_event =
+        |event| shared.send_input(Input::Rollout { event, trainer: trainer.clone() });
     let pass_on = async {
         while let Some(event) = events.recv().await {
             let ends = event.ends_run();
             for event in owner_events(event, attempt, sample) {
-                tell(event);
+                report_event(event);
             }
             if ends {
                 return true;
@@ -101,7 +102,12 @@
     let ((), ended) = tokio::join!(run, pass_on);
     if !ended {
         // The runner is gone, and its tokens with it.
-        tell(Event::RunFailed { attempt, engine_at_fault: false, partial_kept: false, sample });
+        report_event(Event::RunFailed {
+            attempt,
+            engine_at_fault: false,
+            partial_kept: false,
+            sample,
+        });
     }
 }
 
@@ -117,7 +123,7 @@
         }
         RunEvent::Progress { segments } => vec![Event::RunProgress { attempt, sample, segments }],
         RunEvent::Safe { finished } => vec![Event::RunSafe { attempt, finished, sample }],
-        RunEvent::Whole { segments } => vec![
+        RunEvent::Complete { segments } => vec![
             Event::RunProgress { attempt, sample, segments },
             Event::RunComplete { attempt, sample },
         ],
@@ -172,7 +178,7 @@
         store(shared, &key, &content);
         return Err(RunEvent::Failed { engine_at_fault: true, partial_kept });
     }
-    let whole = RunEvent::Whole { segments: content.segments.clone() };
+    let whole = RunEvent::Complete { segments: content.segments.clone() };
     let gone = |_closed| RunEvent::Failed { engine_at_fault: false, partial_kept: false };
     events.send(whole).await.map_err(gone)?;
     content.score_millis = Some(score(shared, job, &content, events).await?);
@@ -181,7 +187,7 @@
         return Err(RunEvent::Failed { engine_at_fault: false, partial_kept: false });
     }
     let mut holders = vec![shared.me().clone()];
-    holders.extend(copy_elsewhere(shared, &key, &[]).await);
+    holders.extend(copy_to_another_node(shared, &key, &[]).await);
     let score_millis = content.score_millis.unwrap_or_default();
     Ok(Finished { holders, score_millis, segments: content.segments })
 }
