--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -53,14 +53,14 @@
     const UNBOUNDED_MS: u64 = 3_600_000;
     // An item that is not done after half of the time is a long one: the mean item takes a tenth
     // of it.
-    const LONG_PARTS: u64 = 2;
+    const LONG_ITEM_DIVISOR: u64 = 2;
     let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
     BatchPolicy {
         attempts: route.attempts.max(reward_attempts).max(1),
         due_at: accepted_at.plus(due_ms),
         give_up_at: accepted_at.plus(give_up_ms + slack_ms),
-        rerun_from: accepted_at.plus(due_ms / LONG_PARTS),
+        rerun_from: accepted_at.plus(due_ms / LONG_ITEM_DIVISOR),
         single_version: route.single_version,
     }
 }
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -1,9 +1,9 @@
 //! Copies of open batches at the node that would succeed their owner.
 //!
-//! They keep steps going when an owner dies while the store is unavailable. Ownership and results
+//! Copies keep steps going when an owner dies while the store is unavailable. Ownership and results
 //! need the store's acknowledgement, so without copies all items of the batch would wait for the
 //! store to return (10.3 s of a step's 12.4 s). Runs need no owner, though. The owner sends the
-//! submission to the node that is first in rank to succeed it, which keeps it in memory. If the
+//! submission to the node that is first in rank to succeed it, which holds it in memory. If the
 //! store does not answer when that node takes the batch over, it runs the items in the interim, and
 //! their output is used as soon as the batch has an owner. The owner also sends updates of the
 //! output of runs in progress: without them, a step whose longest output was 3 s old ended 2 s
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -36,7 +36,8 @@
 const COALESCE: Duration = Duration::from_millis(20);
 /// Most records written with one call, within the store's limit of 32 keys.
 const RECORDS_PER_CALL: usize = 30;
-/// The duty whose holder reads the records: a node that watches the store anyway.
+/// The duty by whose ranks one node is chosen to read the records: one that watches the store
+/// anyway.
 const DUTY: &str = "feeds";
 
 /// The value of a record.
