--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -1,13 +1,13 @@
 //! The command line of the benchmarks.
 
-use crate::capacity::{counted, table, timed};
+use crate::capacity::{count_figures, markdown_table, time_events};
 use crate::plot;
 use crate::policy::{
-    Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, SWAPS, Variant, WEIGHTS,
-    run_variant, step_bound_ms,
+    Deployment, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE, SWAPS, Variant,
+    WEIGHTS, run_variant, step_lower_bound_ms,
 };
-use crate::routing::{Chooser, SCENES, run_choice, run_overload};
-use crate::world::Fault;
+use crate::routing::{Chooser, SCENARIOS, run_choice, run_overload};
+use crate::simulation::Fault;
 use argh::FromArgs;
 use catkinmast_model::UnixMs;
 use std::process::ExitCode;
@@ -93,7 +93,7 @@
     [Chooser::RoundRobin, Chooser::LaggingReport, Chooser::Least, Chooser::TwoChoices];
 
 fn run_route(route: &Route) -> ExitCode {
-    for (title, scene) in SCENES {
+    for (title, scene) in SCENARIOS {
         let rows = CHOOSERS.map(|chooser| run_choice(scene, chooser, route.seed));
         if route.json {
             println!("{}", serde_json::json!({ "table": title, "rows": rows }));
@@ -152,13 +152,13 @@
 }
 
 fn run_capacity(capacity: &Capacity) -> ExitCode {
-    let counted = counted();
-    let timed = if capacity.counted { Vec::new() } else { timed() };
+    let counted = count_figures();
+    let timed = if capacity.counted { Vec::new() } else { time_events() };
     if capacity.json {
         println!("{}", serde_json::json!({ "counted": counted, "timed": timed }));
         return ExitCode::SUCCESS;
     }
-    print!("{}", table(&counted));
+    print!("{}", markdown_table(&counted));
     if !timed.is_empty() {
         println!("\n| timed | ns | references |\n| --- | ---: | ---: |");
     }
@@ -178,7 +178,7 @@
         }
     };
     let seeds = policy.seed..policy.seed + policy.seeds;
-    let bounds = seeds.map(|seed| step_bound_ms(&policy.deployment.settings(seed)));
+    let bounds = seeds.map(|seed| step_lower_bound_ms(&policy.deployment.settings(seed)));
     let bound_ms = bounds.sum::<u64>() / policy.seeds.max(1);
     let tables = [
         ("schedule", &SCHEDULES[..], faults),
@@ -192,7 +192,7 @@
         let run = |variant: &Variant| {
             run_variant(policy.deployment, policy.seed, policy.seeds, faults, *variant)
         };
-        let rows: Vec<Row> = variants.iter().map(run).collect();
+        let rows: Vec<PolicyRow> = variants.iter().map(run).collect();
         if title == WEIGHTS_TITLE
             && let Some(file) = &policy.plot
             && let Err(error) = plot::weights(file, policy.deployment, &rows)
@@ -211,7 +211,7 @@
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn print_table(title: &str, rows: &[Row], bound_ms: u64) {
+fn print_table(title: &str, rows: &[PolicyRow], bound_ms: u64) {
     println!("\n{title} (no schedule makes a step in less than {bound_ms} ms)");
     println!(
         "{:<42} {:>7} {:>6} {:>4} {:>4} {:>8} {:>8} {:>7} {:>7} {:>6}",
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policy benchmark: idle time, staleness, waste and recovery, against named baselines.
 
 use crate::engines::{EngineModel, SwapMode, length_of};
-use crate::world::{Fault, Outcome, Recovery, World, WorldSettings};
+use crate::simulation::{Fault, Outcome, Recovery, Simulation, SimulationSettings};
 use catkinmast_model::{SampleId, UnixMs};
 use catkinmast_rollout::{OrderSettings, Registration, ScheduleSettings};
 use displaydoc::Display;
@@ -44,12 +44,12 @@
 
 impl Deployment {
     /// Returns the world of this deployment with the policy that ships.
-    pub fn settings(self, seed: u64) -> WorldSettings {
+    pub fn settings(self, seed: u64) -> SimulationSettings {
         let (engines, bound, weight) = match self {
             Self::Registre => (9, 2, 20),
             Self::Cooperative => (12, 3, 90),
         };
-        WorldSettings {
+        SimulationSettings {
             engine: EngineModel { lengths_seed: seed, ..EngineModel::default() },
             engines,
             groups: 48,
@@ -75,14 +75,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
     /// What it changes.
-    pub change: fn(&mut WorldSettings),
+    pub change: fn(&mut SimulationSettings),
     /// Its name in the table.
     pub name: &'static str,
 }
 
 /// One row of a table: the mean over the seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
+pub struct PolicyRow {
     /// Mean age of claimed samples, in versions.
     pub age_mean_versions: f64,
     /// Age that 99 of 100 samples do not exceed.
@@ -109,7 +109,7 @@
     (value * 100.0).round() / 100.0
 }
 
-impl Row {
+impl PolicyRow {
     fn of(variant: &str, outcomes: &[Outcome], steps: u64) -> Self {
         let count = outcomes.len().max(1) as f64;
         let mean =
@@ -143,17 +143,17 @@
     seeds: u64,
     faults: &[(UnixMs, Fault)],
     variant: Variant,
-) -> Row {
+) -> PolicyRow {
     let mut steps = 1;
     let outcomes: Vec<Outcome> = (seed..seed + seeds)
         .map(|seed| {
             let mut settings = deployment.settings(seed);
             (variant.change)(&mut settings);
             steps = settings.steps;
-            World::open(settings, faults).run(UnixMs(RUN_MAX_MS))
+            Simulation::open(settings, faults).run(UnixMs(RUN_MAX_MS))
         })
         .collect();
-    Row::of(variant.name, &outcomes, steps)
+    PolicyRow::of(variant.name, &outcomes, steps)
 }
 
 /// The baselines, from the plainest to the policy that ships.
@@ -233,7 +233,7 @@
 
 /// Returns the time in which no schedule can make one step: all tokens at full speed, or the
 /// longest sample alone on an engine.
-pub fn step_bound_ms(settings: &WorldSettings) -> u64 {
+pub fn step_lower_bound_ms(settings: &SimulationSettings) -> u64 {
     let model = settings.engine;
     let lengths = (1..=settings.steps).flat_map(|step| {
         (0..settings.groups).flat_map(move |group| {
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/simulation.rs
@@ -5,7 +5,7 @@
 //! publishes, a ledger with compare-and-swap, and the faults. It is no cluster simulator: nodes
 //! are names that can die with what they hold. The same seed gives the same bytes on any machine.
 //!
-//! Every claim is checked as it is confirmed ([`World::violations`]); the randomised tests and the
+//! Every claim is checked as it is confirmed ([`Simulation::violations`]); the randomised tests and the
 //! benchmark use the same checks.
 
 use crate::engines::{EngineModel, EngineSim, Finish};
@@ -46,7 +46,7 @@
 
 /// Everything a world is made of.
 #[derive(Clone, Debug)]
-pub struct WorldSettings {
+pub struct SimulationSettings {
     /// How engines behave.
     pub engine: EngineModel,
     /// How many engines there are.
@@ -192,7 +192,7 @@
 
 /// A world.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     pub(crate) claimed: IndexMap<SampleId, u64>,
     pub(crate) current: usize,
     pub(crate) engines: Vec<EngineSim>,
@@ -209,7 +209,7 @@
     pub(crate) queue: BinaryHeap<Reverse<Queued>>,
     pub(crate) reply_to: u64,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) settings: WorldSettings,
+    pub(crate) settings: SimulationSettings,
     pub(crate) stored: IndexMap<(u64, String), StepSpec>,
     pub(crate) trainer: TrainerSim,
 }
@@ -225,9 +225,9 @@
     name.as_str().trim_start_matches("node-").parse().unwrap_or(0)
 }
 
-impl World {
+impl Simulation {
     /// Makes a world in which `faults` happen at their times.
-    pub fn open(settings: WorldSettings, faults: &[(UnixMs, Fault)]) -> Self {
+    pub fn open(settings: SimulationSettings, faults: &[(UnixMs, Fault)]) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let engines = (0..settings.engines)
             .map(|number| EngineSim::open(number, settings.engine, rng.random()))
--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -5,9 +5,9 @@
 //! not whole, and a caller must treat it so.
 
 use crate::api::answer::{Problem, read_json};
-use crate::api::guard::Asking;
+use crate::api::guard::RequestContext;
 use crate::auth::Role;
-use crate::edge::calls::{Permit, admit, pick};
+use crate::edge::calls::{Permit, admit, choose_target};
 use crate::shared::Shared;
 use crate::snapshot::SUBSET_SIZE;
 use catkinmast_config::CallClass;
@@ -29,7 +29,7 @@
 /// Most answers that one engine gives a node at once.
 const ENGINE_IN_FLIGHT_MAX: u32 = 64;
 /// Most engines tried for one answer.
-const TRIES_MAX: usize = 4;
+const ATTEMPTS_MAX: usize = 4;
 /// The priority of applications at an engine; samples for trainers are below it.
 const CALLER_PRIORITY: u8 = 100;
 /// How long a request waits for a place.
@@ -59,13 +59,13 @@
 /// Generates text on an engine of a model.
 #[post("/v1/generate/<model>?<selector>", data = "<data>")]
 pub(crate) async fn generate(
-    asking: Asking,
+    context: RequestContext,
     model: &str,
     selector: Option<&str>,
     data: Data<'_>,
 ) -> Result<TextStream![String], Problem> {
-    let workspace = asking.as_role(Role::Caller)?;
-    let shared = Arc::clone(&asking.shared);
+    let workspace = context.require_role(Role::Caller)?;
+    let shared = Arc::clone(&context.shared);
     let model: Name =
         model.parse().map_err(|error| Problem::invalid("model", format!("{error}")))?;
     let selector: Selector = selector
@@ -86,7 +86,7 @@
     let first = match lines.recv().await {
         Some(Line::Refused { message, verdict }) => {
             let refusal = Refusal { message, retry_at_unix_ms: None, verdict };
-            return Err(refusal.retry_at(asking.shared.now().plus(500)).into());
+            return Err(refusal.retry_at(context.shared.now().plus(500)).into());
         }
         first => first,
     };
@@ -122,10 +122,11 @@
         let mut segments = Segments::default();
         let mut tried = Vec::new();
         let mut message = format!("no live engine of model '{}' fits", self.model);
-        while tried.len() < TRIES_MAX {
+        while tried.len() < ATTEMPTS_MAX {
             let engines = self.shared.snapshot().engines(&self.model, &self.selector);
             let engines = stable_subset(self.shared.me(), &engines, SUBSET_SIZE);
-            let Some(flight) = pick(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX) else {
+            let Some(flight) = choose_target(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX)
+            else {
                 break;
             };
             let engine = flight.target().clone();
--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration in force: carries out what the [`Follower`] decides.
 
 use crate::control::{Control, Input};
-use crate::edge::peer::{PeerReply, PeerRequest, ask};
+use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
 use crate::edge::store::{read_body, read_head, watch_head};
 use crate::shared::Shared;
 use crate::snapshot::{InForce, VersionedHead};
@@ -44,7 +44,7 @@
 }
 
 /// Reduces a head to what a follower needs of it.
-pub(crate) fn seen(head: Option<VersionedHead>) -> Option<ObservedHead> {
+pub(crate) fn observed_head(head: Option<VersionedHead>) -> Option<ObservedHead> {
     let (head, version) = head?;
     let accepted = head.in_force()?;
     Some(ObservedHead { digest: accepted.digest, revision: accepted.revision, version })
@@ -127,20 +127,21 @@
 
 async fn boot(shared: Arc<Shared>) {
     let event = match read_head(&shared).await {
-        Ok(head) => FollowerEvent::HeadRead(seen(head)),
+        Ok(head) => FollowerEvent::HeadRead(observed_head(head)),
         Err(error) => {
             log::info!("the configuration's head cannot be read: {error}");
             FollowerEvent::HeadUnavailable
         }
     };
-    shared.tell(Input::Follow(event));
+    shared.send_input(Input::ConfigEvent(event));
 }
 
 async fn ask_peers(shared: Arc<Shared>, peers: Vec<SocketAddr>) {
     let mut answers = 0;
     let mut newest: Option<(Revision, Digest)> = None;
     for peer in peers {
-        if let Ok(PeerReply::InForce(found)) = ask(&shared, peer, &PeerRequest::InForce).await {
+        if let Ok(PeerReply::InForce(found)) = call_peer(&shared, peer, &PeerRequest::InForce).await
+        {
             answers += 1;
             let found = found.and_then(|(revision, digest)| {
                 Some((Revision(revision), Digest::try_from(digest).ok()?))
@@ -151,18 +152,18 @@
             }
         }
     }
-    shared.tell(Input::Follow(FollowerEvent::PeersAnswered { answers, newest }));
+    shared.send_input(Input::ConfigEvent(FollowerEvent::PeersAnswered { answers, newest }));
 }
 
 async fn watch(shared: Arc<Shared>, after_version: u64) {
     let (head, succeeded) = match watch_head(&shared, after_version).await {
-        Ok(head) => (seen(head), true),
+        Ok(head) => (observed_head(head), true),
         Err(error) => {
             log::debug!("the watch of the configuration broke: {error}");
             (None, false)
         }
     };
-    shared.tell(Input::Follow(FollowerEvent::WatchEnded { head, succeeded }));
+    shared.send_input(Input::ConfigEvent(FollowerEvent::WatchEnded { head, succeeded }));
 }
 
 async fn fetch_body(
@@ -181,7 +182,7 @@
             break;
         }
         let request = PeerRequest::Config { digest: digest.to_string() };
-        if let Ok(PeerReply::Config(Some(found))) = ask(&shared, peer, &request).await
+        if let Ok(PeerReply::Config(Some(found))) = call_peer(&shared, peer, &request).await
             && Digest::of(&found) == digest
         {
             text = Some(found);
@@ -197,8 +198,8 @@
             None
         }
     });
-    shared.tell(match body {
-        Some(body) => Input::Body(Box::new(body)),
-        None => Input::Follow(FollowerEvent::BodyMissing),
+    shared.send_input(match body {
+        Some(body) => Input::ConfigBody(Box::new(body)),
+        None => Input::ConfigEvent(FollowerEvent::BodyMissing),
     });
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -57,7 +57,7 @@
     /// Opens a new connection for each call and never sends anything twice: for calls that may
     /// not be repeated. A pooled connection can die just as the request is written, and then
     /// nobody can tell whether the target read it.
-    pub once: reqwest::Client,
+    pub unpooled: reqwest::Client,
     /// Keeps connections: for calls that may be repeated.
     pub pooled: reqwest::Client,
     pub store: Store,
@@ -70,7 +70,7 @@
     pub clock: Clock,
     pub control: SocketAddr,
     pub datagrams_waiting: AtomicUsize,
-    pub drain_wanted: Notify,
+    pub drain_requested: Notify,
     pub holdings: Mutex<Holdings>,
     /// Requests of callers and runs for other owners that a planned stop waits for.
     pub in_progress: AtomicUsize,
@@ -110,7 +110,7 @@
     pub(crate) fn open(platform: SocketAddr) -> Result<Self, String> {
         let builder = || reqwest::Client::builder().no_proxy().connect_timeout(CONNECT_TIMEOUT);
         let no_redirect = reqwest::redirect::Policy::none;
-        let once = builder()
+        let unpooled = builder()
             .pool_max_idle_per_host(0)
             .retry(reqwest::retry::never())
             .redirect(no_redirect())
@@ -120,7 +120,7 @@
             builder().redirect(no_redirect()).build().map_err(|error| error.to_string())?;
         let engines = EngineClient::open().map_err(|error| error.to_string())?;
         let store = Store::open(platform).map_err(|error| error.to_string())?;
-        Ok(Self { engines, once, pooled, store })
+        Ok(Self { engines, unpooled, pooled, store })
     }
 }
 
@@ -176,7 +176,7 @@
     }
 
     /// Sends an input to the control thread; one that has stopped needs none.
-    pub(crate) fn tell(&self, input: Input) {
+    pub(crate) fn send_input(&self, input: Input) {
         if self.inputs.send(input).is_err() {
             log::debug!("the control thread has stopped; an input was dropped");
         }
@@ -193,7 +193,7 @@
         match opened {
             Ok(message) if waiting < DATAGRAMS_WAITING_MAX => {
                 self.datagrams_waiting.fetch_add(1, Ordering::Relaxed);
-                self.tell(Input::Datagram { from, message });
+                self.send_input(Input::Datagram { from, message });
             }
             Ok(_) => log::debug!("a datagram from {from} was dropped: too many wait"),
             Err(error) => {
@@ -206,18 +206,19 @@
     /// Finds out whose a bearer token is.
     pub(crate) fn identify(&self, authorization: Option<&str>) -> Option<Identity> {
         let secret = authorization.and_then(|value| value.strip_prefix("Bearer "));
-        let found = secret
-            .and_then(|secret| self.settings.tokens.iter().find(|token| token.fits(secret.trim())));
+        let found = secret.and_then(|secret| {
+            self.settings.tokens.iter().find(|token| token.matches_secret(secret.trim()))
+        });
         found.map(|token| token.identity.clone())
     }
 
     /// Tells whether everybody may act in every role.
-    pub(crate) const fn is_open(&self) -> bool {
+    pub(crate) const fn has_open_access(&self) -> bool {
         self.settings.open_access
     }
 
     /// Tells whether an identity may act in a role.
-    pub(crate) fn may(&self, identity: Option<&Identity>, role: Role) -> bool {
-        self.is_open() || identity.is_some_and(|identity| identity.role == role)
+    pub(crate) fn may_act_as(&self, identity: Option<&Identity>, role: Role) -> bool {
+        self.has_open_access() || identity.is_some_and(|identity| identity.role == role)
     }
 }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -56,19 +56,19 @@
 #[derive(Debug)]
 struct Holder {
     /// Orders that each target has accepted, by target id, as far as known.
-    accepted: RefCell<IndexMap<String, Accepted>>,
+    accepted: RefCell<IndexMap<String, AcceptedOrders>>,
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when that was last logged.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
     lease: Rc<DutyLease>,
-    /// The store instances that were reported as drained, each with the revision of the request. A
-    /// new request for the same instance needs a new report.
+    /// The store instances that were reported as drained, each with the revision of the request. An
+    /// instance may be drained again, and its earlier report is gone by then.
     drained: RefCell<IndexMap<String, u64>>,
 }
 
 /// Orders that a target has accepted in one incarnation.
 #[derive(Clone, Copy, Debug)]
-struct Accepted {
+struct AcceptedOrders {
     started_at_unix_ms: Option<u64>,
     orders: u64,
 }
@@ -84,7 +84,7 @@
     fn record_accepted(&self, target: &str, started_at_unix_ms: Option<u64>, orders: u64) {
         self.accepted
             .borrow_mut()
-            .insert(target.to_owned(), Accepted { started_at_unix_ms, orders });
+            .insert(target.to_owned(), AcceptedOrders { started_at_unix_ms, orders });
     }
 }
 
@@ -115,8 +115,8 @@
 fn plan<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
     let Some(document) = node.document() else { return };
     let now = clock::now();
-    for (service, terms) in &document.services {
-        let Some(engine) = &terms.engine else { continue };
+    for (service, config) in &document.services {
+        let Some(engine) = &config.engine else { continue };
         let targets: Vec<RolloutTarget> = node
             .targets
             .borrow()
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -72,7 +72,7 @@
 }
 
 /// Starts a stand-in and returns it with its address.
-pub(crate) fn standin(arguments: &[&str]) -> (Process, SocketAddr) {
+pub(crate) fn start_standin(arguments: &[&str]) -> (Process, SocketAddr) {
     let arguments: Vec<String> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
     let process = Process::start(env!("CARGO_BIN_EXE_catkinmast-standin"), &arguments);
     let address = process.first_line.parse().expect("the first line is the address");
@@ -117,7 +117,7 @@
 
     /// Starts a fleet whose engines and services get further arguments.
     pub(crate) async fn start_with(size: &FleetSize, engine: &[&str], service: &[&str]) -> Self {
-        let (platform_process, platform) = standin(&["platform", "--list-lag-ms", "100"]);
+        let (platform_process, platform) = start_standin(&["platform", "--list-lag-ms", "100"]);
         let mut fleet = Self {
             client: reqwest::Client::builder()
                 .no_proxy()
@@ -131,28 +131,28 @@
             _platform_process: platform_process,
         };
         for number in 0..size.engines {
-            let started = standin(&[&["engine"], engine].concat());
-            fleet.list(&format!("engine-{number}"), "engine", started.1, "live").await;
+            let started = start_standin(&[&["engine"], engine].concat());
+            fleet.set_instance(&format!("engine-{number}"), "engine", started.1, "live").await;
             fleet.engines.push(started);
         }
         for number in 0..size.services {
-            let started = standin(&[&["service"], service].concat());
-            fleet.list(&format!("service-{number}"), "service", started.1, "live").await;
+            let started = start_standin(&[&["service"], service].concat());
+            fleet.set_instance(&format!("service-{number}"), "service", started.1, "live").await;
             fleet.services.push(started);
         }
         for number in 0..size.nodes {
             fleet.start_node(number);
         }
-        fleet.apply_first().await;
+        fleet.apply_initial_document().await;
         fleet.wait_ready(&size.targets()).await;
         fleet
     }
 
     /// Puts the tests' configuration in force through the first node.
-    async fn apply_first(&self) {
+    async fn apply_initial_document(&self) {
         let body = json!({ "base_revision": 0, "operation_id": "first", "text": document() });
-        self.until("the first configuration is accepted", async || {
-            let (status, answer) = self.operator("PUT", 0, "/v1/config", Some(&body)).await;
+        self.poll_until("the first configuration is accepted", async || {
+            let (status, answer) = self.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then_some(answer)
         })
         .await;
@@ -161,7 +161,7 @@
     /// Waits until every node is ready, knows all targets, and all nodes.
     async fn wait_ready(&self, targets: &usize) {
         for node in 0..self.nodes.len() {
-            self.until("the node is ready", async || {
+            self.poll_until("the node is ready", async || {
                 let status = self.status(node).await;
                 let count = |list: &str| status[list].as_array().map_or(0, Vec::len);
                 let whole = count("targets") == *targets && count("nodes") == self.nodes.len();
@@ -219,7 +219,13 @@
     }
 
     /// Lets the platform list an instance.
-    pub(crate) async fn list(&self, name: &str, kind: &str, address: SocketAddr, state: &str) {
+    pub(crate) async fn set_instance(
+        &self,
+        name: &str,
+        kind: &str,
+        address: SocketAddr,
+        state: &str,
+    ) {
         let app = if kind == "engine" { "citation" } else { "registre" };
         let instance = json!({
             "address": address,
@@ -236,14 +242,14 @@
     }
 
     /// Switches faults of the platform on or off.
-    pub(crate) async fn faults(&self, faults: &Value) {
+    pub(crate) async fn set_platform_faults(&self, faults: &Value) {
         let url = format!("http://{}/faults", self.platform);
         let sent = self.client.post(url).json(faults).send().await;
         assert!(sent.expect("the platform answers").status().is_success());
     }
 
     /// Polls until `look` finds something.
-    pub(crate) async fn until<T>(&self, what: &str, look: impl AsyncFn() -> Option<T>) -> T {
+    pub(crate) async fn poll_until<T>(&self, what: &str, look: impl AsyncFn() -> Option<T>) -> T {
         let began = Instant::now();
         loop {
             if let Some(found) = look().await {
@@ -273,7 +279,7 @@
     }
 
     /// Sends an operator's request to a node.
-    pub(crate) async fn operator(
+    pub(crate) async fn send_as_operator(
         &self,
         method: &str,
         node: usize,
@@ -287,12 +293,12 @@
 
     /// Returns a node's status.
     pub(crate) async fn status(&self, node: usize) -> Value {
-        self.operator("GET", node, "/v1/status", None).await.1
+        self.send_as_operator("GET", node, "/v1/status", None).await.1
     }
 
     /// Returns the place, among the started nodes, of the node that owns the trainer.
-    pub(crate) async fn owner(&self, asked: usize) -> usize {
-        self.until("some node owns the trainer", async || {
+    pub(crate) async fn owner_index(&self, asked: usize) -> usize {
+        self.poll_until("some node owns the trainer", async || {
             let status = self.status(asked).await;
             let owner = status["owners"][0]["node"].as_str()?.to_owned();
             self.nodes.iter().position(|node| node.name == owner)
@@ -301,7 +307,7 @@
     }
 
     /// Returns how often the services ran each body at a path, by their own records.
-    pub(crate) async fn runs(&self, path: &str, body: &str) -> usize {
+    pub(crate) async fn count_runs(&self, path: &str, body: &str) -> usize {
         let mut count = 0;
         for (_, address) in &self.services {
             let url = format!("http://{address}/standin/runs");
