--- a/crates/bench/src/slope.rs
+++ b/crates/bench/src/slope.rs
@@ -21,9 +21,9 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let sum_xy: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        let per_unit = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
+        let squares_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let products: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let per_unit = if squares_x > 0.0 { products / squares_x } else { 0.0 };
         let base = mean_y - per_unit * mean_x;
         let error = |(x, y): &(f64, f64)| {
             if *y == 0.0 { 0.0 } else { 100.0 * (base + per_unit * x - y).abs() / y.abs() }
