--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,11 +1,11 @@
-//! The commands.
+//! The subcommands of `catkinmast-ctl` and their exit codes.
 
 #![expect(
     clippy::empty_structs_with_brackets,
     reason = "argh derives subcommands of braced structs only"
 )]
 
-use crate::http::{Endpoint, problem};
+use crate::http::{Endpoint, report_error};
 use crate::table;
 use argh::FromArgs;
 use catkinmast_config::Document;
@@ -14,13 +14,13 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// catkinmast-ctl: the operators' command line.
+/// catkinmast-ctl: command line for operators
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// address of any node; CATKINMAST_NODE (default 127.0.0.1:7400)
+    /// address of any node (default: $CATKINMAST_NODE, else 127.0.0.1:7400)
     #[argh(option)]
     node: Option<String>,
-    /// the operator's token; CATKINMAST_TOKEN
+    /// the operator's token (default: $CATKINMAST_TOKEN)
     #[argh(option)]
     token: Option<String>,
     /// print JSON instead of tables
@@ -39,11 +39,11 @@
     Status(Status),
 }
 
-/// reads the audit trail
+/// shows the newest entries of the audit trail
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "audit")]
 struct Audit {
-    /// how many of the newest entries (default 20)
+    /// number of entries (default 20)
     #[argh(option, default = "20")]
     last: usize,
 }
@@ -66,11 +66,11 @@
     Show(Show),
 }
 
-/// checks a document without any node
+/// checks a document locally, without a node
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the document
+    /// file with the document
     #[argh(positional)]
     file: String,
 }
@@ -79,16 +79,16 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 struct Apply {
-    /// the document
+    /// file with the document
     #[argh(positional)]
     file: String,
-    /// revision that the document was made from (default: the one in force at the node)
+    /// revision that the document is based on (default: the one in force at the node)
     #[argh(option)]
     base: Option<u64>,
-    /// merge with changes that came since the base, if they touch other fields
+    /// merge with changes made since the base revision, if they concern other fields
     #[argh(switch)]
     rebase: bool,
-    /// number of this operation; repeat it after an unclear answer (default: a new one)
+    /// identifier of this operation; reuse it after an unclear answer (default: a new one)
     #[argh(option)]
     operation: Option<String>,
 }
@@ -97,7 +97,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct Diff {
-    /// the document
+    /// file with the document
     #[argh(positional)]
     file: String,
 }
@@ -112,55 +112,55 @@
 #[argh(subcommand, name = "show")]
 struct Show {}
 
-/// shows members, targets, owners and load
+/// shows nodes, targets, trainers' owners, load and steps
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {}
 
-/// lets a node or a target leave
+/// drains a node or a target
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
 struct Drain {
-    /// node or target
+    /// what to drain: node or target
     #[argh(positional)]
     kind: String,
-    /// its name
+    /// name of the node or target
     #[argh(positional)]
     name: String,
 }
 
-/// How a command ended; each has an exit code of its own.
+/// Result of a command; each has its own exit code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// Another operator was first.
+    /// Another change conflicts with this one.
     Conflict,
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// The document has faults.
-    Faulty,
+    /// The document is invalid.
+    InvalidDocument,
     /// The action may have run.
     MayHaveRun,
-    /// The action was not run.
+    /// The action was not run, or the node could not be reached.
     NotRun,
-    /// The arguments are wrong.
+    /// The arguments are invalid.
     Usage,
 }
 
 impl Exit {
-    /// Returns the process's exit code.
+    /// Returns the exit code of the process.
     pub const fn code(self) -> u8 {
         match self {
             Self::Done => 0,
             Self::NotRun => 1,
             Self::Usage => 2,
-            Self::Faulty => 3,
+            Self::InvalidDocument => 3,
             Self::Conflict => 4,
             Self::MayHaveRun => 5,
         }
     }
 }
 
-/// Runs the command line of this process.
+/// Runs the command given by the arguments of this process.
 pub fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let exit = run(arguments).unwrap_or_else(|exit| exit);
@@ -168,11 +168,11 @@
 }
 
 fn run(arguments: Arguments) -> Result<Exit, Exit> {
-    let variable = |name: &str| std::env::var(name).ok();
-    let node = arguments.node.or_else(|| variable("CATKINMAST_NODE"));
+    let env_var = |name: &str| std::env::var(name).ok();
+    let node = arguments.node.or_else(|| env_var("CATKINMAST_NODE"));
     let endpoint = Endpoint {
         node: node.unwrap_or_else(|| "127.0.0.1:7400".to_owned()),
-        token: arguments.token.or_else(|| variable("CATKINMAST_TOKEN")),
+        token: arguments.token.or_else(|| env_var("CATKINMAST_TOKEN")),
     };
     let json = arguments.json;
     match arguments.command {
@@ -184,14 +184,14 @@
             ConfigCommand::History(_) => show_history(&endpoint, json),
             ConfigCommand::Show(_) => show_document(&endpoint, json),
         },
-        Command::Drain(drain) => drain_something(&endpoint, json, &drain),
+        Command::Drain(drain) => drain_node_or_target(&endpoint, json, &drain),
         Command::Status(_) => show_status(&endpoint, json),
     }
 }
 
 fn read_file(file: &str) -> Result<String, Exit> {
     std::fs::read_to_string(file).map_err(|error| {
-        eprintln!("file '{file}' cannot be read: {error}");
+        eprintln!("cannot read file '{file}': {error}");
         Exit::Usage
     })
 }
@@ -207,7 +207,7 @@
             } else {
                 faults.0.iter().for_each(|fault| println!("{file}: {fault}"));
             }
-            return Ok(Exit::Faulty);
+            return Ok(Exit::InvalidDocument);
         }
     }
     Ok(Exit::Done)
@@ -219,7 +219,7 @@
         Some(base) => base,
         None => endpoint.expect(Method::GET, "/v1/config", None)?["revision"].as_u64().unwrap_or(0),
     };
-    let operation_id = apply.operation.clone().unwrap_or_else(new_operation);
+    let operation_id = apply.operation.clone().unwrap_or_else(new_operation_id);
     let body = json!({
         "base_revision": base_revision,
         "operation_id": operation_id,
@@ -228,7 +228,7 @@
     });
     let answer = endpoint.send(Method::PUT, "/v1/config", Some(&body)).inspect_err(|exit| {
         if *exit == Exit::MayHaveRun {
-            eprintln!("repeat it with --operation {operation_id}, which cannot apply it twice");
+            eprintln!("retry with --operation {operation_id}; it is not applied twice");
         }
     })?;
     if json {
@@ -253,7 +253,7 @@
                 let faults = table::rows(&answer.body["faults"], &["line", "field", "message"]);
                 table::print(&["line", "field", "fault"], &faults);
             }
-            Ok(Exit::Faulty)
+            Ok(Exit::InvalidDocument)
         }
         Some("refused") => {
             let refusal = &answer.body["refusal"];
@@ -263,15 +263,15 @@
             if refusal["verdict"] == "not_run" {
                 return Ok(Exit::NotRun);
             }
-            eprintln!("repeat it with --operation {operation_id}, which cannot apply it twice");
+            eprintln!("retry with --operation {operation_id}; it is not applied twice");
             Ok(Exit::MayHaveRun)
         }
-        _ => Err(problem(&answer)),
+        _ => Err(report_error(&answer)),
     }
 }
 
-/// The process number and the time tell two operators' operations apart.
-fn new_operation() -> String {
+/// Returns a new operation identifier, unique among operators by process number and time.
+fn new_operation_id() -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("ctl-{}-{}", std::process::id(), now.as_nanos())
 }
@@ -351,13 +351,13 @@
     println!("\nsteps");
     let owners = status["owners"].as_array().cloned().unwrap_or_default();
     let steps: Result<Vec<Value>, Exit> =
-        owners.iter().map(|owner| steps_of(endpoint, owner)).collect();
-    table::print(&STEP_FIELDS, &table::rows(&Value::Array(steps?), &STEP_FIELDS));
+        owners.iter().map(|owner| fetch_progress(endpoint, owner)).collect();
+    table::print(&STEP_COLUMNS, &table::rows(&Value::Array(steps?), &STEP_COLUMNS));
     Ok(Exit::Done)
 }
 
-/// What is shown of a trainer's steps.
-const STEP_FIELDS: [&str; 9] = [
+/// Columns of the table of steps.
+const STEP_COLUMNS: [&str; 9] = [
     "trainer",
     "trainer_version",
     "steps_open",
@@ -369,7 +369,7 @@
     "batches_claimed",
 ];
 
-fn steps_of(endpoint: &Endpoint, owner: &Value) -> Result<Value, Exit> {
+fn fetch_progress(endpoint: &Endpoint, owner: &Value) -> Result<Value, Exit> {
     let trainer = owner["trainer"].as_str().unwrap_or_default();
     let path = format!("/v1/trainers/{trainer}/progress");
     let mut progress = endpoint.expect(Method::GET, &path, None)?;
@@ -377,12 +377,12 @@
     Ok(progress)
 }
 
-fn drain_something(endpoint: &Endpoint, json: bool, drain: &Drain) -> Result<Exit, Exit> {
+fn drain_node_or_target(endpoint: &Endpoint, json: bool, drain: &Drain) -> Result<Exit, Exit> {
     let list = match drain.kind.as_str() {
         "node" => "nodes",
         "target" => "targets",
         other => {
-            eprintln!("drain: kind '{other}' is not known; write node or target");
+            eprintln!("drain: unknown kind '{other}'; expected node or target");
             return Err(Exit::Usage);
         }
     };
@@ -390,7 +390,7 @@
     if json {
         println!("{}", json!({ "draining": drain.name }));
     } else {
-        println!("{} {} leaves", drain.kind, drain.name);
+        println!("draining {} {}", drain.kind, drain.name);
     }
     Ok(Exit::Done)
 }
--- a/crates/ctl/src/http.rs
+++ b/crates/ctl/src/http.rs
@@ -1,20 +1,20 @@
-//! Requests to a node.
+//! HTTP requests to a node.
 
 use crate::commands::Exit;
 use serde_json::Value;
 use std::time::Duration;
 
-/// How long a node may take to answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A node and the operator's token.
+/// Address of a node, and the operator's token.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub node: String,
     pub token: Option<String>,
 }
 
-/// What a node answered.
+/// A node's response.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub body: Value,
@@ -22,7 +22,11 @@
 }
 
 impl Endpoint {
-    /// Sends a request; an error has been printed.
+    /// Sends a request and returns the response, whatever its status.
+    ///
+    /// # Errors
+    ///
+    /// The request failed; the error has been printed.
     pub(crate) fn send(
         &self,
         method: reqwest::Method,
@@ -30,18 +34,22 @@
         body: Option<&Value>,
     ) -> Result<Answer, Exit> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|error| fail(&format!("cannot start: {error}")))?;
-        runtime.block_on(self.send_now(method, path, body))
+        let runtime = runtime.map_err(|error| {
+            report_start_failure(&format!("cannot start the async runtime: {error}"))
+        })?;
+        runtime.block_on(self.send_async(method, path, body))
     }
 
-    async fn send_now(
+    async fn send_async(
         &self,
         method: reqwest::Method,
         path: &str,
         body: Option<&Value>,
     ) -> Result<Answer, Exit> {
         let client = reqwest::Client::builder().no_proxy().timeout(TIMEOUT).build();
-        let client = client.map_err(|error| fail(&format!("cannot start: {error}")))?;
+        let client = client.map_err(|error| {
+            report_start_failure(&format!("cannot build the HTTP client: {error}"))
+        })?;
         let mut request = client.request(method, format!("http://{}{path}", self.node));
         if let Some(token) = &self.token {
             request = request.bearer_auth(token);
@@ -60,7 +68,11 @@
         Ok(Answer { body, status })
     }
 
-    /// Sends a request whose answer must be a success; a problem has been printed.
+    /// Sends a request and returns the body of a successful response.
+    ///
+    /// # Errors
+    ///
+    /// The request failed or was answered with an error, which has been printed.
     pub(crate) fn expect(
         &self,
         method: reqwest::Method,
@@ -71,13 +83,13 @@
         if answer.status < 300 {
             return Ok(answer.body);
         }
-        Err(problem(&answer))
+        Err(report_error(&answer))
     }
 }
 
-/// Prints a node's problem and returns the exit code that fits its verdict.
-pub(crate) fn problem(answer: &Answer) -> Exit {
-    let message = answer.body["message"].as_str().unwrap_or("no reason was given");
+/// Prints a node's error response and returns the exit for its verdict.
+pub(crate) fn report_error(answer: &Answer) -> Exit {
+    let message = answer.body["message"].as_str().unwrap_or("the response has no message");
     match answer.body["field"].as_str() {
         Some(field) => eprintln!("{}: {field}: {message}", answer.status),
         None => eprintln!("{}: {message}", answer.status),
@@ -88,7 +100,7 @@
     }
 }
 
-fn fail(message: &str) -> Exit {
+fn report_start_failure(message: &str) -> Exit {
     eprintln!("{message}");
     Exit::NotRun
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command line.
+//! `catkinmast-ctl`, the command line for operators.
 //!
-//! Every command prints a table for people, or JSON with `--json`. Exit codes: 0 done, 1 refused
-//! or unreachable and not run, 2 wrong arguments, 3 a document with faults, 4 a conflict, 5 the
+//! Commands print tables, or JSON with `--json`. Exit codes: 0 success, 1 refused or unreachable,
+//! nothing was run, 2 invalid arguments, 3 invalid document, 4 conflict with another change, 5 the
 //! action may have run.
 
 mod commands;
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people.
+//! Plain-text tables.
 
 use serde_json::Value;
 
-/// Prints rows under a heading, each column as wide as its widest cell.
+/// Prints rows below a heading line, each column as wide as its widest cell.
 pub(crate) fn print(heading: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column)).map(String::len);
@@ -19,7 +19,7 @@
     }
 }
 
-/// Turns a list of JSON objects into rows of the named fields.
+/// Converts a list of JSON objects to rows with the given fields.
 pub(crate) fn rows(list: &Value, fields: &[&str]) -> Vec<Vec<String>> {
     let items = list.as_array().map_or(&[][..], Vec::as_slice);
     items.iter().map(|item| fields.iter().map(|field| cell(&item[*field])).collect()).collect()
