--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -266,15 +266,15 @@
     (took_ms, bytes as f64 / nodes as f64)
 }
 
-/// Measures the simultaneous failure of `dead` nodes. Returns the time in milliseconds until all
+/// Measures the simultaneous failure of `failed` nodes. Returns the time in milliseconds until all
 /// others agree, and the mean bytes per second of the busiest node until then.
-fn measure_node_loss(nodes: usize, dead: usize) -> (f64, f64) {
+fn measure_node_loss(nodes: usize, failed: usize) -> (f64, f64) {
     let mut fleet = VirtualFleet::open(nodes, 1, 0);
     fleet.run_until(UnixMs(40_000));
     let before = fleet.traffic();
     let started = fleet.now();
     // Every fifth node is in the same data centre.
-    (0..dead).for_each(|number| fleet.kill(number * 5 + 1));
+    (0..failed).for_each(|number| fleet.kill(number * 5 + 1));
     let agreed = fleet.run_until_holds(started.plus(120_000), VirtualFleet::all_agree);
     let took_ms = agreed.map_or(f64::INFINITY, |at| at.since_ms(started) as f64);
     let busiest = fleet.traffic().busiest_node_bytes - before.busiest_node_bytes;
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -94,8 +94,8 @@
     [Chooser::RoundRobin, Chooser::LaggingReport, Chooser::Least, Chooser::TwoChoices];
 
 fn run_route(route: &Route) -> ExitCode {
-    for (title, scene) in SCENARIOS {
-        let rows = CHOOSERS.map(|chooser| run_choice(scene, chooser, route.seed));
+    for (title, scenario) in SCENARIOS {
+        let rows = CHOOSERS.map(|chooser| run_choice(scenario, chooser, route.seed));
         if route.json {
             println!("{}", serde_json::json!({ "table": title, "rows": rows }));
             continue;
--- a/crates/bench/src/engines.rs
+++ b/crates/bench/src/engines.rs
@@ -109,6 +109,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct EngineSim {
     alive: bool,
+    /// Prompts in the prefix cache, by step and group, least recently used first.
     cached: Vec<(u64, u32)>,
     fail_next_swap: bool,
     generated: u64,
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -54,7 +54,7 @@
     pub p50_us: u64,
     /// 99th percentile of the latency of answered calls, in microseconds.
     pub p99_us: u64,
-    /// Calls of the busiest target, in percent of the mean; dead and slow targets are left out.
+    /// Calls of the busiest target, in percent of the mean; targets that are down or slow are left out.
     pub spread_percent: u64,
 }
 
@@ -64,7 +64,7 @@
     /// Number of calls.
     pub calls: u32,
     /// Number of targets that refuse every connection.
-    pub dead: usize,
+    pub down: usize,
     /// Offered load, in percent of the capacity of all live targets.
     pub load_percent: u64,
     /// Number of entry nodes; each chooses by its own observations only.
@@ -73,19 +73,20 @@
     pub protected: bool,
     /// Number of targets whose calls take four times as long.
     pub slow: usize,
-    /// Number of targets, dead and slow ones included.
+    /// Number of targets, including those that are down or slow.
     pub targets: usize,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum SimEvent {
     Arrive,
-    Served { target: usize },
+    CallComplete { target: usize },
 }
 
 #[derive(Clone, Debug)]
 struct Call {
     started_us: u64,
+    /// The balancer's choice; none with [`Chooser::LaggingReport`], which bypasses the balancer.
     choice: Option<Choice>,
     node: usize,
     sent_us: u64,
@@ -96,6 +97,7 @@
     calls: u64,
     queue: VecDeque<Call>,
     reported_load: u64,
+    /// Calls being served, each with its completion time in microseconds.
     serving: VecDeque<(u64, Call)>,
 }
 
@@ -171,7 +173,7 @@
     }
 
     fn service_time_factor(&self, target: usize) -> f64 {
-        if target >= self.scenario.dead && target < self.scenario.dead + self.scenario.slow {
+        if target >= self.scenario.down && target < self.scenario.down + self.scenario.slow {
             4.0
         } else {
             1.0
@@ -180,7 +182,7 @@
 
     /// Returns the calls per second that all live targets together can serve.
     fn capacity(&self) -> f64 {
-        let live = self.scenario.dead..self.scenario.targets;
+        let live = self.scenario.down..self.scenario.targets;
         live.map(|target| {
             SERVERS_PER_TARGET as f64 * 1e6 / (SERVICE_US * self.service_time_factor(target))
         })
@@ -202,7 +204,7 @@
                         self.schedule_at(next, SimEvent::Arrive);
                     }
                 }
-                SimEvent::Served { target } => self.complete_call(now_us, target),
+                SimEvent::CallComplete { target } => self.complete_call(now_us, target),
             }
         }
         self.row()
@@ -229,7 +231,7 @@
             return;
         };
         self.attempts += 1;
-        if target < self.scenario.dead {
+        if target < self.scenario.down {
             let name = self.names[target].clone();
             tried.push(name);
             let NodeSim { budget, targets, .. } = &mut self.nodes[node];
@@ -279,7 +281,7 @@
             let mean_us = SERVICE_US * self.service_time_factor(target);
             let done_us = now_us + exponential_us(&mut self.rng, mean_us);
             self.targets[target].serving.push_back((done_us, call));
-            self.schedule_at(done_us, SimEvent::Served { target });
+            self.schedule_at(done_us, SimEvent::CallComplete { target });
         }
     }
 
@@ -303,7 +305,7 @@
             let index = self.latencies_us.len() * percent / 100;
             self.latencies_us.get(index).copied().unwrap_or(0)
         };
-        let regular = &self.targets[self.scenario.dead + self.scenario.slow..];
+        let regular = &self.targets[self.scenario.down + self.scenario.slow..];
         let most = regular.iter().map(|target| target.calls).max().unwrap_or(0);
         let mean =
             regular.iter().map(|target| target.calls).sum::<u64>() / regular.len().max(1) as u64;
@@ -464,7 +466,7 @@
 /// Nine targets and six nodes, the size of today's deployments.
 const BASE_SCENARIO: Scenario = Scenario {
     calls: 60_000,
-    dead: 0,
+    down: 0,
     load_percent: 70,
     nodes: 6,
     protected: true,
@@ -476,10 +478,10 @@
 pub const SCENARIOS: [(&str, Scenario); 5] = [
     ("even targets, 70 % load", BASE_SCENARIO),
     ("a third four times slower, 70 % load", Scenario { slow: 3, ..BASE_SCENARIO }),
-    ("a third dead, 70 % load, protected", Scenario { dead: 3, ..BASE_SCENARIO }),
+    ("a third dead, 70 % load, protected", Scenario { down: 3, ..BASE_SCENARIO }),
     (
         "a third dead, 70 % load, no budget and no ejection",
-        Scenario { dead: 3, protected: false, ..BASE_SCENARIO },
+        Scenario { down: 3, protected: false, ..BASE_SCENARIO },
     ),
     (
         "320 nodes, 870 targets, a tenth four times slower, 70 % load",
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -195,11 +195,14 @@
 /// A discrete-event simulation of a trainer's steps.
 #[derive(Debug)]
 pub struct Simulation {
+    /// Claimed samples, each with the number of its batch.
     pub(crate) claimed: IndexMap<SampleId, u64>,
     pub(crate) current_owner: usize,
     pub(crate) engines: Vec<EngineSim>,
     pub(crate) fence: Fence,
+    /// Finished and partial samples stored on nodes, by node, sample and attempt.
     pub(crate) holdings: IndexMap<(usize, SampleId, Attempt), Holding>,
+    /// The stored ledger and its version for compare-and-swap.
     pub(crate) ledger: Option<(Ledger, u64)>,
     pub(crate) replies_to_lose: u32,
     pub(crate) nodes_up: Vec<bool>,
@@ -212,7 +215,8 @@
     pub(crate) reply_to: u64,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) settings: SimulationSettings,
-    pub(crate) stored: IndexMap<(u64, String), StepSpec>,
+    /// Stored steps, by number and digest.
+    pub(crate) stored_specs: IndexMap<(u64, String), StepSpec>,
     pub(crate) trainer: TrainerSim,
 }
 
@@ -265,7 +269,7 @@
                 waiting_since: None,
             },
             settings,
-            stored: IndexMap::new(),
+            stored_specs: IndexMap::new(),
         };
         for (at, fault) in faults {
             simulation.schedule_at(*at, SimEvent::Fault(*fault));
@@ -390,12 +394,12 @@
                 self.deliver_later(100, node, Event::Holdings(found));
             }
             Effect::Forget { samples } => {
-                let gone: IndexSet<_> = samples.into_iter().collect();
-                self.holdings.retain(|(_, id, attempt), _| !gone.contains(&(*id, *attempt)));
+                let forgotten: IndexSet<_> = samples.into_iter().collect();
+                self.holdings.retain(|(_, id, attempt), _| !forgotten.contains(&(*id, *attempt)));
             }
             Effect::LoadStep { digest, step } => {
                 let unavailable = self.now < self.outage_until;
-                let spec = self.stored.get(&(step, digest)).filter(|_| !unavailable).cloned();
+                let spec = self.stored_specs.get(&(step, digest)).filter(|_| !unavailable).cloned();
                 let wait_ms = if unavailable { 500 } else { STORE_LATENCY_MS };
                 self.deliver_later(wait_ms, node, Event::StepLoaded { spec, step });
             }
@@ -416,7 +420,7 @@
             Effect::StoreStep { digest, spec, step } => {
                 let stored = self.now >= self.outage_until;
                 if stored {
-                    self.stored.insert((step, digest), spec);
+                    self.stored_specs.insert((step, digest), spec);
                 }
                 self.deliver_later(STORE_LATENCY_MS, node, Event::StepStored { step, stored });
             }
@@ -600,11 +604,11 @@
             }
             Fault::LoseReplies(count) => self.replies_to_lose += count,
             Fault::OwnerCrash => {
-                let dead = self.current_owner;
-                self.nodes_up[dead] = false;
-                self.owners.swap_remove(&dead);
+                let failed = self.current_owner;
+                self.nodes_up[failed] = false;
+                self.owners.swap_remove(&failed);
                 for engine in &mut self.engines {
-                    engine.drop_runs_of_runner(dead);
+                    engine.drop_runs_of_runner(failed);
                 }
                 if self.nodes_up.iter().any(|up| *up) {
                     self.schedule_after(TAKEOVER_DELAY_MS, SimEvent::TakeOver);
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -24,12 +24,14 @@
 
 #[derive(Debug)]
 pub(crate) struct TrainerSim {
+    /// The command that awaits a reply: the number of the reply, and the action.
     pub pending: Option<(u64, TrainerAction)>,
     pub batch: u64,
     pub claimed_of_step: u32,
     pub idle_ms: u64,
     pub next: TrainerAction,
     pub resend_at: UnixMs,
+    /// Samples of each fetched batch.
     pub fetched: IndexMap<u64, Vec<(SampleId, Attempt)>>,
     pub step: u64,
     pub submitted: u64,
