--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -1,42 +1,44 @@
-//! Who is asking: bearer tokens with roles.
+//! Authentication: bearer tokens with roles.
 
 use catkinmast_model::Name;
 use std::fmt;
 use std::str::FromStr;
 
-/// What the bearer of a token may do.
+/// The role of a token, which determines what its bearer may do.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Role {
-    /// Calls services and generates text, for a workspace.
+    /// Calls services and generates text for a workspace.
     Caller,
-    /// Changes and reads the configuration, drains, reads the audit trail.
+    /// Reads and changes the configuration, drains nodes and targets, and reads the audit trail.
     Operator,
-    /// Submits steps and takes batches, for the trainer that the token names.
+    /// Submits steps and fetches batches for the trainer that the token names.
     Trainer,
 }
 
-/// The bearer of a token: a role, and the workspace, trainer or person it stands for.
+/// The bearer of a token: a role, and the workspace, trainer or operator that it identifies.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-    /// The workspace, trainer or person.
+    /// The workspace, trainer or operator.
     pub name: Name,
-    /// What it may do.
+    /// Its role.
     pub role: Role,
 }
 
-/// A token as the settings give it: `role:name=secret`.
+/// A bearer token; its text form in the settings is `role:name=secret`.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Token {
-    /// Whose it is.
+    /// The bearer.
     pub identity: Identity,
     secret: String,
 }
 
-/// The shortest secret accepted, in bytes.
+/// Minimum length of a token's secret.
 const SECRET_MIN_BYTES: usize = 8;
 
 impl Token {
-    /// Tells whether `secret` is this token's, in time that does not depend on where it differs.
+    /// Returns whether `secret` is this token's secret.
+    ///
+    /// The time taken does not depend on where the two differ.
     pub fn matches_secret(&self, secret: &str) -> bool {
         let (ours, theirs) = (self.secret.as_bytes(), secret.as_bytes());
         let differs = ours.iter().zip(theirs).fold(0, |differs, (a, b)| differs | (a ^ b));
@@ -62,13 +64,15 @@
             "operator" => Role::Operator,
             "trainer" => Role::Trainer,
             other => {
-                return Err(format!("has role '{other}'; caller, trainer, operator are known"));
+                return Err(format!(
+                    "has unknown role '{other}' (roles: caller, trainer, operator)"
+                ));
             }
         };
-        let name = name.parse().map_err(|error| format!("has a bad name: {error}"))?;
+        let name = name.parse().map_err(|error| format!("has an invalid name: {error}"))?;
         if secret.len() < SECRET_MIN_BYTES {
             return Err(format!(
-                "of {identity} has a secret of {} bytes, {SECRET_MIN_BYTES} are needed",
+                "of {identity} has a secret of {} bytes; at least {SECRET_MIN_BYTES} are required",
                 secret.len()
             ));
         }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,17 +1,19 @@
-//! The clock of the control thread and of all waits.
+//! The node's clock, used by the control thread and for deadlines.
 //!
-//! A lease holder must stop by its own clock, so that clock must never go back and must not miss
-//! a pause. The wall clock can be set back; the monotonic clock does not count the time in which
-//! a whole machine was suspended. This clock runs with the monotonic one and jumps forward when
-//! the wall clock has gone ahead of it. A wall clock that is set forward by mistake makes leases
-//! lapse once, which costs some seconds; the opposite mistake would let two holders act.
+//! A lease holder decides by its own clock when to stop, so the clock must never go back and must
+//! count pauses. The wall clock can be set back, and the monotonic clock does not count the time
+//! during which the whole machine was suspended. This clock therefore advances with the monotonic
+//! clock and jumps forward when the wall clock is ahead of it. If the wall clock is set forward by
+//! mistake, leases expire once, which costs a few seconds; a clock that runs behind would let two
+//! holders act at the same time.
 
 use catkinmast_model::UnixMs;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// A wall clock this far ahead tells of a pause; less is the slewing of a time service.
-const JUMP_MS: u64 = 500;
+/// The wall clock must be ahead by more than this to count as a pause; smaller differences come from
+/// a time service that slews the clock.
+const PAUSE_MIN_MS: u64 = 500;
 
 /// A clock that never goes back.
 #[derive(Debug)]
@@ -29,15 +31,15 @@
         self.at(self.started.elapsed().as_millis() as u64, UnixMs::from_wall_clock())
     }
 
-    /// Returns the time when the monotonic clock has run for `ran_ms` and the wall clock says
-    /// `wall`.
-    fn at(&self, ran_ms: u64, wall: UnixMs) -> UnixMs {
+    /// Returns the time for a monotonic clock that has advanced by `elapsed_ms` since the start and a
+    /// wall clock that shows `wall`.
+    fn at(&self, elapsed_ms: u64, wall: UnixMs) -> UnixMs {
         let offset_ms = self.offset_ms.load(Ordering::Relaxed);
-        if wall.since_ms(UnixMs(offset_ms + ran_ms)) <= JUMP_MS {
-            return UnixMs(offset_ms + ran_ms);
+        if wall.since_ms(UnixMs(offset_ms + elapsed_ms)) <= PAUSE_MIN_MS {
+            return UnixMs(offset_ms + elapsed_ms);
         }
-        let jumped = wall.0.saturating_sub(ran_ms);
+        let jumped = wall.0.saturating_sub(elapsed_ms);
         self.offset_ms.fetch_max(jumped, Ordering::Relaxed);
-        UnixMs(jumped.max(offset_ms) + ran_ms)
+        UnixMs(jumped.max(offset_ms) + elapsed_ms)
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,12 +1,15 @@
-//! An entry instance's process.
+//! The node process that runs on an entry instance.
 //!
-//! [`Node::spawn`] takes checked [`Settings`] and returns a running handle. Inside, one control
-//! thread owns every aggregate that decides (`control`): membership, configuration, leases, and
-//! the steps of the trainers that this node owns. It takes inputs from a channel, asks the
-//! aggregates, and publishes an immutable snapshot that the traffic threads read
-//! without a lock. What the aggregates want done outside (`edge`) is carried out by tasks on the
-//! traffic threads, which report back over the same channel. The HTTP interface (`api`) reads the
-//! snapshot, decides with `catkinmast-route`, and never waits for the key-value service.
+//! [`Node::spawn`] takes checked [`Settings`] and returns a handle of the running node:
+//!
+//! - `control` is a single thread that owns the state machines of membership, configuration, leases
+//!   and the steps of the trainers that this node owns. It receives inputs over a channel, passes
+//!   them to the state machines, and publishes an immutable snapshot, which the traffic threads (the
+//!   async runtime) read without a lock.
+//! - `edge` holds the tasks that perform the network calls requested by the state machines. They run
+//!   on the traffic threads and report back over the same channel.
+//! - `api` is the HTTP interface. It reads the snapshot and decides with `catkinmast-route`; it does
+//!   not wait for the key-value service to serve a call.
 
 mod api;
 mod auth;
--- a/crates/node/src/log_setup.rs
+++ b/crates/node/src/log_setup.rs
@@ -1,21 +1,24 @@
-//! Logs: one JSON object a line, on standard error.
+//! Log output: one JSON object per line on standard error.
 
 use catkinmast_model::UnixMs;
 use displaydoc::Display;
 
-/// the log could not be started: {message}
+/// cannot set up logging: {message}
 #[derive(Clone, Debug, Display)]
 pub struct LogSetupError {
-    /// What went wrong.
+    /// The cause.
     pub message: String,
 }
 
 impl std::error::Error for LogSetupError {}
 
-/// Starts the log of this process.
+/// Sets up logging for this process.
+///
+/// Other crates log at most warnings.
 ///
 /// # Errors
-/// When a log was started before.
+///
+/// Fails if a logger is already set.
 pub fn start_log(level: log::LevelFilter) -> Result<(), LogSetupError> {
     fern::Dispatch::new()
         .format(|out, message, record| {
@@ -28,7 +31,7 @@
             out.finish(format_args!("{line}"));
         })
         .level(level.min(log::LevelFilter::Warn))
-        // The web framework warns of what the interface answers by itself.
+        // Rocket logs warnings for conditions that this crate's handlers already answer.
         .level_for("rocket", level.min(log::LevelFilter::Error))
         .level_for("catkinmast_node", level)
         .level_for("catkinmast_rollout", level)
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node counts, in the `OpenMetrics` text format.
+//! The node's metrics, exported in the `OpenMetrics` text format.
 
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::counter::Counter;
@@ -6,14 +6,15 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Labels of a counted call: the service and how it ended.
+/// Labels of a counted call of a plain service.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct CallLabels {
     pub service: String,
     pub verdict: String,
 }
 
-/// Labels of a counted call of the key-value service: the duty it was made for.
+/// Labels of a counted call of the key-value service. `duty` is the purpose of the call, such as
+/// `lease` or `config`.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct DutyLabels {
     pub duty: String,
@@ -93,10 +94,12 @@
         }
     }
 
+    /// Counts one call of the key-value service.
     pub(crate) fn count_kv_call(&self, duty: &str) {
         self.kv_calls.get_or_create(&DutyLabels { duty: duty.to_owned() }).inc();
     }
 
+    /// Returns all metrics in the `OpenMetrics` text format.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The running node: starting, draining, stopping.
+//! The handle of a running node: starts, drains and stops it.
 
 use crate::api::{self, WebServer};
 use crate::clock::Clock;
@@ -22,38 +22,39 @@
 use tokio::runtime::Handle;
 use tokio::sync::{Notify, oneshot};
 
-/// The largest datagram read; a longer one is no frame of ours.
-const DATAGRAM_READ_BYTES: usize = 2_048;
-/// Nodes of this program share duties alike, whatever they run on.
-const EQUAL_CAPACITY_MILLICORES: u32 = 1_000;
-/// How often a drain looks whether it is done.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
-/// How long the control thread has to give its duties up.
-const CONTROL_STOP: Duration = Duration::from_secs(2);
-/// How often the datagram thread looks whether the node has stopped.
-const SOCKET_LOOK: Duration = Duration::from_millis(200);
+/// Size of the receive buffer; a valid frame is always smaller than this.
+const DATAGRAM_BUFFER_BYTES: usize = 2_048;
+/// The capacity that every node reports. It is the same for all, so that duties are shared equally
+/// whatever hardware the nodes run on.
+const REPORTED_CAPACITY_MILLICORES: u32 = 1_000;
+/// Interval between checks of whether a drain is complete.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a drain waits for the control thread to release its duties and stop.
+const CONTROL_STOP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Read timeout of the datagram socket, after which its thread checks whether the node has stopped.
+const SOCKET_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// the node cannot start: {part}: {message}
 #[derive(Clone, Debug, Display)]
 pub struct NodeError {
-    /// What went wrong.
+    /// The cause.
     pub message: String,
-    /// Which part of the node.
+    /// The part of the node that failed.
     pub part: &'static str,
 }
 
 impl std::error::Error for NodeError {}
 
-fn failed(part: &'static str) -> impl FnOnce(std::io::Error) -> NodeError {
+fn start_error(part: &'static str) -> impl FnOnce(std::io::Error) -> NodeError {
     move |error| NodeError { message: error.to_string(), part }
 }
 
-/// How a drain ended.
+/// The result of a drain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DrainReport {
-    /// Requests and runs that were still in progress when the deadline passed, and were cut.
+    /// Number of requests and runs that were still in progress at the deadline and were aborted.
     pub cut: usize,
-    /// When the node had nothing left to do, or gave up waiting.
+    /// When the drain completed or its deadline passed.
     pub ended_at: UnixMs,
 }
 
@@ -68,13 +69,15 @@
 }
 
 impl Node {
-    /// Starts a node on the runtime of the caller.
+    /// Starts a node on the caller's runtime.
     ///
     /// # Errors
-    /// When an address cannot be bound or a thread cannot be started.
+    ///
+    /// Fails if an address cannot be bound, or the HTTP client, the HTTP server or a thread cannot be
+    /// started.
     pub async fn spawn(settings: Settings) -> Result<Self, NodeError> {
         let (socket, listener) = bind_control(settings.control).await?;
-        let control = socket.local_addr().map_err(failed("control address"))?;
+        let control = socket.local_addr().map_err(start_error("control address"))?;
         let incarnation = Incarnation(UnixMs::from_wall_clock().0);
         let (inputs, received) = std::sync::mpsc::channel();
         let clients = Clients::open(settings.platform)
@@ -99,7 +102,7 @@
             .await
             .map_err(|message| NodeError { message, part: "HTTP server" })?;
         let me = NodeFact {
-            capacity_millicores: EQUAL_CAPACITY_MILLICORES,
+            capacity_millicores: REPORTED_CAPACITY_MILLICORES,
             control,
             data_centre: shared.settings.data_centre.clone(),
             has_data_folder: shared.settings.data_folder.is_some(),
@@ -115,8 +118,8 @@
         let runtime = Handle::current();
         let start =
             StartArguments { inputs: received, me, runtime, shared: Arc::clone(&shared), socket };
-        // The thread ends when it is told to stop; nobody joins it.
-        control::spawn(start).map_err(failed("control thread"))?;
+        // The thread is not joined; it ends on `Input::Stop`.
+        control::spawn(start).map_err(start_error("control thread"))?;
         Ok(Self { inputs, peers_task, shared, stopped, web })
     }
 
@@ -125,33 +128,34 @@
         &self.shared.settings.name
     }
 
-    /// Returns where callers, trainers and operators reach the node.
+    /// Returns the HTTP address for callers, trainers and operators.
     pub const fn http_address(&self) -> SocketAddr {
         self.web.address
     }
 
-    /// Returns where the other nodes reach the node.
+    /// Returns the address for other nodes, for both UDP and TCP.
     pub fn control_address(&self) -> SocketAddr {
         self.shared.control
     }
 
-    /// Waits until an operator has asked this node to leave.
+    /// Waits until an operator has requested that this node drain.
     pub async fn drain_requested(&self) {
         self.shared.drain_requested.notified().await;
     }
 
-    /// Leaves: vanishes from answers about addresses at once, serves until the last answer that
-    /// named this node has expired and the last request has ended, then stops.
+    /// Drains the node and stops it.
     ///
-    /// The configuration's `drain_deadline_ms` bounds the wait; what is still in progress then is
-    /// cut and counted in the report.
+    /// Answers to address lookups no longer name the node from the start of the drain. The node goes
+    /// on serving until every earlier answer that names it has expired and its last request has
+    /// ended. The configuration's `drain_deadline_ms` bounds the wait; requests and runs that are
+    /// still in progress then are aborted and counted in the report.
     pub async fn drain(mut self) -> DrainReport {
         self.shared.send_input(Input::Leave);
         let deadline_ms =
             self.shared.snapshot().document().map_or(30_000, |d| d.limits.drain_deadline_ms);
         let deadline = self.shared.now().plus(deadline_ms);
         let cut = loop {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             let now = self.shared.now();
             let in_progress = self.shared.in_progress.load(Ordering::SeqCst);
             let leaving_until = self.shared.snapshot().leaving_until;
@@ -164,12 +168,12 @@
             }
         };
         if cut > 0 {
-            log::warn!("the drain deadline passed with {cut} requests in progress");
+            log::warn!("the drain deadline passed; aborting {cut} requests in progress");
         }
         self.stop_control().await;
         self.web.shutdown.clone().notify();
         if let Err(error) = (&mut self.web.task).await {
-            log::warn!("the web server did not stop in order: {error}");
+            log::warn!("the web server task failed during shutdown: {error}");
         }
         DrainReport { cut, ended_at: self.shared.now() }
     }
@@ -177,13 +181,13 @@
     async fn stop_control(&mut self) {
         let (done, stopped) = oneshot::channel();
         if self.inputs.send(Input::Stop { done }).is_ok()
-            && tokio::time::timeout(CONTROL_STOP, stopped).await.is_err()
+            && tokio::time::timeout(CONTROL_STOP_TIMEOUT, stopped).await.is_err()
         {
-            log::warn!("the control thread did not stop in time");
+            log::warn!("the control thread did not stop within {CONTROL_STOP_TIMEOUT:?}");
         }
     }
 
-    /// Stops without a word to anybody, as a crash would. For tests and demonstrations.
+    /// Stops without notifying other nodes, as a crash would. For tests and demonstrations.
     pub fn crash(self) {
         drop(self);
     }
@@ -192,35 +196,35 @@
 impl Drop for Node {
     fn drop(&mut self) {
         let (done, _stopped) = oneshot::channel();
-        // A control thread that has stopped already needs no second word.
-        let _unheard = self.inputs.send(Input::Stop { done });
-        let _already = self.stopped.set(());
+        // Sending fails if the control thread has stopped already.
+        let _already_stopped = self.inputs.send(Input::Stop { done });
+        let _already_set = self.stopped.set(());
         self.peers_task.abort();
         self.web.task.abort();
     }
 }
 
-/// Binds the same port for datagrams and for connections.
+/// Binds the same port for UDP and TCP.
 async fn bind_control(address: SocketAddr) -> Result<(UdpSocket, TcpListener), NodeError> {
-    let listener = TcpListener::bind(address).await.map_err(failed("control address"))?;
-    let bound = listener.local_addr().map_err(failed("control address"))?;
-    let socket = UdpSocket::bind(bound).map_err(failed("control address"))?;
+    let listener = TcpListener::bind(address).await.map_err(start_error("control address"))?;
+    let bound = listener.local_addr().map_err(start_error("control address"))?;
+    let socket = UdpSocket::bind(bound).map_err(start_error("control address"))?;
     Ok((socket, listener))
 }
 
-/// Hands datagrams to the control thread, from a thread of its own.
+/// Starts the thread that receives datagrams and passes them to the control thread.
 fn receive_datagrams(
     socket: &UdpSocket,
     shared: &Arc<Shared>,
     stopped: &Arc<OnceLock<()>>,
 ) -> Result<(), NodeError> {
-    let socket = socket.try_clone().map_err(failed("control address"))?;
-    socket.set_read_timeout(Some(SOCKET_LOOK)).map_err(failed("control address"))?;
+    let socket = socket.try_clone().map_err(start_error("control address"))?;
+    socket.set_read_timeout(Some(SOCKET_READ_TIMEOUT)).map_err(start_error("control address"))?;
     let (shared, stopped) = (Arc::clone(shared), Arc::clone(stopped));
     let receive = move || {
-        let mut buffer = [0; DATAGRAM_READ_BYTES];
+        let mut buffer = [0; DATAGRAM_BUFFER_BYTES];
         while stopped.get().is_none() {
-            // An error means that nothing came for a while: look again.
+            // An error is usually the read timeout: check `stopped` and read again.
             if let Ok((size, from)) = socket.recv_from(&mut buffer) {
                 shared.receive_datagram(from, &buffer[..size]);
             }
@@ -230,5 +234,5 @@
         .name("datagrams".to_owned())
         .spawn(receive)
         .map(|_running| ())
-        .map_err(failed("datagram thread"))
+        .map_err(start_error("datagram thread"))
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! A node's settings: flags, environment variables, and the check of all of them at start.
+//! A node's settings: command-line flags and environment variables, checked together at start.
 
 use crate::auth::Token;
 use argh::FromArgs;
@@ -12,14 +12,14 @@
 
 /// catkinmast-node: an entry instance of the rollout service.
 ///
-/// Each flag can be given by an environment variable as well; the flag wins. Addresses are IP
-/// numbers with a port.
+/// Each flag can also be given as an environment variable; the flag takes precedence. Addresses are
+/// an IP address and a port.
 #[derive(Clone, Debug, Default, FromArgs)]
 pub struct Arguments {
     /// this node's name; CATKINMAST_NAME
     #[argh(option)]
     pub name: Option<String>,
-    /// data centre it stands in; CATKINMAST_DATA_CENTRE
+    /// data centre of this node; CATKINMAST_DATA_CENTRE
     #[argh(option)]
     pub data_centre: Option<String>,
     /// address for callers, trainers and operators (HTTP); CATKINMAST_HTTP
@@ -28,25 +28,25 @@
     /// address for the other nodes (UDP and TCP); CATKINMAST_CONTROL
     #[argh(option)]
     pub control: Option<String>,
-    /// control addresses of some other nodes, separated by commas; CATKINMAST_PEERS
+    /// comma-separated control addresses of some other nodes; CATKINMAST_PEERS
     #[argh(option)]
     pub peers: Option<String>,
     /// address of the platform's services; CATKINMAST_PLATFORM
     #[argh(option)]
     pub platform: Option<String>,
-    /// folder for bulk data, on instances that have a disk; CATKINMAST_DATA_FOLDER
+    /// folder for bulk data, on instances with a disk; CATKINMAST_DATA_FOLDER
     #[argh(option)]
     pub data_folder: Option<String>,
-    /// secret that all nodes share, at least 16 bytes; CATKINMAST_SHARED_KEY
+    /// secret shared by all nodes, at least 16 bytes; CATKINMAST_SHARED_KEY
     #[argh(option)]
     pub shared_key: Option<String>,
-    /// bearer tokens role:name=secret, separated by commas; CATKINMAST_TOKENS
+    /// comma-separated bearer tokens of the form role:name=secret; CATKINMAST_TOKENS
     #[argh(option)]
     pub tokens: Option<String>,
-    /// let everybody in without a token, for local use only; CATKINMAST_OPEN_ACCESS=true
+    /// accept all requests without a token, for local use only; CATKINMAST_OPEN_ACCESS=true
     #[argh(switch)]
     pub open_access: bool,
-    /// lowest level of log lines: error, warn, info, debug or trace (default info);
+    /// log level: error, warn, info, debug or trace (default info);
     /// CATKINMAST_LOG_LEVEL
     #[argh(option)]
     pub log_level: Option<String>,
@@ -55,38 +55,38 @@
 /// Checked settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address for the other nodes.
+    /// Address for other nodes (UDP and TCP).
     pub control: SocketAddr,
-    /// Data centre it stands in.
+    /// The node's data centre.
     pub data_centre: Name,
-    /// Folder for bulk data.
+    /// Folder for bulk data, if the instance has a disk.
     pub data_folder: Option<PathBuf>,
-    /// Address for callers, trainers and operators.
+    /// HTTP address for callers, trainers and operators.
     pub http: SocketAddr,
-    /// Lowest level of log lines.
+    /// Log level.
     pub log_level: log::LevelFilter,
-    /// How the failure detector works.
+    /// Settings of the failure detector.
     pub membership: MembershipSettings,
-    /// Its name.
+    /// The node's name.
     pub name: Name,
-    /// Whether everybody is let in without a token.
+    /// Whether all requests are accepted without a token.
     pub open_access: bool,
     /// Control addresses of some other nodes.
     pub peers: Vec<SocketAddr>,
     /// Address of the platform's services.
     pub platform: SocketAddr,
-    /// The key that all nodes share.
+    /// The key shared by all nodes.
     pub shared_key: SharedKey,
-    /// Bearer tokens.
+    /// The bearer tokens that the node accepts.
     pub tokens: Vec<Token>,
 }
 
-/// A setting that is missing or wrong.
+/// A missing or invalid setting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingFault {
-    /// What is wrong, with the value.
+    /// What is wrong, with the value unless it is a secret.
     pub message: String,
-    /// The flag.
+    /// The flag, without its dashes.
     pub setting: &'static str,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// All settings that are missing or wrong.
+/// All missing or invalid settings.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SettingFaults(pub Vec<SettingFault>);
 
@@ -108,20 +108,21 @@
 
 impl std::error::Error for SettingFaults {}
 
-/// The shortest shared key accepted, in bytes.
+/// Minimum length of the shared key.
 const SHARED_KEY_MIN_BYTES: usize = 16;
 
+/// Returns the environment variable that corresponds to a flag.
 fn variable(setting: &str) -> String {
     format!("CATKINMAST_{}", setting.to_uppercase().replace('-', "_"))
 }
 
-/// Collects the faults while settings are read.
-struct Reader<V> {
+/// Reads settings and collects their faults.
+struct SettingsReader<V> {
     environment: V,
     faults: Vec<SettingFault>,
 }
 
-impl<V: Fn(&str) -> Option<String>> Reader<V> {
+impl<V: Fn(&str) -> Option<String>> SettingsReader<V> {
     fn text(&self, setting: &'static str, flag: Option<&String>) -> Option<String> {
         flag.cloned().or_else(|| (self.environment)(&variable(setting)))
     }
@@ -139,13 +140,13 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.fault(setting, format!("'{text}' cannot be read: {error}"));
+                self.fault(setting, format!("'{text}' is invalid: {error}"));
                 None
             }
         }
     }
 
-    fn needed<T: FromStr<Err: fmt::Display>>(
+    fn required<T: FromStr<Err: fmt::Display>>(
         &mut self,
         setting: &'static str,
         flag: Option<&String>,
@@ -167,11 +168,11 @@
         for (index, part) in parts.enumerate() {
             match part.parse() {
                 Ok(value) => values.push(value),
-                // A token's text is a secret, so only its place is named.
+                // A token contains a secret, so the message gives only its position.
                 Err(error) if setting == "tokens" => {
                     self.fault(setting, format!("entry {} {error}", index + 1));
                 }
-                Err(error) => self.fault(setting, format!("'{part}' cannot be read: {error}")),
+                Err(error) => self.fault(setting, format!("'{part}' is invalid: {error}")),
             }
         }
         values
@@ -179,27 +180,28 @@
 }
 
 impl Settings {
-    /// Checks flags and environment variables; a flag wins.
+    /// Reads and checks flags and environment variables; a flag takes precedence.
     ///
     /// # Errors
-    /// All settings that are missing or wrong.
+    ///
+    /// Returns all missing or invalid settings.
     pub fn check(
         arguments: &Arguments,
         environment: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, SettingFaults> {
-        let mut reader = Reader { environment, faults: Vec::new() };
-        let name = reader.needed("name", arguments.name.as_ref());
-        let data_centre = reader.needed("data-centre", arguments.data_centre.as_ref());
-        let http = reader.needed("http", arguments.http.as_ref());
-        let control = reader.needed("control", arguments.control.as_ref());
-        let platform = reader.needed("platform", arguments.platform.as_ref());
+        let mut reader = SettingsReader { environment, faults: Vec::new() };
+        let name = reader.required("name", arguments.name.as_ref());
+        let data_centre = reader.required("data-centre", arguments.data_centre.as_ref());
+        let http = reader.required("http", arguments.http.as_ref());
+        let control = reader.required("control", arguments.control.as_ref());
+        let platform = reader.required("platform", arguments.platform.as_ref());
         let peers = reader.list("peers", arguments.peers.as_ref());
         let tokens: Vec<Token> = reader.list("tokens", arguments.tokens.as_ref());
         let log_level = reader.optional("log-level", arguments.log_level.as_ref());
         let open_variable = (reader.environment)("CATKINMAST_OPEN_ACCESS");
         let open_access = arguments.open_access || open_variable.as_deref() == Some("true");
         if tokens.is_empty() && !open_access {
-            reader.fault("tokens", "is empty; nobody could get in (see --open-access)");
+            reader.fault("tokens", "is empty, so no request would be accepted (see --open-access)");
         }
         let shared_key = check_shared_key(&mut reader, arguments);
         let data_folder = check_data_folder(&mut reader, arguments);
@@ -231,13 +233,14 @@
 }
 
 fn check_shared_key<V: Fn(&str) -> Option<String>>(
-    reader: &mut Reader<V>,
+    reader: &mut SettingsReader<V>,
     arguments: &Arguments,
 ) -> Option<SharedKey> {
     match reader.text("shared-key", arguments.shared_key.as_ref()) {
         None => reader.fault("shared-key", "is missing"),
         Some(secret) if secret.len() < SHARED_KEY_MIN_BYTES => {
-            let message = format!("has {} bytes, {SHARED_KEY_MIN_BYTES} are needed", secret.len());
+            let message =
+                format!("has {} bytes; at least {SHARED_KEY_MIN_BYTES} are required", secret.len());
             reader.fault("shared-key", message);
         }
         Some(secret) => return Some(SharedKey::derive(&secret)),
@@ -246,12 +249,12 @@
 }
 
 fn check_data_folder<V: Fn(&str) -> Option<String>>(
-    reader: &mut Reader<V>,
+    reader: &mut SettingsReader<V>,
     arguments: &Arguments,
 ) -> Option<PathBuf> {
     let folder = PathBuf::from(reader.text("data-folder", arguments.data_folder.as_ref())?);
     if !folder.is_dir() {
-        reader.fault("data-folder", format!("'{}' is no folder", folder.display()));
+        reader.fault("data-folder", format!("'{}' is not a folder", folder.display()));
     }
     Some(folder)
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads of a node share.
+//! State shared by all threads of a node.
 
 use crate::auth::{Identity, Role};
 use crate::clock::Clock;
@@ -25,21 +25,22 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 
-/// The adapter through which the platform is reached; another platform is another adapter.
+/// The adapter for the platform's services; another platform needs another adapter.
 pub(crate) type Store = HttpPlatform;
-/// The adapter through which engines are reached.
+/// The adapter for engines.
 pub(crate) type EngineClient = HttpEngines;
 
-/// How long a connection to a target may take to come about.
+/// Time limit for establishing a connection to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most bytes of recorded answers to tickets.
+/// Limit on the total size of the answers recorded for tickets.
 const TICKET_ANSWERS_MAX_BYTES: usize = 8 << 20;
-/// Most datagrams that wait for the control thread; more are dropped, and gossip repairs that.
+/// Limit on the datagrams queued for the control thread. Further ones are dropped; gossip sends the
+/// facts again.
 const DATAGRAMS_WAITING_MAX: usize = 4_096;
-/// Most tickets remembered.
+/// Limit on the number of remembered tickets.
 const TICKETS_MAX: usize = 100_000;
 
-/// The aggregates on the request path, each behind its own short lock.
+/// State of the request path. Each part has a mutex of its own, held only for single calls.
 #[derive(Debug)]
 pub(crate) struct Traffic {
     pub admission: Mutex<Admission>,
@@ -50,20 +51,20 @@
     pub tickets: Mutex<TicketTable>,
 }
 
-/// Clients of targets.
+/// Clients for targets and for the platform's services.
 #[derive(Debug)]
 pub(crate) struct Clients {
     pub engines: EngineClient,
-    /// Opens a new connection for each call and never sends anything twice: for calls that may
-    /// not be repeated. A pooled connection can die just as the request is written, and then
-    /// nobody can tell whether the target read it.
+    /// Opens a new connection for each call and never retries by itself, for calls that may not be
+    /// repeated. A pooled connection can break while the request is written, which leaves it unknown
+    /// whether the target read the request.
     pub unpooled: reqwest::Client,
-    /// Keeps connections: for calls that may be repeated.
+    /// Reuses connections, for calls that may be repeated.
     pub pooled: reqwest::Client,
     pub store: Store,
 }
 
-/// What all threads of a node share.
+/// State shared by all threads of a node.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub clients: Clients,
@@ -72,7 +73,7 @@
     pub datagrams_waiting: AtomicUsize,
     pub drain_requested: Notify,
     pub holdings: Mutex<Holdings>,
-    /// Requests of callers and runs for other owners that a planned stop waits for.
+    /// Number of callers' requests and other nodes' runs in progress, for which a drain waits.
     pub in_progress: AtomicUsize,
     pub incarnation: Incarnation,
     pub inputs: Sender<Input>,
@@ -83,13 +84,15 @@
     pub traffic: Traffic,
 }
 
-/// Locks a mutex; a panic of another holder leaves data that is still whole here, since every
-/// critical section is a call of one aggregate.
+/// Locks a mutex and ignores poisoning.
+///
+/// Each critical section only calls methods of the locked value, so its data stays usable even if
+/// another holder has panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A request or run in progress; dropping it counts it as ended.
+/// Counts a request or run as in progress until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InProgress(Arc<Shared>);
 
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Puts a document's limits in force.
+    /// Applies a document's limits.
     pub(crate) fn set_limits(&self, document: &catkinmast_config::Document) {
         let limits = &document.limits;
         let bounded = |workspace: &catkinmast_config::Workspace| {
@@ -162,7 +165,7 @@
 impl Shared {
     /// Returns the time of this node's own clock, which never goes back.
     ///
-    /// Points in time that others keep (expiry of addresses and tickets) come from the wall clock.
+    /// For times that others store, such as the expiry of addresses and tickets, use the wall clock.
     pub(crate) fn now(&self) -> UnixMs {
         self.clock.now()
     }
@@ -175,17 +178,17 @@
         &self.settings.name
     }
 
-    /// Sends an input to the control thread; one that has stopped needs none.
+    /// Sends an input to the control thread; the input is dropped if the thread has stopped.
     pub(crate) fn send_input(&self, input: Input) {
         if self.inputs.send(input).is_err() {
-            log::debug!("the control thread has stopped; an input was dropped");
+            log::debug!("an input was dropped because the control thread has stopped");
         }
     }
 
-    /// Reads a datagram and hands it to the control thread.
+    /// Decodes a datagram and passes it to the control thread.
     ///
-    /// Garbage is counted and dropped here, on the thread that received it, and what is whole
-    /// waits in a bounded number: a flood costs neither memory nor the control thread's time.
+    /// Invalid datagrams are counted and dropped here, on the receiving thread, and the queue of valid
+    /// ones is bounded. A flood of datagrams thus costs neither memory nor the control thread's time.
     pub(crate) fn receive_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         self.metrics.control_received_bytes.inc_by(bytes.len() as u64);
         let opened = open(&self.settings.shared_key, bytes, DATAGRAM_MAX_BYTES);
@@ -195,7 +198,9 @@
                 self.datagrams_waiting.fetch_add(1, Ordering::Relaxed);
                 self.send_input(Input::Datagram { from, message });
             }
-            Ok(_) => log::debug!("a datagram from {from} was dropped: too many wait"),
+            Ok(_) => {
+                log::debug!("a datagram from {from} was dropped: {waiting} are queued")
+            }
             Err(error) => {
                 self.metrics.frames_refused.inc();
                 log::debug!("a datagram from {from} was dropped: {error}");
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Finds out whose a bearer token is.
+    /// Returns the bearer of the token in an `Authorization` header, if the token is known.
     pub(crate) fn identify(&self, authorization: Option<&str>) -> Option<Identity> {
         let secret = authorization.and_then(|value| value.strip_prefix("Bearer "));
         let found = secret.and_then(|secret| {
@@ -212,12 +217,12 @@
         found.map(|token| token.identity.clone())
     }
 
-    /// Tells whether everybody may act in every role.
+    /// Returns whether every request may act in every role.
     pub(crate) const fn has_open_access(&self) -> bool {
         self.settings.open_access
     }
 
-    /// Tells whether an identity may act in a role.
+    /// Returns whether an identity may act in a role.
     pub(crate) fn may_act_as(&self, identity: Option<&Identity>, role: Role) -> bool {
         self.has_open_access() || identity.is_some_and(|identity| identity.role == role)
     }
--- a/crates/node/src/snapshot.rs
+++ b/crates/node/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads may know: an immutable picture that the control thread publishes.
+//! The immutable snapshot of the fleet that the control thread publishes to the traffic threads.
 
 use catkinmast_config::{Document, Head};
 use catkinmast_member::{NodeFact, NodeState, OwnerFact, TargetFact};
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How many targets of a service, or engines of a model, a node uses.
+/// How many targets of a service a node uses.
 pub(crate) const SUBSET_SIZE: usize = 20;
 
-/// The configuration in force here.
+/// A configuration document with its revision and source text.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub document: Document,
@@ -19,25 +19,27 @@
     pub text: String,
 }
 
-/// One picture of everything that routing needs.
+/// Everything that routing needs, as of one point in time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Snapshot {
     pub config: Option<Arc<InForce>>,
-    /// Until when this node must serve after it began to leave; none while it does not.
+    /// The time until which a draining node must go on serving; `None` if it is not draining.
     pub leaving_until: Option<UnixMs>,
     pub nodes: Vec<NodeFact>,
     pub owners: IndexMap<Name, OwnerFact>,
     pub ready: bool,
     pub targets: IndexMap<Name, TargetFact>,
-    /// Those live instances of each plain service that this node uses: a stable subset, so that
-    /// at hundreds of nodes no target is asked by all of them.
+    /// The live targets of each plain service that this node uses. They are a stable subset, so that
+    /// with hundreds of nodes no target receives connections from all of them.
     pub services: IndexMap<Name, Vec<Name>>,
-    /// Live engines of each model.
+    /// All live engines of each model.
     pub models: IndexMap<Name, Vec<Name>>,
 }
 
 impl Snapshot {
-    /// Builds the picture from the facts and the configuration.
+    /// Builds a snapshot from the configuration and the facts.
+    ///
+    /// `leaving_until` and `ready` keep their defaults; the caller sets them.
     pub(crate) fn build(
         me: &Name,
         config: Option<Arc<InForce>>,
@@ -61,34 +63,35 @@
         snapshot
     }
 
+    /// Returns the live targets of a kind that a selector matches.
     fn live(&self, kind: InstanceKind, selector: &Selector, document: &Document) -> Vec<Name> {
-        let fits = |target: &&TargetFact| {
+        let is_match = |target: &&TargetFact| {
             target.kind == kind
                 && target.state == InstanceState::Live
                 && selector.matches(&document.placed_labels(&target.labels, &target.data_centre))
         };
-        self.targets.values().filter(fits).map(|target| target.name.clone()).collect()
+        self.targets.values().filter(is_match).map(|target| target.name.clone()).collect()
     }
 
     /// Returns the live engines of a model that a selector matches.
     pub(crate) fn engines(&self, model: &Name, selector: &Selector) -> Vec<Name> {
         let Some(in_force) = &self.config else { return Vec::new() };
         let Some(engines) = self.models.get(model) else { return Vec::new() };
-        let fits = |name: &&Name| {
+        let is_match = |name: &&Name| {
             self.targets.get(*name).is_some_and(|target| {
                 let document = &in_force.document;
                 selector.matches(&document.placed_labels(&target.labels, &target.data_centre))
             })
         };
-        engines.iter().filter(fits).cloned().collect()
+        engines.iter().filter(is_match).cloned().collect()
     }
 
-    /// Returns where a target listens.
+    /// Returns the address on which a target listens.
     pub(crate) fn address(&self, target: &Name) -> Option<SocketAddr> {
         self.targets.get(target).map(|target| target.address)
     }
 
-    /// Finds a node that is not gone.
+    /// Returns a node by name, unless it is gone.
     pub(crate) fn node(&self, name: &Name) -> Option<&NodeFact> {
         self.nodes.iter().find(|node| node.name == *name && node.state != NodeState::Gone)
     }
@@ -99,5 +102,5 @@
     }
 }
 
-/// The head of the configuration and the version of its key.
+/// The configuration's head and the version of its key in the key-value service.
 pub(crate) type VersionedHead = (Head, u64);
