--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: carries out what the [`Follower`] decides.
+//! The configuration in force: performs the effects that the [`Follower`] requests.
 
 use crate::control::{Control, Input};
 use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
@@ -13,9 +13,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What this node knows of the configuration.
+/// This node's state of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Configuration {
+    /// The last fetched document, until the follower installs it.
     fetched: Option<InForce>,
     follower: Follower,
     in_force: Option<Arc<InForce>>,
@@ -34,16 +35,16 @@
         self.follower.is_ready()
     }
 
-    /// Returns the document that traffic may be served by.
+    /// Returns the configuration in force, if it may be used to serve traffic.
     ///
-    /// One that may be older than what was in force when this node started is not shown, neither
-    /// to callers nor to peers that ask what is in force during an outage.
+    /// A document that may be older than the one in force when this node started is used neither for
+    /// callers nor for peers that ask during an outage which revision is in force.
     pub(crate) fn served(&self) -> Option<Arc<InForce>> {
         self.in_force.clone().filter(|_| self.follower.may_serve())
     }
 }
 
-/// Reduces a head to what a follower needs of it.
+/// Returns the part of a head that a follower needs; `None` if no operation is in force.
 pub(crate) fn observed_head(head: Option<VersionedHead>) -> Option<ObservedHead> {
     let (head, version) = head?;
     let accepted = head.in_force()?;
@@ -57,16 +58,17 @@
         self.follow(now, FollowerEvent::Tick { peers, watches });
     }
 
+    /// Passes an event to the follower and performs the effects it requests.
     pub(crate) fn follow(&mut self, now: UnixMs, event: FollowerEvent) {
-        let was = (self.configuration.is_ready(), self.configuration.follower.may_serve());
+        let before = (self.configuration.is_ready(), self.configuration.follower.may_serve());
         for effect in self.configuration.follower.handle(now, event) {
-            self.follower_effect(now, effect);
+            self.perform_follower_effect(now, effect);
         }
-        let is = (self.configuration.is_ready(), self.configuration.follower.may_serve());
-        self.changed |= is != was;
+        let after = (self.configuration.is_ready(), self.configuration.follower.may_serve());
+        self.changed |= after != before;
     }
 
-    fn follower_effect(&mut self, now: UnixMs, effect: FollowerEffect) {
+    fn perform_follower_effect(&mut self, now: UnixMs, effect: FollowerEffect) {
         let shared = Arc::clone(&self.shared);
         match effect {
             FollowerEffect::AskPeers => {
@@ -78,7 +80,7 @@
             }
             FollowerEffect::Install { revision } => self.install(now, revision),
             FollowerEffect::ReadHead => {
-                self.runtime.spawn(boot(shared));
+                self.runtime.spawn(read_config_head(shared));
             }
             FollowerEffect::Watch { after_version } => {
                 self.runtime.spawn(watch(shared, after_version));
@@ -86,25 +88,28 @@
         }
     }
 
+    /// Returns the control addresses of up to [`PEERS_ASKED`] live peers.
     fn some_peers(&self) -> Vec<SocketAddr> {
         let live = self.membership.peers().filter(|node| node.state == NodeState::Live);
         let mut peers: Vec<_> = live.map(|node| node.control).collect();
-        // Another slice each time: a peer that has not got the body yet must not be all we ask.
-        let turn = self.shared.now().0 as usize;
+        // Start elsewhere each time: the peers asked last may not have the body yet.
+        let offset = self.shared.now().0 as usize;
         if !peers.is_empty() {
-            let start = turn % peers.len();
+            let start = offset % peers.len();
             peers.rotate_left(start);
         }
         peers.truncate(PEERS_ASKED);
         peers
     }
 
+    /// Handles a peer's fact about its configuration.
     pub(crate) fn config_announced(&mut self, now: UnixMs, fact: &ConfigFact) {
         if let Ok(digest) = Digest::try_from(fact.digest.clone()) {
             self.follow(now, FollowerEvent::Announced { digest, revision: fact.revision });
         }
     }
 
+    /// Handles the document that `fetch_body` has fetched.
     pub(crate) fn body_fetched(&mut self, now: UnixMs, body: InForce) {
         let revision = body.revision;
         self.configuration.fetched = Some(body);
@@ -120,22 +125,23 @@
         self.changed = true;
         self.trainers.targets_changed = true;
         log::info!("configuration revision {revision} is in force");
-        // Told only now, when peers can fetch the body from here.
+        // Announced only now, since peers then fetch the body from this node.
         self.observe(now, Fact::Config(ConfigFact { digest, revision }));
     }
 }
 
-async fn boot(shared: Arc<Shared>) {
+async fn read_config_head(shared: Arc<Shared>) {
     let event = match read_head(&shared).await {
         Ok(head) => FollowerEvent::HeadRead(observed_head(head)),
         Err(error) => {
-            log::info!("the configuration's head cannot be read: {error}");
+            log::info!("cannot read the configuration's head: {error}");
             FollowerEvent::HeadUnavailable
         }
     };
     shared.send_input(Input::ConfigEvent(event));
 }
 
+/// Asks peers which revision is in force, and reports the newest.
 async fn ask_peers(shared: Arc<Shared>, peers: Vec<SocketAddr>) {
     let mut answers = 0;
     let mut newest: Option<(Revision, Digest)> = None;
@@ -155,17 +161,20 @@
     shared.send_input(Input::ConfigEvent(FollowerEvent::PeersAnswered { answers, newest }));
 }
 
+/// Waits for a newer head than `after_version`, and reports it.
 async fn watch(shared: Arc<Shared>, after_version: u64) {
     let (head, succeeded) = match watch_head(&shared, after_version).await {
         Ok(head) => (observed_head(head), true),
         Err(error) => {
-            log::debug!("the watch of the configuration broke: {error}");
+            log::debug!("the watch of the configuration's head failed: {error}");
             (None, false)
         }
     };
     shared.send_input(Input::ConfigEvent(FollowerEvent::WatchEnded { head, succeeded }));
 }
 
+/// Fetches a document by its digest from the key-value service and from peers, in the order that
+/// `prefer_store` gives.
 async fn fetch_body(
     shared: Arc<Shared>,
     revision: Revision,
@@ -194,7 +203,7 @@
     let body = text.and_then(|text| match Document::parse(&text) {
         Ok(document) => Some(InForce { document, revision, text }),
         Err(faults) => {
-            log::error!("configuration revision {revision} cannot be read here: {faults}");
+            log::error!("configuration revision {revision} is invalid for this node: {faults}");
             None
         }
     });
--- a/crates/node/src/control/duties.rs
+++ b/crates/node/src/control/duties.rs
@@ -1,13 +1,14 @@
-//! Which node does a shared duty: rank by hash, so that all who see the same fleet agree.
+//! Selects the node that should take a duty, a job that one node does for all nodes under a lease.
 //!
-//! The rank is a hint that keeps most nodes from trying; the lease in the key-value service is
-//! what makes a duty exclusive.
+//! Nodes are ranked by hash, so that all nodes that see the same fleet agree. The rank is only a hint
+//! that keeps most nodes from requesting the lease; the lease in the key-value service is what makes
+//! a duty exclusive.
 
 use catkinmast_member::{NodeFact, NodeState};
 use catkinmast_model::Name;
 use catkinmast_route::rendezvous_rank;
 
-/// Tells whether `me` is the first of the live nodes for a duty.
+/// Returns whether `me` ranks first among the live nodes for a duty.
 pub(crate) fn ranks_first<'n>(
     duty: &str,
     me: &Name,
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! The control thread: the one place where this node's state changes.
+//! The control thread, which owns this node's state of membership, configuration and trainers.
 //!
-//! It takes [`Input`]s one at a time, asks the aggregates, has their effects carried out by tasks
-//! on the traffic threads, and publishes a new [`Snapshot`] when something changed. It never
-//! waits for the network: a paused key-value service or a slow peer cannot hold up a probe.
+//! It handles [`Input`]s one at a time: it passes each to the state machines, starts tasks on the
+//! traffic threads for the effects they request, and publishes a new [`Snapshot`] if something has
+//! changed. It never waits for the network, so that an unresponsive key-value service or a slow peer
+//! cannot delay the probes of the failure detector.
 
 pub(crate) mod configuration;
 mod duties;
@@ -32,18 +33,18 @@
 use tokio::sync::oneshot;
 use trainers::Trainers;
 
-/// Time between two ticks of the aggregates.
-const TICK: Duration = Duration::from_millis(50);
-/// Time between two readings of the platform's list, by the nodes whose duty it is.
-const LIST_EVERY_MS: u64 = 1_000;
-/// Nodes in a data centre that read the list and watch the configuration.
+/// Interval between ticks of the state machines.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a watching node reads the platform's list of instances.
+const LIST_INTERVAL_MS: u64 = 1_000;
+/// Number of nodes per data centre that read the list and watch the configuration's head.
 pub(crate) const WATCHERS_PER_DATA_CENTRE: usize = 2;
-/// Time in which the news that a node leaves has reached every other.
-const LEAVE_SPREAD_MS: u64 = 2_000;
-/// Time between two sweeps of what is held for too long.
-const SWEEP_EVERY_MS: u64 = 10_000;
+/// Time after which all nodes have received the update that a node is leaving.
+const LEAVE_PROPAGATION_MS: u64 = 2_000;
+/// Interval between removals of expired sample content.
+const SWEEP_INTERVAL_MS: u64 = 10_000;
 
-/// What happens to a node.
+/// An input to the control thread.
 #[derive(Debug)]
 pub(crate) enum Input {
     ConfigBody(Box<InForce>),
@@ -59,7 +60,7 @@
     TargetRefused { target: Name },
 }
 
-/// What the control thread begins with.
+/// Arguments of [`spawn`].
 #[derive(Debug)]
 pub(crate) struct StartArguments {
     pub inputs: Receiver<Input>,
@@ -72,18 +73,22 @@
 /// All state of the control thread.
 #[derive(Debug)]
 pub(crate) struct Control {
+    /// Whether something that the snapshot contains has changed since it was published.
     changed: bool,
     configuration: Configuration,
     leaving_until: Option<UnixMs>,
     list_due_at: UnixMs,
+    /// The platform's list as last read, without entry instances.
     listed: IndexMap<Name, Instance>,
     membership: Membership,
+    /// Whether the fleet has changed since the ranks of this node were computed.
     ranks_stale: bool,
     runtime: Handle,
     shared: Arc<Shared>,
     socket: UdpSocket,
     sweep_at: UnixMs,
     trainers: Trainers,
+    /// Whether this node watches the platform for its data centre.
     watches: bool,
 }
 
@@ -118,25 +123,25 @@
     fn run(mut self, inputs: &Receiver<Input>) {
         let mut next_tick = Instant::now();
         loop {
-            // Looked at before each input: while inputs never cease, waiting for the time to run
-            // out would never end, and no probe would be sent and no lease renewed.
+            // Checked before each input: under a constant flow of inputs `recv_timeout` would never
+            // time out, and no probe would be sent and no lease renewed.
             if Instant::now() >= next_tick {
-                next_tick = Instant::now() + TICK;
+                next_tick = Instant::now() + TICK_INTERVAL;
                 self.tick(self.shared.now());
             }
             let wait = next_tick.saturating_duration_since(Instant::now());
             match inputs.recv_timeout(wait) {
                 Ok(Input::Stop { done }) => {
                     self.abandon_trainers();
-                    // The stopper may have given up waiting; there is nobody else to tell.
-                    let _unheard = done.send(());
+                    // Sending fails if the sender of the input no longer waits.
+                    let _receiver_gone = done.send(());
                     return;
                 }
                 Ok(input) => {
-                    // A paused process must find its leases lapsed before it acts on anything
-                    // that came in while it was paused.
+                    // After a pause of the process, expired leases must be noticed before inputs are
+                    // handled that arrived during the pause.
                     self.check_leases(self.shared.now());
-                    self.input(self.shared.now(), input);
+                    self.handle_input(self.shared.now(), input);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -149,28 +154,28 @@
 
     fn tick(&mut self, now: UnixMs) {
         let outputs = self.membership.tick(now);
-        self.carry_out(now, outputs);
+        self.apply_outputs(now, outputs);
         if std::mem::take(&mut self.ranks_stale) {
-            // Ranked anew only when the fleet has changed: at hundreds of nodes this would
-            // otherwise be most of what a calm node does.
+            // Recomputed only after a change of the fleet: with hundreds of nodes, ranking on each
+            // tick would be most of the work of an idle node.
             self.watches = self.ranks_among_watchers();
             self.rank_for_trainers();
         }
         self.tick_configuration(now);
         if now >= self.list_due_at {
-            self.list_due_at = now.plus(LIST_EVERY_MS);
+            self.list_due_at = now.plus(LIST_INTERVAL_MS);
             if self.watches {
                 self.runtime.spawn(crate::edge::store::read_instances(Arc::clone(&self.shared)));
             }
         }
         if now >= self.sweep_at {
-            self.sweep_at = now.plus(SWEEP_EVERY_MS);
+            self.sweep_at = now.plus(SWEEP_INTERVAL_MS);
             crate::shared::lock(&self.shared.holdings).drop_expired(now);
         }
         self.tick_trainers(now);
     }
 
-    fn input(&mut self, now: UnixMs, input: Input) {
+    fn handle_input(&mut self, now: UnixMs, input: Input) {
         match input {
             Input::ConfigBody(body) => self.body_fetched(now, *body),
             Input::Command { command, reply, trainer } => {
@@ -179,15 +184,15 @@
             Input::Datagram { from, message } => {
                 self.shared.datagrams_waiting.fetch_sub(1, Ordering::Relaxed);
                 let outputs = self.membership.receive(now, from, message);
-                self.carry_out(now, outputs);
+                self.apply_outputs(now, outputs);
             }
             Input::DrainTarget { reply, target } => {
-                let known = self.target_leaves(now, &target, TargetFactSource::Operator);
-                // The operator may have hung up; the drain stands.
-                let _unheard = reply.send(known);
+                let known = self.mark_target_leaving(now, &target, TargetFactSource::Operator);
+                // The drain goes on even if the operator has disconnected.
+                let _receiver_gone = reply.send(known);
             }
             Input::ConfigEvent(event) => self.follow(now, event),
-            Input::Instances(instances) => self.instances(now, instances),
+            Input::Instances(instances) => self.apply_instances(now, instances),
             Input::Leave => self.leave(now),
             Input::Lease { lease, report, trainer } => {
                 self.lease_report(now, &trainer, lease, &report);
@@ -195,12 +200,12 @@
             Input::Rollout { event, trainer } => self.rollout_event(now, &trainer, event),
             Input::Stop { .. } => {}
             Input::TargetRefused { target } => {
-                self.target_leaves(now, &target, TargetFactSource::Refusal);
+                self.mark_target_leaving(now, &target, TargetFactSource::Refusal);
             }
         }
     }
 
-    fn carry_out(&mut self, now: UnixMs, outputs: Vec<Output>) {
+    fn apply_outputs(&mut self, now: UnixMs, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Changed(fact) => self.fact_changed(now, &fact),
@@ -218,13 +223,14 @@
             Ok(sent_bytes) => {
                 self.shared.metrics.control_sent_bytes.inc_by(sent_bytes as u64);
             }
-            Err(error) => log::debug!("a datagram to {to} was not sent: {error}"),
+            Err(error) => log::debug!("cannot send a datagram to {to}: {error}"),
         }
     }
 
+    /// Records a fact that this node has observed itself.
     fn observe(&mut self, now: UnixMs, fact: Fact) {
         let outputs = self.membership.observe(now, fact);
-        self.carry_out(now, outputs);
+        self.apply_outputs(now, outputs);
     }
 
     fn fact_changed(&mut self, now: UnixMs, fact: &Fact) {
@@ -236,7 +242,7 @@
                 self.trainers.nodes_changed = true;
                 self.ranks_stale = true;
             }
-            // Targets of this path are the product's own; nothing here reports crashes of them yet.
+            // This node records no crashes of targets yet, and ignores those that others record.
             Fact::Crash(_) => {}
             Fact::Owner(owner) => self.owner_announced(owner),
             Fact::Target(target) => {
@@ -246,23 +252,24 @@
         }
     }
 
-    /// Tells whether this node watches the platform for its data centre.
+    /// Returns whether this node should watch the platform for its data centre.
     ///
-    /// A few nodes in each data centre do, chosen by rank among those alive, so the number of
-    /// calls does not grow with the fleet, and the loss of a watcher makes the next one step in.
+    /// A few nodes of each data centre do so, chosen by rank among those that are alive. The number
+    /// of calls thus does not grow with the fleet, and a lost watcher is replaced by the next in
+    /// rank.
     fn ranks_among_watchers(&self) -> bool {
         let me = self.membership.me();
         let alive = self.membership.nodes().filter(|node| {
             node.data_centre == me.data_centre
                 && matches!(node.state, NodeState::Live | NodeState::Suspect)
         });
-        let mine = rendezvous_rank("watch", me.name.as_str());
-        let before = alive.filter(|node| rendezvous_rank("watch", node.name.as_str()) < mine);
-        before.count() < WATCHERS_PER_DATA_CENTRE
+        let own_rank = rendezvous_rank("watch", me.name.as_str());
+        let earlier = alive.filter(|node| rendezvous_rank("watch", node.name.as_str()) < own_rank);
+        earlier.count() < WATCHERS_PER_DATA_CENTRE
     }
 
-    /// Compares the platform's list with what is known, and tells what is new.
-    fn instances(&mut self, now: UnixMs, instances: Vec<Instance>) {
+    /// Compares the platform's list with the previous one, and records the changes as facts.
+    fn apply_instances(&mut self, now: UnixMs, instances: Vec<Instance>) {
         let mut listed = IndexMap::new();
         for instance in instances {
             if instance.kind == catkinmast_model::InstanceKind::Entry {
@@ -271,15 +278,15 @@
             }
             listed.insert(instance.name.clone(), instance);
         }
-        let before = std::mem::take(&mut self.listed);
-        for (name, instance) in &before {
+        let previous = std::mem::take(&mut self.listed);
+        for (name, instance) in &previous {
             if !listed.contains_key(name) {
                 let gone = Instance { state: InstanceState::Gone, ..instance.clone() };
                 self.observe(now, Fact::Target(target_fact(&gone)));
             }
         }
         for (name, instance) in &listed {
-            if before.get(name) != Some(instance) {
+            if previous.get(name) != Some(instance) {
                 self.observe(now, Fact::Target(target_fact(instance)));
             }
         }
@@ -294,7 +301,8 @@
         }
     }
 
-    fn target_leaves(&mut self, now: UnixMs, name: &Name, source: TargetFactSource) -> bool {
+    /// Marks a live target as leaving; returns whether the target is known.
+    fn mark_target_leaving(&mut self, now: UnixMs, name: &Name, source: TargetFactSource) -> bool {
         let Some(target) = self.target(name).cloned() else { return false };
         if target.state == InstanceState::Live {
             let leaving = TargetFact { source, state: InstanceState::Leaving, ..target };
@@ -303,18 +311,21 @@
         true
     }
 
-    /// Begins to leave: told to all, no new duty, and served until no answer names this node.
+    /// Starts to leave: announces it to all nodes and takes no new duty.
+    ///
+    /// The node must serve until `leaving_until`, when every answer that names it has expired.
     fn leave(&mut self, now: UnixMs) {
         if self.leaving_until.is_some() {
             return;
         }
         let ttl_ms = self.configuration.document().map_or(5_000, |d| d.limits.address_ttl_ms);
-        self.leaving_until = Some(now.plus(LEAVE_SPREAD_MS + ttl_ms));
+        self.leaving_until = Some(now.plus(LEAVE_PROPAGATION_MS + ttl_ms));
         self.changed = true;
         let outputs = self.membership.leave(now);
-        self.carry_out(now, outputs);
+        self.apply_outputs(now, outputs);
     }
 
+    /// Publishes a new snapshot and drops the statistics of targets that are gone.
     fn publish(&mut self) {
         self.changed = false;
         let nodes: Vec<NodeFact> = self.membership.nodes().cloned().collect();
@@ -335,8 +346,8 @@
             Snapshot::build(self.shared.me(), self.configuration.served(), nodes, owners, targets);
         snapshot.leaving_until = self.leaving_until;
         snapshot.ready = self.configuration.is_ready();
-        let kept = snapshot.targets.clone();
-        crate::shared::lock(&self.shared.traffic.targets).retain(|name| kept.contains_key(name));
+        let present = snapshot.targets.clone();
+        crate::shared::lock(&self.shared.traffic.targets).retain(|name| present.contains_key(name));
         self.shared.snapshot.store(Arc::new(snapshot));
     }
 }
--- a/crates/node/src/control/trainers.rs
+++ b/crates/node/src/control/trainers.rs
@@ -1,4 +1,5 @@
-//! The trainers that this node owns: leases, the aggregates, and their effects.
+//! Ownership of trainers: their leases, the state machines of owned trainers, and the effects that
+//! these request.
 
 use crate::control::Control;
 use crate::control::duties::ranks_first;
@@ -20,19 +21,20 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// How many samples of a trainer an engine runs at once.
+/// How many samples an engine runs at once, for all trainers that share it.
 const SLOTS_PER_ENGINE: u32 = 16;
-/// Time between two readings of the load of engines in a swap.
-const LOAD_EVERY_MS: u64 = 500;
-/// Time between two readings of the load of all other engines, in the same unit of ticks.
-const LOAD_ALL_EVERY_MS: u64 = 10_000;
-/// When a trainer whose owner is not known yet should come back.
-const RETRY_MS: u64 = 300;
+/// Interval between reads of the load reports of engines in a weight swap.
+const SWAP_LOAD_INTERVAL_MS: u64 = 500;
+/// Interval between reads of the load reports of all engines; a multiple of
+/// [`SWAP_LOAD_INTERVAL_MS`].
+const ALL_LOADS_INTERVAL_MS: u64 = 10_000;
+/// After how long a trainer should retry a command that reached a node which does not own it.
+const NOT_OWNER_RETRY_MS: u64 = 300;
 
-/// All trainers that the configuration names.
+/// All trainers that the configuration lists.
 #[derive(Debug, Default)]
 pub(crate) struct Trainers {
-    duties: IndexMap<Name, Duty>,
+    duties: IndexMap<Name, TrainerDuty>,
     load_all_at: UnixMs,
     load_at: UnixMs,
     next_reply: u64,
@@ -40,38 +42,40 @@
     pub(crate) targets_changed: bool,
 }
 
-/// One trainer, whether owned or not.
+/// The duty of owning one trainer, whether this node holds it or not.
 #[derive(Debug)]
-struct Duty {
-    /// Whether this node is the first of the live ones for this trainer.
-    first: bool,
+struct TrainerDuty {
+    /// Whether this node ranks first among the live nodes for this trainer.
+    ranks_first: bool,
     lease: Option<LeaseId>,
     model: Name,
-    owned: Option<Owned>,
+    owned: Option<OwnedTrainer>,
     scorer: Name,
-    tenure: LeaseClaim,
+    claim: LeaseClaim,
 }
 
-/// A trainer whose steps this node owns.
+/// State of a trainer whose steps this node owns.
 #[derive(Debug)]
-struct Owned {
+struct OwnedTrainer {
     fence: Fence,
+    /// Where to send the replies to commands, by the number given as `reply_to`.
     replies: IndexMap<u64, oneshot::Sender<Reply>>,
     rollout: Rollout,
+    /// Handles that cancel the runs in progress.
     runs: IndexMap<(SampleId, Attempt), AbortHandle>,
 }
 
 impl Control {
     pub(crate) fn tick_trainers(&mut self, now: UnixMs) {
-        self.match_configuration();
+        self.apply_configuration();
         self.check_leases(now);
         self.refresh_views(now);
         self.read_loads(now);
         let names: Vec<Name> = self.trainers.duties.keys().cloned().collect();
         for name in names {
-            let wanted = self.wants(&name);
+            let wanted = self.wants_lease(&name);
             let Some(duty) = self.trainers.duties.get_mut(&name) else { continue };
-            let (action, change) = duty.tenure.tick(now, wanted);
+            let (action, change) = duty.claim.tick(now, wanted);
             if let Some(action) = action {
                 self.lease_action(&name, action);
             }
@@ -82,23 +86,25 @@
         }
     }
 
-    /// Adds duties for new trainers and drops those of trainers that are gone.
-    fn match_configuration(&mut self) {
+    /// Adds duties for new trainers, removes those of trainers that the configuration no longer lists,
+    /// and updates the others.
+    fn apply_configuration(&mut self) {
         let Some(in_force) = self.configuration.in_force() else { return };
         let document = &in_force.document;
-        self.drop_unlisted(document);
+        self.remove_unlisted(document);
         let me = self.membership.me();
         let holder = HolderRecord { incarnation: me.incarnation, node: me.name.clone() };
         for trainer in &document.trainers {
             self.ranks_stale |= !self.trainers.duties.contains_key(&trainer.name);
-            let duty = self.trainers.duties.entry(trainer.name.clone()).or_insert_with(|| Duty {
-                first: false,
-                lease: None,
-                model: trainer.model.clone(),
-                owned: None,
-                scorer: trainer.scorer.clone(),
-                tenure: LeaseClaim::open(holder.clone()),
-            });
+            let duty =
+                self.trainers.duties.entry(trainer.name.clone()).or_insert_with(|| TrainerDuty {
+                    ranks_first: false,
+                    lease: None,
+                    model: trainer.model.clone(),
+                    owned: None,
+                    scorer: trainer.scorer.clone(),
+                    claim: LeaseClaim::open(holder.clone()),
+                });
             duty.model = trainer.model.clone();
             duty.scorer = trainer.scorer.clone();
             if let Some(owned) = &mut duty.owned
@@ -109,8 +115,8 @@
         }
     }
 
-    /// Gives up trainers that the operators have taken out of the document, and their leases.
-    fn drop_unlisted(&mut self, document: &Document) {
+    /// Abandons trainers that are no longer in the document, and releases their leases.
+    fn remove_unlisted(&mut self, document: &Document) {
         let listed = |name: &Name| document.trainer(name.as_str()).is_some();
         let unlisted: Vec<Name> =
             self.trainers.duties.keys().filter(|name| !listed(name)).cloned().collect();
@@ -121,30 +127,31 @@
         }
     }
 
-    /// Tells whether this node should hold a trainer's lease.
-    fn wants(&self, trainer: &Name) -> bool {
+    /// Returns whether this node should hold a trainer's lease.
+    fn wants_lease(&self, trainer: &Name) -> bool {
         if self.leaving_until.is_some() || !self.configuration.is_ready() {
             return false;
         }
         let Some(duty) = self.trainers.duties.get(trainer) else { return false };
-        if duty.owned.is_some() || !duty.first {
+        if duty.owned.is_some() || !duty.ranks_first {
             return duty.owned.is_some();
         }
         let owner = self.owner_of(trainer);
-        let owner_lives = owner.is_some_and(|owner| {
+        let owner_alive = owner.is_some_and(|owner| {
             self.membership.peers().any(|node| {
                 node.name == owner.node
                     && node.incarnation == owner.incarnation
                     && matches!(node.state, NodeState::Live | NodeState::Suspect)
             })
         });
-        !owner_lives
+        !owner_alive
     }
 
+    /// Recomputes for which trainers this node ranks first.
     pub(crate) fn rank_for_trainers(&mut self) {
         let me = self.membership.me().name.clone();
         for (name, duty) in &mut self.trainers.duties {
-            duty.first = ranks_first(name.as_str(), &me, self.membership.nodes());
+            duty.ranks_first = ranks_first(name.as_str(), &me, self.membership.nodes());
         }
     }
 
@@ -156,6 +163,7 @@
         }
     }
 
+    /// Starts the call to the key-value service that a claim requests.
     fn lease_action(&mut self, trainer: &Name, action: Action) {
         let shared = Arc::clone(&self.shared);
         let Some(duty) = self.trainers.duties.get_mut(trainer) else { return };
@@ -176,6 +184,7 @@
         }
     }
 
+    /// Passes the result of a call about a lease to its claim.
     pub(crate) fn lease_report(
         &mut self,
         now: UnixMs,
@@ -187,21 +196,21 @@
         if lease.is_some() && !matches!(report, Report::Refused) {
             duty.lease = lease;
         }
-        if let Some(change) = duty.tenure.report(now, report) {
+        if let Some(change) = duty.claim.report(now, report) {
             self.lease_changed(now, trainer, change);
         }
     }
 
-    /// Finds leases that have lapsed by our own clock, before anything is done under them.
+    /// Finds leases that have expired by this node's clock, before anything is done under them.
     pub(crate) fn check_leases(&mut self, now: UnixMs) {
-        let lapsed: Vec<Name> = self
+        let expired: Vec<Name> = self
             .trainers
             .duties
             .iter()
-            .filter(|(_, duty)| duty.owned.is_some() && duty.tenure.fence(now).is_none())
+            .filter(|(_, duty)| duty.owned.is_some() && duty.claim.fence(now).is_none())
             .map(|(name, _)| name.clone())
             .collect();
-        for name in lapsed {
+        for name in expired {
             self.apply_rollout(now, &name, Event::Lease { fence: None });
             self.apply_rollout(now, &name, Event::OrderFence(None));
         }
@@ -209,9 +218,9 @@
 
     fn lease_changed(&mut self, now: UnixMs, trainer: &Name, change: Change) {
         match change {
-            Change::Gained(fence) => self.gained(now, trainer, fence),
+            Change::Gained(fence) => self.lease_gained(now, trainer, fence),
             Change::Lapsed => {
-                log::warn!("the lease on trainer {trainer} is no longer held for certain");
+                log::warn!("the lease on trainer {trainer} may have expired");
                 self.apply_rollout(now, trainer, Event::Lease { fence: None });
                 if self.leaving_until.is_some() {
                     self.abandon(trainer);
@@ -220,8 +229,8 @@
         }
     }
 
-    fn gained(&mut self, now: UnixMs, trainer: &Name, fence: Fence) {
-        log::info!("the lease on trainer {trainer} is held under {fence}");
+    fn lease_gained(&mut self, now: UnixMs, trainer: &Name, fence: Fence) {
+        log::info!("took the lease on trainer {trainer} with fencing number {fence}");
         let me = self.membership.me().clone();
         let Some(duty) = self.trainers.duties.get_mut(trainer) else { return };
         let effects = if let Some(owned) = &mut duty.owned {
@@ -232,12 +241,12 @@
             let (rollout, effects) =
                 Rollout::open(writer, fence, ScheduleSettings::default(), OrderSettings::default());
             let (replies, runs) = (IndexMap::new(), IndexMap::new());
-            duty.owned = Some(Owned { fence, replies, rollout, runs });
+            duty.owned = Some(OwnedTrainer { fence, replies, rollout, runs });
             effects
         };
         self.trainers.nodes_changed = true;
         self.trainers.targets_changed = true;
-        self.rollout_effects(trainer, effects);
+        self.perform_rollout_effects(trainer, effects);
         let owner = OwnerFact {
             fence,
             incarnation: me.incarnation,
@@ -247,24 +256,26 @@
         self.observe(now, Fact::Owner(owner));
     }
 
-    /// Another node owns a trainer under a higher number: ours is over.
+    /// Handles another node's fact that it owns a trainer: abandons the trainer if the fact's fencing
+    /// number is higher than this node's.
     pub(crate) fn owner_announced(&mut self, owner: &OwnerFact) {
         let me = self.membership.me();
         if owner.node == me.name && owner.incarnation == me.incarnation {
             return;
         }
-        let overtaken = self
+        let superseded = self
             .trainers
             .duties
             .get(&owner.trainer)
             .and_then(|duty| duty.owned.as_ref())
             .is_some_and(|owned| owned.fence < owner.fence);
-        if overtaken {
-            log::warn!("trainer {} has moved to node {}", owner.trainer, owner.node);
+        if superseded {
+            log::warn!("trainer {} is now owned by node {}", owner.trainer, owner.node);
             self.abandon(&owner.trainer);
         }
     }
 
+    /// Stops owning a trainer: refuses its pending commands and cancels its runs.
     fn abandon(&mut self, trainer: &Name) {
         let Some(duty) = self.trainers.duties.get_mut(trainer) else { return };
         let Some(mut owned) = duty.owned.take() else { return };
@@ -276,7 +287,7 @@
         owned.runs.values().for_each(AbortHandle::abort);
     }
 
-    /// Gives every trainer up, e.g. when the node stops.
+    /// Abandons all trainers when the node stops. Leases that are still held expire by themselves.
     pub(crate) fn abandon_trainers(&mut self) {
         let names: Vec<Name> = self.trainers.duties.keys().cloned().collect();
         for name in names {
@@ -284,6 +295,7 @@
         }
     }
 
+    /// Passes a trainer's command to its state machine, or refuses it if this node is not the owner.
     pub(crate) fn trainer_command(
         &mut self,
         now: UnixMs,
@@ -296,19 +308,21 @@
         let duty = self.trainers.duties.get_mut(trainer);
         let Some(owned) = duty.and_then(|duty| duty.owned.as_mut()) else {
             let refusal = Refusal::not_run("this node does not own the trainer's steps");
-            // The asker may have hung up; nothing was run for it.
-            let _unheard = reply.send(Reply::Refused(refusal.retry_at(now.plus(RETRY_MS))));
+            // Sending fails if the trainer has disconnected; nothing was run for it.
+            let _receiver_gone =
+                reply.send(Reply::Refused(refusal.retry_at(now.plus(NOT_OWNER_RETRY_MS))));
             return;
         };
         owned.replies.insert(reply_to, reply);
         self.rollout_event(now, trainer, Event::Command { command, reply_to });
     }
 
+    /// Passes an event to a trainer's state machine, after the current fencing number for orders.
     pub(crate) fn rollout_event(&mut self, now: UnixMs, trainer: &Name, event: Event) {
         let Some(duty) = self.trainers.duties.get(trainer) else { return };
         if duty.owned.is_some() {
-            // Asked right before each act, not once at the start of the tenure.
-            let fence = duty.tenure.order_fence(now);
+            // Checked right before each event: the right to order can end at any time.
+            let fence = duty.claim.order_fence(now);
             self.apply_rollout(now, trainer, Event::OrderFence(fence));
         }
         self.apply_rollout(now, trainer, event);
@@ -323,16 +337,16 @@
             owned.runs.swap_remove(&(*sample, *attempt));
         }
         let effects = owned.rollout.handle(now, event);
-        self.rollout_effects(trainer, effects);
+        self.perform_rollout_effects(trainer, effects);
     }
 
-    fn rollout_effects(&mut self, trainer: &Name, effects: Vec<Effect>) {
+    fn perform_rollout_effects(&mut self, trainer: &Name, effects: Vec<Effect>) {
         for effect in effects {
-            self.rollout_effect(trainer, effect);
+            self.perform_rollout_effect(trainer, effect);
         }
     }
 
-    fn rollout_effect(&mut self, trainer: &Name, effect: Effect) {
+    fn perform_rollout_effect(&mut self, trainer: &Name, effect: Effect) {
         let shared = Arc::clone(&self.shared);
         let Some(duty) = self.trainers.duties.get_mut(trainer) else { return };
         let Some(owned) = duty.owned.as_mut() else { return };
@@ -382,7 +396,7 @@
         }
     }
 
-    /// Tells the aggregates of changed nodes and engines.
+    /// Passes changed nodes and engines to the state machines.
     fn refresh_views(&mut self, now: UnixMs) {
         let nodes_changed = std::mem::take(&mut self.trainers.nodes_changed);
         let targets_changed = std::mem::take(&mut self.trainers.targets_changed);
@@ -405,16 +419,17 @@
     }
 
     fn node_infos(&self) -> Vec<NodeInfo> {
-        let lasting = self.membership.nodes().filter(|node| node.state != NodeState::Gone);
+        let present = self.membership.nodes().filter(|node| node.state != NodeState::Gone);
         let info = |node: &catkinmast_member::NodeFact| NodeInfo {
             data_centre: node.data_centre.clone(),
             leaving: node.state == NodeState::Leaving,
             name: node.name.clone(),
         };
-        lasting.map(info).collect()
+        present.map(info).collect()
     }
 
-    /// Returns a trainer's engines; those that several trainers share are divided among them.
+    /// Returns a trainer's engines. The slots of an engine that several trainers share are divided
+    /// equally among them.
     fn engine_infos(&self, document: &Document, trainer: &Trainer) -> Vec<EngineInfo> {
         let snapshot = self.shared.snapshot();
         let info = |name: Name| {
@@ -437,16 +452,16 @@
         engines.into_iter().filter_map(info).collect()
     }
 
-    /// Reads load reports: often of engines in a swap, seldom of the others, whose versions show
-    /// in every chunk of tokens anyway.
+    /// Reads load reports: often from engines in a weight swap, rarely from the others, since each
+    /// chunk of their tokens shows the version anyway.
     fn read_loads(&mut self, now: UnixMs) {
         if now < self.trainers.load_at {
             return;
         }
-        self.trainers.load_at = now.plus(LOAD_EVERY_MS);
+        self.trainers.load_at = now.plus(SWAP_LOAD_INTERVAL_MS);
         let all = now >= self.trainers.load_all_at;
         if all {
-            self.trainers.load_all_at = now.plus(LOAD_ALL_EVERY_MS);
+            self.trainers.load_all_at = now.plus(ALL_LOADS_INTERVAL_MS);
         }
         let snapshot = self.shared.snapshot();
         for (name, duty) in &self.trainers.duties {
@@ -477,6 +492,6 @@
     if let Some(sender) = replies.swap_remove(&reply_to)
         && sender.send(reply).is_err()
     {
-        log::debug!("a trainer hung up before its answer");
+        log::debug!("a trainer disconnected before its reply");
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -199,7 +199,7 @@
                 self.send_input(Input::Datagram { from, message });
             }
             Ok(_) => {
-                log::debug!("a datagram from {from} was dropped: {waiting} are queued")
+                log::debug!("a datagram from {from} was dropped: {waiting} are queued");
             }
             Err(error) => {
                 self.metrics.frames_refused.inc();
