--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -1,10 +1,10 @@
-//! A call of a plain service: admission, choice of target, sending, verdict, retry.
+//! Calls of plain services: admission, choice of a target, sending, verdict and retries.
 //!
-//! The verdict comes from how far the bytes got. A connection that never came about carried
-//! nothing: `NotRun`. A target that refuses with the header `Catkinmast-Verdict: not_run` has
-//! said so itself. Everything else that is not an answer may have run. Calls that may not be
-//! repeated use a client that opens a connection for each of them and never sends again by
-//! itself, so that "the connection never came about" is all there is to prove.
+//! The verdict of a failed call depends on how far the request got. If no connection was established,
+//! nothing was sent and the verdict is `NotRun`; likewise if the target refuses with the header
+//! `Catkinmast-Verdict: not_run`. After any other failure the call may have run. Calls that may not
+//! be repeated use a client that opens a new connection for each call and never retries by itself,
+//! so that a failure to connect proves that nothing was sent.
 
 use crate::control::Input;
 use crate::metrics::CallLabels;
@@ -18,15 +18,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// How a target says that it refused before anything ran.
+/// Header by which a target states that it refused a request before running it.
 pub(crate) const VERDICT_HEADER: &str = "Catkinmast-Verdict";
-/// Names a request in its answer, as the log lines that concern it do.
+/// Header of an answer that gives the request's id, as it appears in log lines.
 const REQUEST_HEADER: &str = "Catkinmast-Request";
-/// Most targets tried for one call.
+/// Limit on the number of targets tried for one call.
 const ATTEMPTS_MAX: usize = 3;
-/// When a caller should come back if no target could be used.
+/// After how long a caller should retry if no target could be used.
 const NO_TARGET_RETRY_MS: u64 = 500;
-/// Headers of a request that concern one connection only, or this system.
+/// Headers that are not forwarded: they concern only one connection, or are meant for this node.
 const DROPPED_HEADERS: [&str; 10] = [
     "authorization",
     "catkinmast-forwarded",
@@ -43,9 +43,9 @@
 /// A request's body.
 #[derive(Debug)]
 pub(crate) enum CallBody {
-    /// All of it is here, so it can be sent again.
+    /// Complete in memory, so it can be sent again.
     Buffered(Bytes),
-    /// It is being received; it can be sent once.
+    /// Still being received, so it can be sent only once.
     Streamed(reqwest::Body),
 }
 
@@ -55,7 +55,7 @@
     pub body: CallBody,
     pub headers: Vec<(String, String)>,
     pub method: reqwest::Method,
-    /// The path with its query.
+    /// The path, including the query.
     pub path: String,
     pub service: &'a str,
     pub workspace: &'a str,
@@ -63,7 +63,7 @@
 }
 
 impl<'a> CallRequest<'a> {
-    /// Makes the call by which a sample is scored.
+    /// Creates the call that scores a sample.
     pub(crate) fn scoring(scorer: &'a Name, body: Bytes) -> Self {
         Self {
             body: CallBody::Buffered(body),
@@ -89,13 +89,18 @@
 /// An answer's body.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// All of it is here.
+    /// Complete in memory.
     Buffered(Bytes),
-    /// It is longer than is held; its length is known, so that a cut shows.
+    /// Too long to buffer. Its length is known, so that the receiver can detect truncation.
     Streamed { length_bytes: u64, response: reqwest::Response },
 }
 
 impl Answer {
+    /// Returns the complete body.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the verdict `MayHaveRun` if a streamed body breaks off.
     pub(crate) async fn into_bytes(self) -> Result<Bytes, Refusal> {
         match self.body {
             AnswerBody::Buffered(bytes) => Ok(bytes),
@@ -107,17 +112,17 @@
     }
 }
 
-/// A place among the requests that are served at once; dropping it frees the place.
+/// Admission of one request; dropping it lets the next one in.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    began: Instant,
+    started: Instant,
     shared: Arc<Shared>,
     workspace: String,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let service_us = self.began.elapsed().as_micros() as u64;
+        let service_us = self.started.elapsed().as_micros() as u64;
         let now = self.shared.now();
         let mut admission = lock(&self.shared.traffic.admission);
         let dequeued = admission.finish(now, &self.workspace, service_us);
@@ -127,21 +132,25 @@
     }
 }
 
-/// Tells requests that waited what became of them.
+/// Sends the outcome of their wait to requests that have left the queue.
 fn notify_waiting(shared: &Shared, dequeued: Dequeued) {
     let mut waiting = lock(&shared.traffic.admission_waiting);
     let admitted = dequeued.admitted.into_iter().map(|id| (id, None));
     let refused = dequeued.refused.into_iter().map(|(id, refusal)| (id, Some(refusal)));
-    for (id, verdict) in admitted.chain(refused) {
+    for (id, outcome) in admitted.chain(refused) {
         if let Some(sender) = waiting.swap_remove(&id)
-            && sender.send(verdict).is_err()
+            && sender.send(outcome).is_err()
         {
-            log::debug!("a request that waited was given up on by its caller");
+            log::debug!("a queued request was abandoned by its caller");
         }
     }
 }
 
-/// Gets a place for a request, waiting for it if that can be in time.
+/// Admits a request, waiting in the queue if necessary.
+///
+/// # Errors
+///
+/// Fails if the queue does not take the request or the deadline passes first.
 pub(crate) async fn admit(
     shared: &Arc<Shared>,
     workspace: &str,
@@ -149,15 +158,15 @@
     deadline: UnixMs,
 ) -> Result<Permit, Refusal> {
     let permit = || Permit {
-        began: Instant::now(),
+        started: Instant::now(),
         shared: Arc::clone(shared),
         workspace: workspace.to_owned(),
     };
     let (waited, id) = {
         let mut admission = lock(&shared.traffic.admission);
-        let (admitted, dequeued) = admission.arrive(shared.now(), workspace, class, deadline);
+        let (decision, dequeued) = admission.arrive(shared.now(), workspace, class, deadline);
         shared.metrics.requests_in_flight.set(i64::from(admission.in_flight()));
-        let waited = match admitted {
+        let waited = match decision {
             AdmissionDecision::Admitted => return Ok(permit()),
             AdmissionDecision::Refused(refusal) => return Err(refusal),
             AdmissionDecision::Queued(id) => {
@@ -178,7 +187,7 @@
             let removed = lock(&shared.traffic.admission_waiting).swap_remove(&id);
             lock(&shared.traffic.admission).abandon(id);
             if removed.is_none() {
-                // It was admitted in the same moment: the place is ours to give back.
+                // The request was admitted at the same moment: release its permit.
                 drop(permit());
             }
             let message = "the request waited past its deadline";
@@ -187,7 +196,7 @@
     }
 }
 
-/// A call in flight at a target; one that is dropped unfinished teaches nothing.
+/// A call in progress at a target. If it is dropped before `finish`, its outcome counts as unknown.
 pub(crate) struct TargetCall {
     choice: Choice,
     done: bool,
@@ -214,7 +223,7 @@
     }
 }
 
-/// Chooses one of `targets` that was not tried yet.
+/// Chooses one of `targets` that has not been tried yet.
 pub(crate) fn choose_target(
     shared: &Arc<Shared>,
     targets: &[Name],
@@ -229,21 +238,22 @@
     Some(TargetCall { choice, done: false, shared: Arc::clone(shared) })
 }
 
-/// Why a target gave no answer that can be passed on.
-struct Failure {
+/// Why an attempt gave no answer that can be passed to the caller.
+struct AttemptFailure {
+    /// Whether the target refused because it is leaving.
     leaving: bool,
     message: String,
     outcome: Outcome,
     verdict: Verdict,
 }
 
-impl Failure {
+impl AttemptFailure {
     fn new(verdict: Verdict, message: impl Into<String>) -> Self {
         Self { leaving: false, message: message.into(), outcome: Outcome::Failed, verdict }
     }
 }
 
-/// Calls a plain service.
+/// Calls a plain service, and logs and counts the result.
 pub(crate) async fn call_service(
     shared: &Arc<Shared>,
     request: CallRequest<'_>,
@@ -251,24 +261,24 @@
     let service = request.service.to_owned();
     let number = shared.next_request.fetch_add(1, Ordering::Relaxed);
     let id = format!("{}-{}-{number}", shared.me(), shared.incarnation);
-    let mut called = call_admitted(shared, &id, request).await;
-    match &mut called {
+    let mut result = call_with_retries(shared, &id, request).await;
+    match &mut result {
         Ok(answer) => answer.headers.push((REQUEST_HEADER.to_owned(), id)),
         Err(refusal) => {
             log::info!(
-                "request {id} of {service} is refused, {}: {}",
+                "request {id} to service {service} failed ({}): {}",
                 refusal.verdict,
                 refusal.message
             );
         }
     }
-    let verdict = called.as_ref().map_or_else(|refusal| refusal.verdict, |_| Verdict::Ran);
+    let verdict = result.as_ref().map_or_else(|refusal| refusal.verdict, |_| Verdict::Ran);
     let labels = CallLabels { service, verdict: verdict.to_string() };
     shared.metrics.calls.get_or_create(&labels).inc();
-    called
+    result
 }
 
-async fn call_admitted(
+async fn call_with_retries(
     shared: &Arc<Shared>,
     id: &str,
     mut request: CallRequest<'_>,
@@ -323,7 +333,7 @@
     }
 }
 
-/// An answer without its permit yet.
+/// An answer before the request's permit is attached to it.
 struct BareAnswer {
     body: AnswerBody,
     headers: Vec<(String, String)>,
@@ -336,25 +346,25 @@
     }
 }
 
-/// Why there is no such call.
+/// Why a call cannot be looked up.
 #[derive(Debug)]
 pub(crate) enum CallLookupError {
-    /// The node cannot tell yet.
+    /// The node has no configuration yet.
     NotReady(Refusal),
-    /// The configuration lists no such service, or no such call of it.
+    /// The configuration lists no such service, or the service lists no such call.
     Unlisted { field: &'static str, message: String },
 }
 
 impl From<CallLookupError> for Refusal {
-    fn from(no_call: CallLookupError) -> Self {
-        match no_call {
+    fn from(error: CallLookupError) -> Self {
+        match error {
             CallLookupError::NotReady(refusal) => refusal,
             CallLookupError::Unlisted { message, .. } => Self::not_run(message),
         }
     }
 }
 
-/// Finds the service and the listed call for a path.
+/// Finds the service, and its listed call for a path; the query is ignored.
 pub(crate) fn find_call<'s>(
     snapshot: &'s crate::snapshot::Snapshot,
     service: &str,
@@ -368,9 +378,9 @@
         let message = format!("service '{service}' is not configured");
         return Err(CallLookupError::Unlisted { field: "service", message });
     };
-    let bare = path.split('?').next().unwrap_or(path);
-    found.call(bare).map(|call| (found, call)).ok_or_else(|| {
-        let message = format!("service '{service}' lists no call '{bare}'");
+    let path = path.split('?').next().unwrap_or(path);
+    found.call(path).map(|call| (found, call)).ok_or_else(|| {
+        let message = format!("service '{service}' lists no call '{path}'");
         CallLookupError::Unlisted { field: "path", message }
     })
 }
@@ -386,6 +396,7 @@
     Refusal::not_run(message).retry_at(shared.now().plus(NO_TARGET_RETRY_MS))
 }
 
+/// Sends the request to one target, and returns the answer with the latency in microseconds.
 async fn attempt(
     shared: &Arc<Shared>,
     snapshot: &crate::snapshot::Snapshot,
@@ -393,9 +404,9 @@
     call: &Call,
     deadline: UnixMs,
     flight: &TargetCall,
-) -> Result<(BareAnswer, u64), Failure> {
+) -> Result<(BareAnswer, u64), AttemptFailure> {
     let Some(address) = snapshot.address(flight.target()) else {
-        return Err(Failure::new(Verdict::NotRun, "has no address"));
+        return Err(AttemptFailure::new(Verdict::NotRun, "has no address"));
     };
     let client = if call.idempotent { &shared.clients.pooled } else { &shared.clients.unpooled };
     let url = format!("http://{address}{}", request.path);
@@ -416,61 +427,68 @@
             sending.body(stream)
         }
     };
-    let began = Instant::now();
-    let left = Duration::from_millis(deadline.since_ms(shared.now()));
-    let response = sending.timeout(left).send().await.map_err(|error| classify(&error))?;
-    refused_by_target(&response)?;
-    let most = snapshot.document().map_or(0, |document| document.limits.unsized_answer_max_bytes);
-    let answer = read_answer(response, most).await?;
-    Ok((answer, began.elapsed().as_micros() as u64))
+    let started = Instant::now();
+    let timeout = Duration::from_millis(deadline.since_ms(shared.now()));
+    let response = sending.timeout(timeout).send().await.map_err(|error| classify(&error))?;
+    check_refusal(&response)?;
+    let max_bytes =
+        snapshot.document().map_or(0, |document| document.limits.unsized_answer_max_bytes);
+    let answer = read_answer(response, max_bytes).await?;
+    Ok((answer, started.elapsed().as_micros() as u64))
 }
 
-/// Only a connection that never came about proves that nothing ran.
-fn classify(error: &reqwest::Error) -> Failure {
+/// Converts a transport error. Only a failure to connect proves that nothing was sent.
+fn classify(error: &reqwest::Error) -> AttemptFailure {
     let verdict = if error.is_connect() { Verdict::NotRun } else { Verdict::MayHaveRun };
-    Failure::new(verdict, error.to_string())
+    AttemptFailure::new(verdict, error.to_string())
 }
 
-fn refused_by_target(response: &reqwest::Response) -> Result<(), Failure> {
-    let said = response.headers().get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
-    let Some(said) = said.filter(|said| said.starts_with("not_run")) else { return Ok(()) };
-    Err(Failure {
-        leaving: said.contains("leaving"),
-        message: format!("refused: {said}"),
+/// Returns an error if the target has refused the request before running it.
+fn check_refusal(response: &reqwest::Response) -> Result<(), AttemptFailure> {
+    let verdict = response.headers().get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
+    let Some(verdict) = verdict.filter(|verdict| verdict.starts_with("not_run")) else {
+        return Ok(());
+    };
+    Err(AttemptFailure {
+        leaving: verdict.contains("leaving"),
+        message: format!("refused: {verdict}"),
         outcome: Outcome::Overloaded,
         verdict: Verdict::NotRun,
     })
 }
 
-/// Reads an answer that can be held; a long one of known length is passed on as it comes.
+/// Reads an answer of up to `max_bytes` into memory; a longer one of known length is streamed.
 ///
-/// The web framework ends a body of unknown length as if it were whole when its source breaks, so
-/// a body of unknown length is never passed on unread.
-async fn read_answer(response: reqwest::Response, most: u64) -> Result<BareAnswer, Failure> {
+/// If the source of a streamed body of unknown length breaks off, the web framework ends the body as
+/// if it were complete. A body of unknown length is therefore never streamed.
+async fn read_answer(
+    response: reqwest::Response,
+    max_bytes: u64,
+) -> Result<BareAnswer, AttemptFailure> {
     let status = response.status().as_u16();
-    let headers = passed_headers(&response);
+    let headers = forwarded_headers(&response);
     let length_bytes = response.content_length();
-    if let Some(length_bytes) = length_bytes.filter(|length| *length > most) {
+    if let Some(length_bytes) = length_bytes.filter(|length| *length > max_bytes) {
         let body = AnswerBody::Streamed { length_bytes, response };
         return Ok(BareAnswer { body, headers, status });
     }
     let mut response = response;
-    let mut held = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(chunk) = response.chunk().await.map_err(|error| classify(&error))? {
-        if (held.len() + chunk.len()) as u64 > most {
-            let message = format!("an answer of unknown length is longer than {most} bytes");
-            return Err(Failure::new(Verdict::Ran, message));
+        if (buffer.len() + chunk.len()) as u64 > max_bytes {
+            let message = format!("an answer of unknown length is longer than {max_bytes} bytes");
+            return Err(AttemptFailure::new(Verdict::Ran, message));
         }
-        held.extend_from_slice(&chunk);
+        buffer.extend_from_slice(&chunk);
     }
-    Ok(BareAnswer { body: AnswerBody::Buffered(held.freeze()), headers, status })
+    Ok(BareAnswer { body: AnswerBody::Buffered(buffer.freeze()), headers, status })
 }
 
-fn passed_headers(response: &reqwest::Response) -> Vec<(String, String)> {
-    let passed = response.headers().iter().filter(|(name, _)| {
+fn forwarded_headers(response: &reqwest::Response) -> Vec<(String, String)> {
+    let forwarded = response.headers().iter().filter(|(name, _)| {
         !DROPPED_HEADERS.contains(&name.as_str()) && name.as_str() != "upgrade"
     });
-    passed
+    forwarded
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
         .collect()
 }
--- a/crates/node/src/edge/content.rs
+++ b/crates/node/src/edge/content.rs
@@ -1,4 +1,4 @@
-//! Moving samples' tokens between nodes: copies, and reads for a trainer.
+//! Transfer of samples' tokens between nodes: copies, and reads for a trainer.
 
 use crate::edge::holdings::{Content, ContentKey};
 use crate::edge::peer::{PeerReply, PeerRequest, call_peer};
@@ -8,14 +8,15 @@
 use catkinmast_route::rendezvous_rank;
 use std::net::SocketAddr;
 
-/// How many nodes are tried as holders of a copy.
-const HOLDERS_TRIED: usize = 3;
+/// Limit on the number of nodes that are asked to store a copy.
+const COPY_ATTEMPTS_MAX: usize = 3;
 
-/// Copies held content to one more node and returns that node.
+/// Copies content that this node holds to one more node, and returns that node's name.
 ///
-/// A node in another data centre is preferred: a copy beside the original dies with it when a rack
-/// or a data centre goes. Among those the rank for the sample decides, so that copies spread evenly
-/// and nobody has to agree on it.
+/// Nodes in other data centres are preferred, since a rack or a data centre that fails would take a
+/// nearby copy with the original. Among these, nodes are ordered by their rank for the sample, which
+/// spreads copies evenly without coordination. Returns `None` if the content is not held here or no
+/// node stored the copy.
 pub(crate) async fn copy_to_another_node(
     shared: &Shared,
     key: &ContentKey,
@@ -23,8 +24,8 @@
 ) -> Option<Name> {
     let content = lock(&shared.holdings).get(shared.now(), key).cloned()?;
     let snapshot = shared.snapshot();
-    let home = &shared.settings.data_centre;
-    let mut takers: Vec<&NodeFact> = snapshot
+    let own_data_centre = &shared.settings.data_centre;
+    let mut candidates: Vec<&NodeFact> = snapshot
         .nodes
         .iter()
         .filter(|node| {
@@ -34,21 +35,25 @@
         })
         .collect();
     let sample = format!("{}/{}", key.trainer, key.sample);
-    takers.sort_by_cached_key(|node| {
-        (node.data_centre == *home, rendezvous_rank(&sample, node.name.as_str()))
+    candidates.sort_by_cached_key(|node| {
+        (node.data_centre == *own_data_centre, rendezvous_rank(&sample, node.name.as_str()))
     });
-    for taker in takers.into_iter().take(HOLDERS_TRIED) {
+    for candidate in candidates.into_iter().take(COPY_ATTEMPTS_MAX) {
         let request = PeerRequest::Store { content: content.clone(), key: key.clone() };
-        match call_peer(shared, taker.control, &request).await {
-            Ok(PeerReply::Stored(true)) => return Some(taker.name.clone()),
-            Ok(_) => log::warn!("node {} has no room for a copy of {}", taker.name, key.sample),
-            Err(error) => log::info!("no copy of {} at {}: {error}", key.sample, taker.name),
+        match call_peer(shared, candidate.control, &request).await {
+            Ok(PeerReply::Stored(true)) => return Some(candidate.name.clone()),
+            Ok(_) => {
+                log::warn!("node {} did not store a copy of sample {}", candidate.name, key.sample)
+            }
+            Err(error) => {
+                log::info!("cannot copy sample {} to node {}: {error}", key.sample, candidate.name);
+            }
         }
     }
     None
 }
 
-/// Reads a sample's tokens from whichever holder has them.
+/// Reads a sample's tokens from this node, or from the first of `holders` that has them.
 pub(crate) async fn read(shared: &Shared, key: &ContentKey, holders: &[Name]) -> Option<Content> {
     if let Some(content) = lock(&shared.holdings).get(shared.now(), key) {
         return Some(content.clone());
--- a/crates/node/src/edge/holdings.rs
+++ b/crates/node/src/edge/holdings.rs
@@ -1,20 +1,20 @@
-//! Tokens of samples that this node holds: of its own runs, and copies for other runners.
+//! In-memory store of samples' tokens: those of this node's runs, and copies for other runners.
 //!
-//! Bounded in bytes. What is full refuses a new copy, and the runner looks for another holder;
-//! nothing that a batch may name is pushed out. Content that no owner has asked for in a long
-//! time belongs to a trainer that is gone, and is dropped.
+//! The store is bounded in bytes. A full store refuses new content, and the runner looks for another
+//! holder; existing content is not evicted, since a batch may refer to it. Content that has not been
+//! requested for [`RETENTION_MS`] belongs to a trainer that no longer exists, and is dropped.
 
 use catkinmast_model::{Name, SampleId, Segments, UnixMs};
 use catkinmast_rollout::{Attempt, HoldingReport};
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// How long content is kept that nobody asks for.
-const KEPT_MS: u64 = 3_600_000;
-/// Most bytes of tokens held.
+/// How long content is kept after it was stored or last requested.
+const RETENTION_MS: u64 = 3_600_000;
+/// Limit on the total size of the tokens held.
 const HELD_MAX_BYTES: usize = 256 << 20;
 
-/// Names content: the trainer, the sample, and the attempt that made it.
+/// Identifies content: the trainer, the sample, and the attempt that produced it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub(crate) struct ContentKey {
     pub attempt: Attempt,
@@ -25,7 +25,7 @@
 /// A sample's tokens.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Content {
-    /// None while the sample is not whole and scored.
+    /// `None` until the sample is complete and scored.
     pub score_millis: Option<i64>,
     pub segments: Segments,
     pub tokens: Vec<u32>,
@@ -37,7 +37,7 @@
     expires_at: UnixMs,
 }
 
-/// The content that a node holds.
+/// The content that this node holds.
 #[derive(Debug, Default)]
 pub(crate) struct Holdings {
     held: IndexMap<ContentKey, HeldContent>,
@@ -51,20 +51,23 @@
 }
 
 impl Holdings {
-    /// Stores content and tells whether there was room for it.
+    /// Stores content, replacing any under the same key.
+    ///
+    /// Returns false if there is not enough space; content under the same key is removed even then.
     pub(crate) fn store(&mut self, now: UnixMs, key: ContentKey, content: Content) -> bool {
         self.remove(&key);
         if self.held_bytes + content.size_bytes() > HELD_MAX_BYTES {
             return false;
         }
         self.held_bytes += content.size_bytes();
-        self.held.insert(key, HeldContent { content, expires_at: now.plus(KEPT_MS) });
+        self.held.insert(key, HeldContent { content, expires_at: now.plus(RETENTION_MS) });
         true
     }
 
+    /// Returns content and extends its retention.
     pub(crate) fn get(&mut self, now: UnixMs, key: &ContentKey) -> Option<&Content> {
         let held = self.held.get_mut(key)?;
-        held.expires_at = now.plus(KEPT_MS);
+        held.expires_at = now.plus(RETENTION_MS);
         Some(&held.content)
     }
 
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Lists what is held of a trainer, for a new owner.
+    /// Lists the content held for a trainer, for a new owner of its steps.
     pub(crate) fn report(&self, trainer: &Name, holder: &Name) -> Vec<HoldingReport> {
         let of_trainer = self.held.iter().filter(|(key, _)| key.trainer == *trainer);
         of_trainer
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -1,7 +1,7 @@
-//! What touches the outside: peers, engines, scorers, the key-value service.
+//! Network calls between this node and other nodes, engines, scorers and the key-value service.
 //!
-//! The functions here run on the traffic threads. They carry out what the control thread decided
-//! and report back to it; they decide nothing about who owns or may do what.
+//! The functions here run on the traffic threads. They perform what the control thread has decided
+//! and report back to it; they make no decisions about ownership or permissions.
 
 pub(crate) mod calls;
 pub(crate) mod content;
--- a/crates/node/src/edge/owner_tasks.rs
+++ b/crates/node/src/edge/owner_tasks.rs
@@ -1,4 +1,5 @@
-//! What the owner of a trainer's steps has done outside: orders, load reports, copies, holdings.
+//! Network calls on behalf of the owner of a trainer's steps: orders and load reports of engines,
+//! copies and holdings of other nodes.
 
 use crate::control::Input;
 use crate::edge::holdings::ContentKey;
@@ -12,10 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause after a copy that no node took: the aggregate asks again at once, and a fleet that cannot
-/// take it must not spin.
-const COPY_PAUSE: Duration = Duration::from_secs(1);
+/// Delay after a copy that no node has stored. The state machine requests it again at once, which
+/// would be a busy loop while no node has space.
+const COPY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
+/// Reads an engine's load report, and reports the version that it serves.
 pub(crate) async fn read_load(
     shared: Arc<Shared>,
     trainer: Name,
@@ -29,10 +31,11 @@
             let event = Event::EngineVersion { engine, version };
             shared.send_input(Input::Rollout { event, trainer });
         }
-        Err(error) => log::debug!("engine {engine} gives no load report: {error}"),
+        Err(error) => log::debug!("cannot read the load report of engine {engine}: {error}"),
     }
 }
 
+/// Orders an engine to load a weight version.
 pub(crate) async fn send_order(
     shared: Arc<Shared>,
     engine: Name,
@@ -40,11 +43,15 @@
     order: WeightOrder,
 ) {
     if let Err(error) = shared.clients.engines.order(address, &order).await {
-        // Repeated by the order book until the engine's report shows the version.
-        log::info!("engine {engine} did not take the order for {}: {error}", order.version);
+        // The state machine repeats the order until the engine reports the version.
+        log::info!(
+            "engine {engine} did not accept the order to load version {}: {error}",
+            order.version
+        );
     }
 }
 
+/// Drops samples' content here and on all other nodes.
 pub(crate) async fn forget(shared: Arc<Shared>, keys: Vec<ContentKey>) {
     for key in &keys {
         lock(&shared.holdings).remove(key);
@@ -56,12 +63,13 @@
         }
         let request = PeerRequest::Forget { keys: keys.clone() };
         if let Err(error) = call_peer(&shared, node.control, &request).await {
-            // Its content lapses by itself after a while.
-            log::debug!("node {} was not told to forget: {error}", node.name);
+            // That node's content expires by itself.
+            log::debug!("cannot ask node {} to drop content: {error}", node.name);
         }
     }
 }
 
+/// Has a holder copy a sample to one more node, and reports which node stored the copy.
 pub(crate) async fn copy_again(shared: Arc<Shared>, key: ContentKey, holder: Name) {
     let (attempt, sample, trainer) = (key.attempt, key.sample, key.trainer.clone());
     let avoid = vec![holder.clone()];
@@ -79,11 +87,12 @@
         }
     };
     if holder.is_none() {
-        tokio::time::sleep(COPY_PAUSE).await;
+        tokio::time::sleep(COPY_RETRY_DELAY).await;
     }
     shared.send_input(Input::Rollout { event: Event::Copied { attempt, holder, sample }, trainer });
 }
 
+/// Asks all nodes which samples of a trainer they hold, and reports the answers.
 pub(crate) async fn find_holdings(shared: Arc<Shared>, trainer: Name) {
     let mut found = lock(&shared.holdings).report(&trainer, shared.me());
     let snapshot = shared.snapshot();
@@ -91,12 +100,12 @@
         .nodes
         .iter()
         .filter(|node| node.state != NodeState::Gone && node.name != *shared.me());
-    let asked = others.map(|node| {
+    let calls = others.map(|node| {
         let shared = Arc::clone(&shared);
         let (trainer, control) = (trainer.clone(), node.control);
         async move { call_peer(&shared, control, &PeerRequest::Holdings { trainer }).await }
     });
-    for answer in futures::future::join_all(asked).await {
+    for answer in futures::future::join_all(calls).await {
         if let Ok(PeerReply::Holdings(reports)) = answer {
             found.extend(reports);
         }
--- a/crates/node/src/edge/peer.rs
+++ b/crates/node/src/edge/peer.rs
@@ -1,7 +1,8 @@
-//! Requests between nodes, over TCP with `postcard` frames.
+//! Requests between nodes, sent over TCP as `postcard` frames.
 //!
-//! One connection for each request: they are few, and a connection that breaks says at once that
-//! its runner or owner is gone. A run's answer is a stream of frames that ends with the run.
+//! Each request has a connection of its own: there are few requests, and a broken connection shows
+//! at once that the runner or the owner is gone. The reply to a run is a stream of frames that ends
+//! with the run.
 
 use crate::control::Input;
 use crate::edge::holdings::{Content, ContentKey};
@@ -23,20 +24,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// How long a connection to a peer may take to come about.
+/// Time limit for establishing a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a peer may take to send its request once connected.
+/// Time limit for a peer to send its request after connecting.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a peer may take to answer anything but a run or a waiting fetch.
+/// Time limit for a peer's reply to a request other than a run or a trainer's command.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a trainer's command may take; a fetch waits up to half of it.
+/// Time limit for a trainer's command; a fetch waits for up to half of it.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a runner may be silent; it tells every second that it lives.
-const RUN_SILENCE_MAX: Duration = Duration::from_secs(20);
-/// Frames of a run that wait for a slow owner.
-const RUN_FRAMES_WAITING: usize = 64;
+/// How long a runner may send nothing; it sends a heartbeat at least every second.
+const RUN_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Number of a run's events that are buffered for a slow owner.
+const RUN_EVENTS_BUFFERED: usize = 64;
 
-/// What one node asks of another.
+/// A request from one node to another. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum PeerRequest {
     Config { digest: String },
@@ -52,7 +53,7 @@
     Trainer { command: Command, trainer: Name },
 }
 
-/// What the other node answers.
+/// The reply to a [`PeerRequest`]. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum PeerReply {
     Config(Option<String>),
@@ -66,23 +67,24 @@
     Trainer(Reply),
 }
 
-/// Why a peer could not be asked.
+/// Why a call to a peer failed.
 #[derive(Debug, Display)]
 pub(crate) enum PeerError {
-    /// the peer cannot be reached: {0}
+    /// cannot connect to the peer: {0}
     Unreachable(std::io::Error),
     /// the connection to the peer broke: {0}
     Broken(std::io::Error),
-    /// the peer did not answer in time
+    /// the call to the peer timed out
     TimedOut,
-    /// the peer sent something else than a frame of ours: {0}
+    /// the peer sent an invalid frame: {0}
     Frame(FrameError),
-    /// the peer answered another question
+    /// the peer's reply does not match the request
     Unexpected,
 }
 
 impl std::error::Error for PeerError {}
 
+/// Seals a message and writes it with its length prefix.
 pub(crate) async fn write_frame(
     stream: &mut TcpStream,
     key: &SharedKey,
@@ -94,6 +96,7 @@
     stream.write_all(&bytes).await.map_err(PeerError::Broken)
 }
 
+/// Reads and opens one frame.
 pub(crate) async fn read_frame<M: DeserializeOwned>(
     stream: &mut TcpStream,
     key: &SharedKey,
@@ -103,7 +106,7 @@
         let mut prefix = [0; LENGTH_BYTES];
         stream.read_exact(&mut prefix).await.map_err(PeerError::Broken)?;
         let length = parse_length_prefix(prefix).map_err(PeerError::Frame)?;
-        // Memory grows with what arrives, not with what was announced.
+        // Memory grows with the bytes received, not with the announced length.
         let mut frame = Vec::new();
         let mut limited = stream.take(length as u64);
         limited.read_to_end(&mut frame).await.map_err(PeerError::Broken)?;
@@ -115,6 +118,7 @@
     tokio::time::timeout(timeout, read).await.map_err(|_elapsed| PeerError::TimedOut)?
 }
 
+/// Connects to a peer and sends the request.
 async fn connect(
     shared: &Shared,
     to: SocketAddr,
@@ -126,13 +130,13 @@
         .map_err(|_elapsed| PeerError::TimedOut)?
         .map_err(PeerError::Unreachable)?;
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("no-delay could not be set towards {to}: {error}");
+        log::debug!("cannot set TCP_NODELAY on the connection to {to}: {error}");
     }
     write_frame(&mut stream, &shared.settings.shared_key, request).await?;
     Ok(stream)
 }
 
-/// Asks a peer one question.
+/// Sends a request to a peer and returns its reply.
 pub(crate) async fn call_peer(
     shared: &Shared,
     to: SocketAddr,
@@ -146,7 +150,7 @@
     read_frame(&mut stream, &shared.settings.shared_key, timeout).await
 }
 
-/// Lets a peer run a sample, and passes its events on until the run ends.
+/// Runs a sample on a peer, and forwards the run's events until it ends.
 pub(crate) async fn run_remotely(
     shared: &Shared,
     to: SocketAddr,
@@ -157,7 +161,7 @@
     let mut stream = connect(shared, to, &request).await?;
     loop {
         let key = &shared.settings.shared_key;
-        match read_frame(&mut stream, key, RUN_SILENCE_MAX).await? {
+        match read_frame(&mut stream, key, RUN_IDLE_TIMEOUT).await? {
             PeerReply::Run(event) => {
                 let ends = event.ends_run();
                 if events.send(event).await.is_err() || ends {
@@ -169,7 +173,7 @@
     }
 }
 
-/// Serves the other nodes until the listener is dropped.
+/// Serves requests of other nodes until the task is aborted.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -180,13 +184,13 @@
                         if matches!(error, PeerError::Frame(_)) {
                             shared.metrics.frames_refused.inc();
                         }
-                        log::debug!("a request from node address {from} ended: {error}");
+                        log::debug!("a request from node address {from} failed: {error}");
                     }
                 });
             }
             Err(error) => {
-                // Out of descriptors, most likely: wait for some to be closed.
-                log::warn!("a connection of a node could not be accepted: {error}");
+                // Most likely out of file descriptors: wait for some to be closed.
+                log::warn!("cannot accept a connection from a node: {error}");
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -203,21 +207,21 @@
     write_frame(&mut stream, &key, &reply).await
 }
 
-/// Runs a sample for its owner; when the owner hangs up, the run is dropped and so cancelled.
+/// Runs a sample for its owner. If the owner disconnects, the run is dropped and thereby cancelled.
 async fn serve_run(
     shared: &Arc<Shared>,
     mut stream: TcpStream,
     job: RunJob,
 ) -> Result<(), PeerError> {
     let _in_progress = InProgress::begin(Arc::clone(shared));
-    let (sender, mut events) = mpsc::channel(RUN_FRAMES_WAITING);
+    let (sender, mut events) = mpsc::channel(RUN_EVENTS_BUFFERED);
     let run = run_job(Arc::clone(shared), job, sender);
     tokio::pin!(run);
-    let mut over = false;
+    let mut ended = false;
     let mut byte = [0; 1];
     loop {
         tokio::select! {
-            () = &mut run, if !over => over = true,
+            () = &mut run, if !ended => ended = true,
             event = events.recv() => match event {
                 Some(event) => {
                     let reply = PeerReply::Run(event);
@@ -226,7 +230,7 @@
                 None => return Ok(()),
             },
             read = stream.read(&mut byte) => {
-                // The owner sends nothing more: this is its end of the connection.
+                // The owner sends nothing after its request, so it has closed the connection.
                 let reason = read.err().unwrap_or_else(|| std::io::ErrorKind::UnexpectedEof.into());
                 return Err(PeerError::Broken(reason));
             }
@@ -239,10 +243,10 @@
     match request {
         PeerRequest::Config { digest } => {
             let snapshot = shared.snapshot();
-            let held = snapshot.config.as_ref().filter(|in_force| {
+            let found = snapshot.config.as_ref().filter(|in_force| {
                 catkinmast_config::Digest::of(&in_force.text).to_string() == digest
             });
-            PeerReply::Config(held.map(|in_force| in_force.text.clone()))
+            PeerReply::Config(found.map(|in_force| in_force.text.clone()))
         }
         PeerRequest::ContentLost { attempt, sample, trainer } => {
             shared.send_input(Input::Rollout {
@@ -288,7 +292,7 @@
     }
 }
 
-/// Hands a trainer's command to the control thread of this node.
+/// Passes a trainer's command to this node's control thread, and returns the reply.
 pub(crate) async fn handle_command_locally(
     shared: &Shared,
     trainer: Name,
@@ -302,7 +306,7 @@
     }
 }
 
-/// Hands a trainer's command to the node that owns the trainer's steps.
+/// Sends a trainer's command to the node that owns the trainer's steps, and returns the reply.
 pub(crate) async fn forward_command_to_owner(
     shared: &Shared,
     trainer: &Name,
@@ -329,7 +333,7 @@
             Reply::Refused(Refusal::not_run(message).retry_at(retry_at))
         }
         Ok(_) | Err(_) => {
-            // Every command is idempotent, so the trainer may simply ask again.
+            // Every command is idempotent, so the trainer may retry.
             let message = format!("node {}, which owns the trainer's steps, broke off", owner.node);
             Reply::Refused(Refusal::may_have_run(message).retry_at(retry_at))
         }
--- a/crates/node/src/edge/publish.rs
+++ b/crates/node/src/edge/publish.rs
@@ -1,8 +1,9 @@
-//! Putting a new configuration in force.
+//! Changes of the configuration by operators.
 //!
-//! The body goes under its digest, then the head is changed by compare-and-swap. A lost reply is
-//! settled by reading the head and looking for the operation's own number. The operation either
-//! was accepted once, or was not, or its answer says that it may have been.
+//! The document is stored under its digest, then the head is changed by compare-and-swap. If the
+//! reply to that write is lost, the head is read again and searched for the operation's id. The
+//! answer says that the operation was accepted, was not accepted, or may have been; it is never
+//! accepted twice.
 
 use crate::control::Input;
 use crate::control::configuration::observed_head;
@@ -17,27 +18,27 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How often an unanswered write of the head is looked up before the answer is `MayHaveRun`.
-const LOOK_UPS: u32 = 4;
-/// Pause between two look-ups.
-const LOOK_UP_PAUSE: Duration = Duration::from_millis(300);
+/// Number of reads of the head after an unanswered write, before the answer is `MayHaveRun`.
+const OUTCOME_READS: u32 = 4;
+/// Interval between these reads.
+const OUTCOME_READ_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What an operator asks for.
+/// An operator's request to change the configuration.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ApplyRequest {
-    /// The revision that the document was made from.
+    /// The revision on which the document is based.
     pub base_revision: u64,
-    /// The operator's own number of this operation; the same number is the same operation.
+    /// Identifies the operation; a request with the same id is a repetition of the same operation.
     pub operation_id: String,
-    /// Whether edits that do not touch those of others are merged with them.
+    /// Whether to merge the document with changes made since its base, if they do not conflict.
     #[serde(default)]
     pub rebase: bool,
-    /// The document.
+    /// The new document.
     pub text: String,
 }
 
-/// How it ended.
+/// The result of a change. Variants and fields are written out as JSON.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case", tag = "result")]
 pub(crate) enum ApplyResult {
@@ -56,14 +57,14 @@
     ApplyResult::Refused { refusal }
 }
 
-/// Checks a document and puts it in force.
+/// Checks a document and makes it the configuration in force.
 pub(crate) async fn apply(shared: &Shared, author: &str, request: &ApplyRequest) -> ApplyResult {
     if let Err(faults) = Document::parse(&request.text) {
         return ApplyResult::Faulty { faults };
     }
     let read = match read_head(shared).await {
         Ok(read) => read,
-        // Only reads so far: nothing was changed.
+        // Nothing has been written yet.
         Err(error) => {
             let message = error.to_string();
             let verdict = catkinmast_model::Verdict::NotRun;
@@ -74,15 +75,16 @@
     if let Some(found) = head.find(&request.operation_id) {
         return accepted(found);
     }
-    let text = match rebased(shared, &head, request).await {
+    let text = match resolve_base(shared, &head, request).await {
         Ok(text) => text,
         Err(result) => return result,
     };
     write(shared, author, request, &head, version, &text).await
 }
 
-/// Returns the text to put in force: the request's own, or merged with what came since its base.
-async fn rebased(
+/// Returns the text to put in force: the request's own, or its merge with the changes made since its
+/// base.
+async fn resolve_base(
     shared: &Shared,
     head: &Head,
     request: &ApplyRequest,
@@ -112,6 +114,7 @@
     }
 }
 
+/// Stores the document and changes the head.
 async fn write(
     shared: &Shared,
     author: &str,
@@ -123,7 +126,7 @@
     let digest = Digest::of(text);
     shared.metrics.count_kv_call("config");
     if let Err(error) = shared.clients.store.put(&body_key(digest), text, Expect::Any, None).await {
-        // A body that no head names changes nothing: the configuration did not change.
+        // The head was not changed, so neither was the configuration.
         let message = error.to_string();
         let verdict = catkinmast_model::Verdict::NotRun;
         return unavailable(&StoreError::Unavailable { message, verdict });
@@ -134,18 +137,18 @@
     shared.metrics.count_kv_call("config");
     match shared.clients.store.put(HEAD_KEY, &value, expect, None).await {
         Ok(version) => {
-            tell_head(shared, &next, version);
-            next.in_force().map_or_else(|| unsettled(request), accepted)
+            report_head(shared, &next, version);
+            next.in_force().map_or_else(|| outcome_unknown(request), accepted)
         }
-        Err(_) => settle(shared, request, head).await,
+        Err(_) => read_outcome(shared, request, head).await,
     }
 }
 
-/// Finds out what became of a write of the head that was refused or not answered.
-async fn settle(shared: &Shared, request: &ApplyRequest, before: &Head) -> ApplyResult {
-    for _ in 0..LOOK_UPS {
+/// Determines from the head whether a write of it that was refused or not answered took effect.
+async fn read_outcome(shared: &Shared, request: &ApplyRequest, before: &Head) -> ApplyResult {
+    for _ in 0..OUTCOME_READS {
         if let Ok(Some((head, version))) = read_head(shared).await {
-            tell_head(shared, &head, version);
+            report_head(shared, &head, version);
             if let Some(found) = head.find(&request.operation_id) {
                 return accepted(found);
             }
@@ -154,13 +157,14 @@
                 return ApplyResult::Conflict { changes: Vec::new(), in_force_revision };
             }
         }
-        tokio::time::sleep(LOOK_UP_PAUSE).await;
+        tokio::time::sleep(OUTCOME_READ_INTERVAL).await;
     }
-    unsettled(request)
+    outcome_unknown(request)
 }
 
-/// Lets this node follow at once; the others hear of it from the watchers and from us.
-fn tell_head(shared: &Shared, head: &Head, version: u64) {
+/// Reports the head to the control thread, so that this node follows at once. Other nodes receive the
+/// change from the watchers and from this node.
+fn report_head(shared: &Shared, head: &Head, version: u64) {
     let head = observed_head(Some((head.clone(), version)));
     shared.send_input(Input::ConfigEvent(FollowerEvent::HeadRead(head)));
 }
@@ -170,7 +174,7 @@
     ApplyResult::Accepted { from_revision: revision.saturating_sub(1), revision }
 }
 
-fn unsettled(request: &ApplyRequest) -> ApplyResult {
+fn outcome_unknown(request: &ApplyRequest) -> ApplyResult {
     let message = format!(
         "nobody knows yet whether operation '{}' was accepted; ask again with the same \
          operation_id, which cannot apply it twice",
--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -1,8 +1,8 @@
-//! Running one sample: stream, score, copy.
+//! Runs of single samples: streaming from an engine, scoring and copying.
 //!
-//! The runner is the node that holds the tokens. It tells the owner what it needs to decide: the
-//! versions of the tokens so far, and the end. Tokens of a run that breaks stay here, so that the
-//! next attempt can go on from them.
+//! The runner is the node that runs a sample and holds its tokens. It reports to the owner only what
+//! the owner decides by: the weight versions of the tokens so far, and the end of the run. The
+//! tokens of a run that fails stay on the runner, so that the next attempt can resume from them.
 
 use crate::control::Input;
 use crate::edge::calls::{CallRequest, call_service};
@@ -21,18 +21,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Time between two savings of a running sample's tokens, from which a duplicate can go on.
-const SAVE_EVERY: Duration = Duration::from_millis(250);
-/// How long a runner may stay silent towards the owner.
-const ALIVE_EVERY: Duration = Duration::from_secs(1);
-/// Pause between two tries at the scoring service.
-const SCORE_RETRY: Duration = Duration::from_millis(300);
-/// Most tries at the scoring service before the run is given back.
-const SCORE_TRIES: u32 = 20;
-/// The priority of samples at an engine; application requests are above it.
+/// Interval at which the tokens of a running sample are stored, so that a duplicate can resume from
+/// them.
+const SAVE_INTERVAL: Duration = Duration::from_millis(250);
+/// After this time without tokens the runner sends a heartbeat to the owner.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay between calls of the scoring service for a sample.
+const SCORE_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Limit on the calls of the scoring service for a sample, after which the run fails.
+const SCORE_ATTEMPTS_MAX: u32 = 20;
+/// The priority of samples at an engine; requests of applications have a higher one.
 const ROLLOUT_PRIORITY: u8 = 10;
 
-/// A run with all that its runner must know.
+/// A run, with everything that its runner needs. The order of fields is the wire format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct RunJob {
     pub model: Name,
@@ -41,7 +42,7 @@
     pub trainer: Name,
 }
 
-/// What a runner tells the owner.
+/// A report of a runner to the owner. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum RunEvent {
     Alive,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Starts a run at its runner and passes what it reports to the control thread.
+/// Starts a run on its runner and passes the runner's events to the control thread.
 pub(crate) async fn run_for_owner(shared: Arc<Shared>, job: RunJob) {
     let (sender, mut events) = mpsc::channel(64);
     let (attempt, sample) = (job.order.attempt, job.order.sample);
@@ -79,7 +80,9 @@
             _ if here => run_job(Arc::clone(&shared), job, sender).await,
             Some(address) => {
                 if let Err(error) = run_remotely(&shared, address, job, &sender).await {
-                    log::info!("the run of {sample} at {address} broke: {error}");
+                    log::info!(
+                        "the run of sample {sample} on node address {address} failed: {error}"
+                    );
                 }
             }
             None => {}
@@ -87,7 +90,7 @@
     };
     let report_event =
         |event| shared.send_input(Input::Rollout { event, trainer: trainer.clone() });
-    let pass_on = async {
+    let forward = async {
         while let Some(event) = events.recv().await {
             let ends = event.ends_run();
             for event in owner_events(event, attempt, sample) {
@@ -99,9 +102,9 @@
         }
         false
     };
-    let ((), ended) = tokio::join!(run, pass_on);
+    let ((), ended) = tokio::join!(run, forward);
     if !ended {
-        // The runner is gone, and its tokens with it.
+        // The runner is gone, and the tokens that it held are lost.
         report_event(Event::RunFailed {
             attempt,
             engine_at_fault: false,
@@ -111,6 +114,7 @@
     }
 }
 
+/// Converts a runner's event to events for the owner's state machine.
 fn owner_events(
     event: RunEvent,
     attempt: Attempt,
@@ -130,7 +134,7 @@
     }
 }
 
-/// Cancels the request at the engine when the run is dropped in the middle.
+/// Cancels the request at the engine if the run is dropped before its stream has ended.
 struct EngineGuard {
     address: SocketAddr,
     finished: bool,
@@ -147,20 +151,20 @@
             (Arc::clone(&self.shared), self.request_id.clone(), self.address);
         tokio::spawn(async move {
             if let Err(error) = shared.clients.engines.cancel(address, &request_id).await {
-                log::debug!("'{request_id}' could not be cancelled: {error}");
+                log::debug!("cannot cancel request '{request_id}' at its engine: {error}");
             }
         });
     }
 }
 
-/// Runs a sample here. Dropping the future cancels it.
+/// Runs a sample on this node. Dropping the future cancels the run.
 pub(crate) async fn run_job(shared: Arc<Shared>, job: RunJob, events: mpsc::Sender<RunEvent>) {
     let last = match run_to_end(&shared, &job, &events).await {
         Ok(finished) => RunEvent::Safe { finished },
         Err(failed) => failed,
     };
     if events.send(last).await.is_err() {
-        log::debug!("the owner of {} hung up before its end", job.request_id());
+        log::debug!("the owner of run {} disconnected before the run ended", job.request_id());
     }
 }
 
@@ -173,17 +177,17 @@
     let mut content = start_content(shared, job);
     let streamed = stream_tokens(shared, job, &key, &mut content, events).await;
     if let Err(message) = streamed {
-        log::info!("the stream of {} broke: {message}", job.request_id());
+        log::info!("the stream of run {} failed: {message}", job.request_id());
         let partial_kept = !content.tokens.is_empty();
         store(shared, &key, &content);
         return Err(RunEvent::Failed { engine_at_fault: true, partial_kept });
     }
-    let whole = RunEvent::Complete { segments: content.segments.clone() };
+    let complete = RunEvent::Complete { segments: content.segments.clone() };
     let gone = |_closed| RunEvent::Failed { engine_at_fault: false, partial_kept: false };
-    events.send(whole).await.map_err(gone)?;
+    events.send(complete).await.map_err(gone)?;
     content.score_millis = Some(score(shared, job, &content, events).await?);
     if !store(shared, &key, &content) {
-        log::warn!("no room to hold {}; the sample is given back", job.request_id());
+        log::warn!("no space to hold the tokens of run {}; the run fails", job.request_id());
         return Err(RunEvent::Failed { engine_at_fault: false, partial_kept: false });
     }
     let mut holders = vec![shared.me().clone()];
@@ -192,6 +196,7 @@
     Ok(Finished { holders, score_millis, segments: content.segments })
 }
 
+/// Stores content here and updates the metric; returns false if there is not enough space.
 fn store(shared: &Shared, key: &ContentKey, content: &Content) -> bool {
     let mut holdings = lock(&shared.holdings);
     let stored = holdings.store(shared.now(), key.clone(), content.clone());
@@ -199,7 +204,8 @@
     stored
 }
 
-/// Begins with the tokens of the attempt that this one goes on from.
+/// Returns the tokens of the attempt from which this run resumes; empty if it starts anew or the
+/// tokens are not held here.
 fn start_content(shared: &Shared, job: &RunJob) -> Content {
     let Some(resumed) = job.order.resume else { return Content::default() };
     let mut holdings = lock(&shared.holdings);
@@ -207,6 +213,7 @@
     held.map_or_else(Content::default, |held| Content { score_millis: None, ..held })
 }
 
+/// Streams tokens from the engine into `content` until the sample is complete.
 async fn stream_tokens(
     shared: &Arc<Shared>,
     job: &RunJob,
@@ -232,61 +239,70 @@
     };
     let opened = shared.clients.engines.generate(order.engine.address, &request).await;
     let mut lines = opened.map_err(|error| error.to_string())?;
-    let mut told = Told { at: Instant::now(), segments: content.segments.as_slice().len() };
+    let mut last_report =
+        LastReport { at: Instant::now(), segments: content.segments.as_slice().len() };
     let mut saved_at = Instant::now();
     loop {
-        let line = match tokio::time::timeout(ALIVE_EVERY, lines.next()).await {
+        let line = match tokio::time::timeout(HEARTBEAT_INTERVAL, lines.next()).await {
             Ok(line) => line,
             Err(_elapsed) => {
-                tell_owner(events, RunEvent::Alive).await?;
+                send_to_owner(events, RunEvent::Alive).await?;
                 continue;
             }
         };
         match line {
             Some(Ok(EngineLine::Chunk { start, tokens, version, .. })) => {
                 if start as usize != content.tokens.len() {
-                    return Err(format!("tokens from {start} after {}", content.tokens.len()));
+                    return Err(format!(
+                        "the engine sent tokens from {start} on after {} tokens",
+                        content.tokens.len()
+                    ));
                 }
                 content.segments.push(version, tokens.len() as u32);
                 content.tokens.extend_from_slice(&tokens);
             }
             Some(Ok(EngineLine::End { count, .. })) => {
                 guard.finished = true;
-                let held = content.tokens.len();
-                let whole = count as usize == held;
-                return if whole { Ok(()) } else { Err(format!("{count} announced, {held} held")) };
+                let received = content.tokens.len();
+                let is_complete = count as usize == received;
+                return if is_complete {
+                    Ok(())
+                } else {
+                    Err(format!("the engine sent {count} tokens, but {received} were received"))
+                };
             }
             Some(Err(error)) => return Err(error.to_string()),
             None => return Err("the stream ended without its end line".to_owned()),
         }
-        if saved_at.elapsed() >= SAVE_EVERY {
+        if saved_at.elapsed() >= SAVE_INTERVAL {
             saved_at = Instant::now();
             store(shared, key, content);
         }
-        if told.is_old(content, order.progress_every_ms) {
-            told = Told { at: Instant::now(), segments: content.segments.as_slice().len() };
+        if last_report.is_outdated(content, order.progress_every_ms) {
+            last_report =
+                LastReport { at: Instant::now(), segments: content.segments.as_slice().len() };
             let segments = content.segments.clone();
-            tell_owner(events, RunEvent::Progress { segments }).await?;
+            send_to_owner(events, RunEvent::Progress { segments }).await?;
         }
     }
 }
 
-/// What the owner was last told of a run.
-struct Told {
+/// When and with how many segments a run's progress was last reported to the owner.
+struct LastReport {
     at: Instant,
     segments: usize,
 }
 
-impl Told {
-    /// A new version is told at once, the number of tokens only now and then.
-    fn is_old(&self, content: &Content, every_ms: u64) -> bool {
+impl LastReport {
+    /// Returns whether to report again: at once for a new weight version, otherwise every `interval_ms`.
+    fn is_outdated(&self, content: &Content, interval_ms: u64) -> bool {
         content.segments.as_slice().len() != self.segments
-            || self.at.elapsed() >= Duration::from_millis(every_ms)
+            || self.at.elapsed() >= Duration::from_millis(interval_ms)
     }
 }
 
-async fn tell_owner(events: &mpsc::Sender<RunEvent>, event: RunEvent) -> Result<(), String> {
-    events.send(event).await.map_err(|_closed| "the owner hung up".to_owned())
+async fn send_to_owner(events: &mpsc::Sender<RunEvent>, event: RunEvent) -> Result<(), String> {
+    events.send(event).await.map_err(|_closed| "the owner disconnected".to_owned())
 }
 
 #[derive(Serialize)]
@@ -299,21 +315,21 @@
     score: f64,
 }
 
-/// Scores a whole sample.
+/// Scores a complete sample; returns the score in thousandths.
 ///
-/// A scoring call that did not run, or that may be repeated, is tried again for a while. One that
-/// may have run and may not be repeated is never sent again for the same tokens: the sample is
-/// given back, and a new attempt makes new tokens with a call of their own.
+/// A scoring call that did not run or that may be repeated is retried a limited number of times. A
+/// call that may have run and may not be repeated is not sent again for the same tokens. Instead the
+/// run fails, and a new attempt generates new tokens, which are scored by a call of their own.
 async fn score(
     shared: &Arc<Shared>,
     job: &RunJob,
     content: &Content,
     events: &mpsc::Sender<RunEvent>,
 ) -> Result<i64, RunEvent> {
-    let give_back = || RunEvent::Failed { engine_at_fault: false, partial_kept: false };
+    let failed = || RunEvent::Failed { engine_at_fault: false, partial_kept: false };
     let body = serde_json::to_vec(&ScoreRequest { tokens: &content.tokens });
-    let body = Bytes::from(body.map_err(|_unwritable| give_back())?);
-    for _ in 0..SCORE_TRIES {
+    let body = Bytes::from(body.map_err(|_unserializable| failed())?);
+    for _ in 0..SCORE_ATTEMPTS_MAX {
         let request = CallRequest::scoring(&job.scorer, body.clone());
         match call_service(shared, request).await {
             Ok(answer) if answer.status == 200 => {
@@ -323,23 +339,31 @@
                 if let Some(reply) = reply {
                     return Ok((reply.score * 1_000.0).round() as i64);
                 }
-                log::warn!("the score of {} cannot be read", job.request_id());
-                return Err(give_back());
+                log::warn!("the score of run {} cannot be parsed", job.request_id());
+                return Err(failed());
             }
             Ok(answer) => {
-                log::warn!("the scorer answered {} for {}", answer.status, job.request_id());
+                log::warn!(
+                    "the scorer answered with status {} for run {}",
+                    answer.status,
+                    job.request_id()
+                );
             }
             Err(refusal) if refusal.verdict == Verdict::NotRun => {}
             Err(_) if is_idempotent(shared, &job.scorer) => {}
             Err(refusal) => {
-                log::warn!("the score of {} is unsettled: {}", job.request_id(), refusal.message);
-                return Err(give_back());
+                log::warn!(
+                    "it is unknown whether run {} was scored: {}",
+                    job.request_id(),
+                    refusal.message
+                );
+                return Err(failed());
             }
         }
-        tell_owner(events, RunEvent::Alive).await.map_err(|_gone| give_back())?;
-        tokio::time::sleep(SCORE_RETRY).await;
+        send_to_owner(events, RunEvent::Alive).await.map_err(|_gone| failed())?;
+        tokio::time::sleep(SCORE_RETRY_DELAY).await;
     }
-    Err(give_back())
+    Err(failed())
 }
 
 fn is_idempotent(shared: &Shared, scorer: &Name) -> bool {
--- a/crates/node/src/edge/store.rs
+++ b/crates/node/src/edge/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the key-value service, each counted under the duty it is made for.
+//! Calls of the key-value service, each counted in the metrics under its purpose.
 
 use crate::control::Input;
 use crate::shared::Shared;
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest value of one part of a stored step; the service holds a megabyte.
+/// Maximum size of one part of a stored step; the service accepts values of up to a megabyte.
 const STEP_PART_MAX_BYTES: usize = 700_000;
-/// How long one watch of the configuration's head waits.
+/// How long one watch request for the configuration's head waits.
 const WATCH_WAIT_MS: u64 = 10_000;
 
 pub(crate) fn lease_key(trainer: &Name) -> String {
@@ -27,14 +27,15 @@
     format!("trainer/{trainer}/step/{step}/{digest}/{part:04}")
 }
 
-/// Reads the configuration's head.
+/// Reads the configuration's head and its version. A head that cannot be parsed counts as absent.
 pub(crate) async fn read_head(shared: &Shared) -> Result<Option<(Head, u64)>, StoreError> {
     shared.metrics.count_kv_call("config");
     let entry = shared.clients.store.get(HEAD_KEY).await?;
     Ok(entry.and_then(|entry| Some((serde_json::from_str(&entry.value).ok()?, entry.version))))
 }
 
-/// Waits for a newer head of the configuration.
+/// Waits for a head of the configuration that is newer than `after_version`; returns `None` if none
+/// appears in time.
 pub(crate) async fn watch_head(
     shared: &Shared,
     after_version: u64,
@@ -45,22 +46,22 @@
     Ok(newest.and_then(|entry| Some((serde_json::from_str(&entry.value).ok()?, entry.version))))
 }
 
-/// Reads a document by its digest; a value that does not fit the digest is no document.
+/// Reads a document by its digest; returns `None` if the stored text does not match the digest.
 pub(crate) async fn read_body(shared: &Shared, digest: Digest) -> Option<String> {
     shared.metrics.count_kv_call("config");
     let entry = shared.clients.store.get(&body_key(digest)).await.ok().flatten()?;
     (Digest::of(&entry.value) == digest).then_some(entry.value)
 }
 
-/// Reads the platform's list of instances and tells the control thread.
+/// Reads the platform's list of instances and passes it to the control thread.
 pub(crate) async fn read_instances(shared: Arc<Shared>) {
     match shared.clients.store.instances().await {
         Ok(instances) => shared.send_input(Input::Instances(instances)),
-        Err(error) => log::debug!("the list of instances cannot be read: {error}"),
+        Err(error) => log::debug!("cannot read the platform's list of instances: {error}"),
     }
 }
 
-/// Takes a trainer's lease.
+/// Tries to take a trainer's lease, and reports the result.
 pub(crate) async fn take_lease(shared: Arc<Shared>, trainer: Name) {
     shared.metrics.count_kv_call("lease");
     let granted = shared.clients.store.grant(TTL_MS).await;
@@ -80,7 +81,7 @@
     if report == Report::Refused
         && let Err(error) = shared.clients.store.revoke(lease).await
     {
-        log::debug!("an unused lease is left to lapse: {error}");
+        log::debug!("cannot revoke an unused lease, which will expire: {error}");
     }
     shared.send_input(Input::Lease { lease: Some(lease), report, trainer });
 }
@@ -109,11 +110,11 @@
     shared.send_input(Input::Lease { lease: Some(lease), report, trainer });
 }
 
-/// Gives a trainer's lease up.
+/// Releases a trainer's lease.
 pub(crate) async fn release_lease(shared: Arc<Shared>, lease: LeaseId) {
     shared.metrics.count_kv_call("lease");
     if let Err(error) = shared.clients.store.revoke(lease).await {
-        log::info!("a lease is left to lapse by itself: {error}");
+        log::info!("cannot release a lease, which will expire: {error}");
     }
 }
 
@@ -125,8 +126,8 @@
         Ok(Some(entry)) => match serde_json::from_str::<Ledger>(&entry.value) {
             Ok(ledger) => Event::LedgerRead(Some((Box::new(ledger), entry.version))),
             Err(error) => {
-                // Never written over: an operator has to look at it.
-                log::error!("the ledger of trainer {trainer} cannot be read: {error}");
+                // Never overwritten: an operator has to inspect it.
+                log::error!("the ledger of trainer {trainer} cannot be parsed: {error}");
                 Event::LedgerUnknown
             }
         },
@@ -149,14 +150,15 @@
         Ok(version) => Event::LedgerWritten { version },
         Err(StoreError::Conflict { .. }) => Event::LedgerConflict,
         Err(error) => {
-            log::info!("the ledger of trainer {trainer} may be unwritten: {error}");
+            log::info!("the ledger of trainer {trainer} may not have been written: {error}");
             Event::LedgerUnknown
         }
     };
     shared.send_input(Input::Rollout { event, trainer });
 }
 
-/// Stores a step's content in parts; the digest in the keys makes a repetition harmless.
+/// Stores a step's content in parts. The keys contain the content's digest, so that a repetition
+/// writes the same values.
 pub(crate) async fn store_step(
     shared: Arc<Shared>,
     trainer: Name,
@@ -176,12 +178,12 @@
     shared.send_input(Input::Rollout { event: Event::StepStored { step, stored }, trainer });
 }
 
-/// Cuts a text into parts of at most `most` bytes, between characters.
-fn split_text(text: &str, most: usize) -> Vec<&str> {
+/// Splits a text into parts of at most `max_bytes`, at character boundaries.
+fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = text;
-    while rest.len() > most {
-        let cut = (0..=most).rev().find(|at| rest.is_char_boundary(*at)).unwrap_or(most);
+    while rest.len() > max_bytes {
+        let cut = (0..=max_bytes).rev().find(|at| rest.is_char_boundary(*at)).unwrap_or(max_bytes);
         let (part, tail) = rest.split_at(cut);
         parts.push(part);
         rest = tail;
@@ -190,7 +192,7 @@
     parts
 }
 
-/// Reads a stored step back.
+/// Reads a stored step.
 pub(crate) async fn load_step(shared: Arc<Shared>, trainer: Name, step: u64, digest: String) {
     shared.metrics.count_kv_call("step");
     let prefix = format!("trainer/{trainer}/step/{step}/{digest}/");
@@ -202,7 +204,8 @@
         Err(_) => None,
     };
     if spec.is_none() {
-        // Asked again by the aggregate: not in a tight loop while the service is away.
+        // The state machine requests the step again at once, which would be a busy loop while the
+        // service is unavailable.
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     shared.send_input(Input::Rollout { event: Event::StepLoaded { spec, step }, trainer });
