--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -11,8 +11,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// The wall clock must be ahead by more than this to count as a pause; smaller differences come from
-/// a time service that slews the clock.
+/// The wall clock must be ahead by more than this to count as a pause; smaller differences come
+/// from a time service that slews the clock.
 const PAUSE_MIN_MS: u64 = 500;
 
 /// A clock that never goes back.
@@ -31,8 +31,8 @@
         self.at(self.started.elapsed().as_millis() as u64, UnixMs::from_wall_clock())
     }
 
-    /// Returns the time for a monotonic clock that has advanced by `elapsed_ms` since the start and a
-    /// wall clock that shows `wall`.
+    /// Returns the time for a monotonic clock that has advanced by `elapsed_ms` since the start and
+    /// a wall clock that shows `wall`.
     fn at(&self, elapsed_ms: u64, wall: UnixMs) -> UnixMs {
         let offset_ms = self.offset_ms.load(Ordering::Relaxed);
         if wall.since_ms(UnixMs(offset_ms + elapsed_ms)) <= PAUSE_MIN_MS {
--- a/crates/node/src/control/configuration.rs
+++ b/crates/node/src/control/configuration.rs
@@ -37,8 +37,8 @@
 
     /// Returns the configuration in force, if it may be used to serve traffic.
     ///
-    /// A document that may be older than the one in force when this node started is used neither for
-    /// callers nor for peers that ask during an outage which revision is in force.
+    /// A document that may be older than the one in force when this node started is used neither
+    /// for callers nor for peers that ask during an outage which revision is in force.
     pub(crate) fn served(&self) -> Option<Arc<InForce>> {
         self.in_force.clone().filter(|_| self.follower.may_serve())
     }
@@ -92,7 +92,7 @@
     fn some_peers(&self) -> Vec<SocketAddr> {
         let live = self.membership.peers().filter(|node| node.state == NodeState::Live);
         let mut peers: Vec<_> = live.map(|node| node.control).collect();
-        // Start elsewhere each time: the peers asked last may not have the body yet.
+        // Start elsewhere each time: the peers queried last time may not have the body yet.
         let offset = self.shared.now().0 as usize;
         if !peers.is_empty() {
             let start = offset % peers.len();
--- a/crates/node/src/control/duties.rs
+++ b/crates/node/src/control/duties.rs
@@ -1,8 +1,8 @@
 //! Selects the node that should take a duty, a job that one node does for all nodes under a lease.
 //!
-//! Nodes are ranked by hash, so that all nodes that see the same fleet agree. The rank is only a hint
-//! that keeps most nodes from requesting the lease; the lease in the key-value service is what makes
-//! a duty exclusive.
+//! Nodes are ranked by hash, so that all nodes that see the same fleet agree. The rank is only a
+//! hint that keeps most nodes from requesting the lease; the lease in the key-value service is what
+//! makes a duty exclusive.
 
 use catkinmast_member::{NodeFact, NodeState};
 use catkinmast_model::Name;
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! It handles [`Input`]s one at a time: it passes each to the state machines, starts tasks on the
 //! traffic threads for the effects they request, and publishes a new [`Snapshot`] if something has
-//! changed. It never waits for the network, so that an unresponsive key-value service or a slow peer
-//! cannot delay the probes of the failure detector.
+//! changed. It never waits for the network, so that an unresponsive key-value service or a slow
+//! peer cannot delay the probes of the failure detector.
 
 pub(crate) mod configuration;
 mod duties;
@@ -138,8 +138,8 @@
                     return;
                 }
                 Ok(input) => {
-                    // After a pause of the process, expired leases must be noticed before inputs are
-                    // handled that arrived during the pause.
+                    // After a pause of the process, expired leases must be noticed before inputs
+                    // are handled that arrived during the pause.
                     self.check_leases(self.shared.now());
                     self.handle_input(self.shared.now(), input);
                 }
--- a/crates/node/src/control/trainers.rs
+++ b/crates/node/src/control/trainers.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Adds duties for new trainers, removes those of trainers that the configuration no longer lists,
-    /// and updates the others.
+    /// Adds duties for new trainers, removes those of trainers that the configuration no longer
+    /// lists, and updates the others.
     fn apply_configuration(&mut self) {
         let Some(in_force) = self.configuration.in_force() else { return };
         let document = &in_force.document;
@@ -256,8 +256,8 @@
         self.observe(now, Fact::Owner(owner));
     }
 
-    /// Handles another node's fact that it owns a trainer: abandons the trainer if the fact's fencing
-    /// number is higher than this node's.
+    /// Handles another node's fact that it owns a trainer: abandons the trainer if the fact's
+    /// fencing number is higher than this node's.
     pub(crate) fn owner_announced(&mut self, owner: &OwnerFact) {
         let me = self.membership.me();
         if owner.node == me.name && owner.incarnation == me.incarnation {
@@ -295,7 +295,8 @@
         }
     }
 
-    /// Passes a trainer's command to its state machine, or refuses it if this node is not the owner.
+    /// Passes a trainer's command to its state machine, or refuses it if this node is not the
+    /// owner.
     pub(crate) fn trainer_command(
         &mut self,
         now: UnixMs,
--- a/crates/node/src/edge/calls.rs
+++ b/crates/node/src/edge/calls.rs
@@ -1,10 +1,10 @@
 //! Calls of plain services: admission, choice of a target, sending, verdict and retries.
 //!
-//! The verdict of a failed call depends on how far the request got. If no connection was established,
-//! nothing was sent and the verdict is `NotRun`; likewise if the target refuses with the header
-//! `Catkinmast-Verdict: not_run`. After any other failure the call may have run. Calls that may not
-//! be repeated use a client that opens a new connection for each call and never retries by itself,
-//! so that a failure to connect proves that nothing was sent.
+//! The verdict of a failed call depends on how far the request got. If no connection was
+//! established, nothing was sent and the verdict is `NotRun`; likewise if the target refuses with
+//! the header `Catkinmast-Verdict: not_run`. After any other failure the call may have run. Calls
+//! that may not be repeated use a client that opens a new connection for each call and never
+//! retries by itself, so that a failure to connect proves that nothing was sent.
 
 use crate::control::Input;
 use crate::metrics::CallLabels;
@@ -459,8 +459,8 @@
 
 /// Reads an answer of up to `max_bytes` into memory; a longer one of known length is streamed.
 ///
-/// If the source of a streamed body of unknown length breaks off, the web framework ends the body as
-/// if it were complete. A body of unknown length is therefore never streamed.
+/// If the source of a streamed body of unknown length breaks off, the web framework ends the body
+/// as if it were complete. A body of unknown length is therefore never streamed.
 async fn read_answer(
     response: reqwest::Response,
     max_bytes: u64,
--- a/crates/node/src/edge/content.rs
+++ b/crates/node/src/edge/content.rs
@@ -14,9 +14,9 @@
 /// Copies content that this node holds to one more node, and returns that node's name.
 ///
 /// Nodes in other data centres are preferred, since a rack or a data centre that fails would take a
-/// nearby copy with the original. Among these, nodes are ordered by their rank for the sample, which
-/// spreads copies evenly without coordination. Returns `None` if the content is not held here or no
-/// node stored the copy.
+/// nearby copy with the original. Among these, nodes are ordered by their rank for the sample,
+/// which spreads copies evenly without coordination. Returns `None` if the content is not held here
+/// or no node stored the copy.
 pub(crate) async fn copy_to_another_node(
     shared: &Shared,
     key: &ContentKey,
@@ -43,7 +43,7 @@
         match call_peer(shared, candidate.control, &request).await {
             Ok(PeerReply::Stored(true)) => return Some(candidate.name.clone()),
             Ok(_) => {
-                log::warn!("node {} did not store a copy of sample {}", candidate.name, key.sample)
+                log::warn!("node {} did not store a copy of sample {}", candidate.name, key.sample);
             }
             Err(error) => {
                 log::info!("cannot copy sample {} to node {}: {error}", key.sample, candidate.name);
--- a/crates/node/src/edge/holdings.rs
+++ b/crates/node/src/edge/holdings.rs
@@ -1,8 +1,9 @@
 //! In-memory store of samples' tokens: those of this node's runs, and copies for other runners.
 //!
-//! The store is bounded in bytes. A full store refuses new content, and the runner looks for another
-//! holder; existing content is not evicted, since a batch may refer to it. Content that has not been
-//! requested for [`RETENTION_MS`] belongs to a trainer that no longer exists, and is dropped.
+//! The store is bounded in bytes. A full store refuses new content, and the runner looks for
+//! another holder; existing content is not evicted, since a batch may refer to it. Content that has
+//! not been requested for [`RETENTION_MS`] belongs to a trainer that no longer exists, and is
+//! dropped.
 
 use catkinmast_model::{Name, SampleId, Segments, UnixMs};
 use catkinmast_rollout::{Attempt, HoldingReport};
--- a/crates/node/src/edge/publish.rs
+++ b/crates/node/src/edge/publish.rs
@@ -82,8 +82,8 @@
     write(shared, author, request, &head, version, &text).await
 }
 
-/// Returns the text to put in force: the request's own, or its merge with the changes made since its
-/// base.
+/// Returns the text to put in force: the request's own, or its merge with the changes made since
+/// its base.
 async fn resolve_base(
     shared: &Shared,
     head: &Head,
@@ -162,8 +162,8 @@
     outcome_unknown(request)
 }
 
-/// Reports the head to the control thread, so that this node follows at once. Other nodes receive the
-/// change from the watchers and from this node.
+/// Reports the head to the control thread, so that this node follows at once. Other nodes receive
+/// the change from the watchers and from this node.
 fn report_head(shared: &Shared, head: &Head, version: u64) {
     let head = observed_head(Some((head.clone(), version)));
     shared.send_input(Input::ConfigEvent(FollowerEvent::HeadRead(head)));
--- a/crates/node/src/edge/runner.rs
+++ b/crates/node/src/edge/runner.rs
@@ -1,7 +1,7 @@
 //! Runs of single samples: streaming from an engine, scoring and copying.
 //!
-//! The runner is the node that runs a sample and holds its tokens. It reports to the owner only what
-//! the owner decides by: the weight versions of the tokens so far, and the end of the run. The
+//! The runner is the node that runs a sample and holds its tokens. It reports to the owner only
+//! what the owner decides by: the weight versions of the tokens so far, and the end of the run. The
 //! tokens of a run that fails stay on the runner, so that the next attempt can resume from them.
 
 use crate::control::Input;
@@ -294,7 +294,8 @@
 }
 
 impl LastReport {
-    /// Returns whether to report again: at once for a new weight version, otherwise every `interval_ms`.
+    /// Returns whether to report again: at once for a new weight version, otherwise every
+    /// `interval_ms`.
     fn is_outdated(&self, content: &Content, interval_ms: u64) -> bool {
         content.segments.as_slice().len() != self.segments
             || self.at.elapsed() >= Duration::from_millis(interval_ms)
@@ -318,8 +319,8 @@
 /// Scores a complete sample; returns the score in thousandths.
 ///
 /// A scoring call that did not run or that may be repeated is retried a limited number of times. A
-/// call that may have run and may not be repeated is not sent again for the same tokens. Instead the
-/// run fails, and a new attempt generates new tokens, which are scored by a call of their own.
+/// call that may have run and may not be repeated is not sent again for the same tokens. Instead
+/// the run fails, and a new attempt generates new tokens, which are scored by a call of their own.
 async fn score(
     shared: &Arc<Shared>,
     job: &RunJob,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -73,8 +73,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound, or the HTTP client, the HTTP server or a thread cannot be
-    /// started.
+    /// Fails if an address cannot be bound, or the HTTP client, the HTTP server or a thread cannot
+    /// be started.
     pub async fn spawn(settings: Settings) -> Result<Self, NodeError> {
         let (socket, listener) = bind_control(settings.control).await?;
         let control = socket.local_addr().map_err(start_error("control address"))?;
@@ -145,10 +145,10 @@
 
     /// Drains the node and stops it.
     ///
-    /// Answers to address lookups no longer name the node from the start of the drain. The node goes
-    /// on serving until every earlier answer that names it has expired and its last request has
-    /// ended. The configuration's `drain_deadline_ms` bounds the wait; requests and runs that are
-    /// still in progress then are aborted and counted in the report.
+    /// Answers to address lookups no longer name the node from the start of the drain. The node
+    /// goes on serving until every earlier answer that names it has expired and its last request
+    /// has ended. The configuration's `drain_deadline_ms` bounds the wait; requests and runs that
+    /// are still in progress then are aborted and counted in the report.
     pub async fn drain(mut self) -> DrainReport {
         self.shared.send_input(Input::Leave);
         let deadline_ms =
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -56,8 +56,8 @@
 pub(crate) struct Clients {
     pub engines: EngineClient,
     /// Opens a new connection for each call and never retries by itself, for calls that may not be
-    /// repeated. A pooled connection can break while the request is written, which leaves it unknown
-    /// whether the target read the request.
+    /// repeated. A pooled connection can break while the request is written, which leaves it
+    /// unknown whether the target read the request.
     pub unpooled: reqwest::Client,
     /// Reuses connections, for calls that may be repeated.
     pub pooled: reqwest::Client,
@@ -165,7 +165,8 @@
 impl Shared {
     /// Returns the time of this node's own clock, which never goes back.
     ///
-    /// For times that others store, such as the expiry of addresses and tickets, use the wall clock.
+    /// For times that others store, such as the expiry of addresses and tickets, use the wall
+    /// clock.
     pub(crate) fn now(&self) -> UnixMs {
         self.clock.now()
     }
@@ -187,8 +188,9 @@
 
     /// Decodes a datagram and passes it to the control thread.
     ///
-    /// Invalid datagrams are counted and dropped here, on the receiving thread, and the queue of valid
-    /// ones is bounded. A flood of datagrams thus costs neither memory nor the control thread's time.
+    /// Invalid datagrams are counted and dropped here, on the receiving thread, and the queue of
+    /// valid ones is bounded. A flood of datagrams thus costs neither memory nor the control
+    /// thread's time.
     pub(crate) fn receive_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         self.metrics.control_received_bytes.inc_by(bytes.len() as u64);
         let opened = open(&self.settings.shared_key, bytes, DATAGRAM_MAX_BYTES);
--- a/crates/node/src/snapshot.rs
+++ b/crates/node/src/snapshot.rs
@@ -29,8 +29,8 @@
     pub owners: IndexMap<Name, OwnerFact>,
     pub ready: bool,
     pub targets: IndexMap<Name, TargetFact>,
-    /// The live targets of each plain service that this node uses. They are a stable subset, so that
-    /// with hundreds of nodes no target receives connections from all of them.
+    /// The live targets of each plain service that this node uses. They are a stable subset, so
+    /// that with hundreds of nodes no target receives connections from all of them.
     pub services: IndexMap<Name, Vec<Name>>,
     /// All live engines of each model.
     pub models: IndexMap<Name, Vec<Name>>,
