--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input: no panic, bounded memory, a clear error, nothing lost.
+//! Parsers of untrusted input: arbitrary input gives a precise error, never a panic; valid input
+//! round-trips.
 
 use catkinmast_config::Document;
 use catkinmast_member::Message;
@@ -23,12 +24,12 @@
     })]
 
     #[test]
-    fn any_bytes_are_a_frame_of_ours_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
+    fn arbitrary_bytes_are_no_valid_frame(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
         prop_assert!(open::<Message>(&key(), &bytes, DATAGRAM_MAX_BYTES).is_err());
     }
 
     #[test]
-    fn a_frame_is_read_as_it_was_written(buckets in prop::collection::vec(any::<u64>(), 0..64)) {
+    fn a_frame_round_trips(buckets in prop::collection::vec(any::<u64>(), 0..64)) {
         let frame = seal(&key(), &pull(buckets.clone()), DATAGRAM_MAX_BYTES).expect("it fits");
         prop_assert_eq!(open::<Message>(&key(), &frame, DATAGRAM_MAX_BYTES), Ok(pull(buckets)));
     }
@@ -46,18 +47,18 @@
     }
 
     #[test]
-    fn any_text_is_a_selector_or_an_error_that_names_its_place(text in "\\PC{0,80}") {
+    fn any_text_is_a_selector_or_an_error_with_an_offset_in_the_text(text in "\\PC{0,80}") {
         match text.parse::<Selector>() {
             Ok(selector) => {
                 prop_assert_eq!(selector.as_str(), text.as_str());
-                let _decided = selector.matches(&Labels::default());
+                let _matches = selector.matches(&Labels::default());
             }
             Err(error) => prop_assert!(error.offset_bytes <= text.len()),
         }
     }
 
     #[test]
-    fn a_selector_of_equal_terms_matches_just_those_labels(
+    fn a_selector_of_equalities_requires_each_label_value(
         pairs in prop::collection::btree_map("[a-z]{1,6}", "[a-z0-9]{1,6}", 1..5),
     ) {
         let terms: Vec<String> = pairs.iter().map(|(key, value)| format!("{key}={value}")).collect();
@@ -69,7 +70,7 @@
     }
 
     #[test]
-    fn any_text_is_a_document_or_faults_with_lines_that_exist(text in "[a-z\\[\\]={}\"0-9,. \n-]{0,300}") {
+    fn any_text_is_a_document_or_faults_with_existing_lines(text in "[a-z\\[\\]={}\"0-9,. \n-]{0,300}") {
         if let Err(faults) = Document::parse(&text) {
             let lines = text.lines().count() + 1;
             prop_assert!(!faults.0.is_empty());
@@ -78,35 +79,36 @@
     }
 
     #[test]
-    fn a_ticket_is_read_as_it_is_shown(text in "[a-z:0-9-]{0,60}") {
+    fn a_ticket_round_trips_through_text(text in "[a-z:0-9-]{0,60}") {
         if let Ok(ticket) = text.parse::<Ticket>() {
             prop_assert_eq!(ticket.to_string().parse::<Ticket>(), Ok(ticket));
         }
     }
 
     #[test]
-    fn a_name_never_holds_what_would_need_escaping(text in "\\PC{0,70}") {
+    fn a_name_has_no_characters_that_need_escaping(text in "\\PC{0,70}") {
         if let Ok(name) = text.parse::<Name>() {
             prop_assert!(!name.as_str().contains(['/', ':', ' ', '%', '?', '#']));
         }
     }
 }
 
-/// Symptom: a peer that announces four gigabytes takes the node's memory.
+// Guards against a node that runs out of memory: a peer sends a length prefix of 4 GiB, and the
+// node allocates a buffer of that size.
 #[test]
-fn an_announced_length_over_the_cap_is_refused_before_memory_is_taken() {
-    let announced = parse_length_prefix(u32::MAX.to_be_bytes());
-    assert!(matches!(announced, Err(FrameError::TooLarge { .. })), "{announced:?}");
+fn a_length_prefix_over_the_limit_is_refused_before_allocation() {
+    let parsed = parse_length_prefix(u32::MAX.to_be_bytes());
+    assert!(matches!(parsed, Err(FrameError::TooLarge { .. })), "{parsed:?}");
 }
 
-/// Symptom: a node of another deployment joins this one.
+// Guards against a node that accepts frames from another deployment or of an unknown format.
 #[test]
-fn a_frame_under_another_key_or_of_another_format_is_refused() {
+fn a_frame_with_another_key_or_format_version_is_refused() {
     let frame = seal(&key(), &pull(vec![1]), DATAGRAM_MAX_BYTES).expect("it fits");
     let other = SharedKey::derive("the key of somebody else");
     assert_eq!(open::<Message>(&other, &frame, DATAGRAM_MAX_BYTES), Err(FrameError::Tag));
-    let mut newer = frame;
-    newer[0] = 2;
-    let refused = open::<Message>(&key(), &newer, DATAGRAM_MAX_BYTES);
+    let mut newer_version = frame;
+    newer_version[0] = 2;
+    let refused = open::<Message>(&key(), &newer_version, DATAGRAM_MAX_BYTES);
     assert_eq!(refused, Err(FrameError::Version { found: 2 }));
 }
--- a/tests/all/processes/mod.rs
+++ b/tests/all/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Promises of the brief, proved with separate processes.
+//! End-to-end tests with nodes, targets and the platform stand-in as separate processes.
 
 mod bad_requests;
 mod broken_network;
--- a/tests/all/support/fleet.rs
+++ b/tests/all/support/fleet.rs
@@ -1,7 +1,7 @@
-//! The shipped binaries as separate processes, with stand-ins around them.
+//! Runs the shipped binaries as separate processes, with stand-ins for the platform and targets.
 //!
-//! Waits here poll until a condition holds; the limit only guards against a hang and decides no
-//! verdict on a machine that is merely slow.
+//! Waits poll until a condition holds. Their time limit only detects hangs: it is long enough that
+//! no test fails merely because the machine is slow.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -9,19 +9,19 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a condition may take to come about before a test counts as hung.
-const HUNG_AFTER: Duration = Duration::from_mins(1);
-/// The token of the test's caller.
+/// How long a condition may take before a test is considered hung.
+const HANG_TIMEOUT: Duration = Duration::from_mins(1);
+/// Token with the role of a caller.
 pub(crate) const CALLER: &str = "caller-secret";
-/// The token of the test's operator.
+/// Token with the role of an operator.
 pub(crate) const OPERATOR: &str = "operator-secret";
-/// The token of the test's trainer.
+/// Token of the trainer `citation-trainer`.
 pub(crate) const TRAINER: &str = "trainer-secret";
 
-/// A started process; it is killed when the test ends.
+/// A child process that is killed on drop.
 pub(crate) struct Process {
     child: Child,
-    /// The first line that it printed.
+    /// The first line that the process printed.
     pub(crate) first_line: String,
 }
 
@@ -39,26 +39,26 @@
         Self { child, first_line: first_line.trim().to_owned() }
     }
 
-    /// Sends a signal by name, e.g. `KILL`, `STOP`, `CONT` or `TERM`.
+    /// Sends a signal by name: `KILL`, `STOP`, `CONT` or `TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &pid]).status();
         assert!(status.expect("kill runs").success(), "signal {name} to {pid}");
     }
 
-    /// Tells whether the process still runs.
+    /// Returns whether the process is still running.
     pub(crate) fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("the process can be asked").is_none()
     }
 
     /// Waits for the process to end and returns its exit code.
     pub(crate) fn exit_code(&mut self) -> Option<i32> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("the process can be waited for") {
                 return status.code();
             }
-            assert!(began.elapsed() < HUNG_AFTER, "the process did not end");
+            assert!(started_at.elapsed() < HANG_TIMEOUT, "the process did not exit");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Starts a stand-in and returns it with its address.
+/// Starts a stand-in and returns its process and address.
 pub(crate) fn start_standin(arguments: &[&str]) -> (Process, SocketAddr) {
     let arguments: Vec<String> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
     let process = Process::start(env!("CARGO_BIN_EXE_catkinmast-standin"), &arguments);
@@ -79,7 +79,7 @@
     (process, address)
 }
 
-/// A node's process and addresses.
+/// The process and addresses of a node.
 pub(crate) struct NodeProcess {
     pub(crate) control: SocketAddr,
     pub(crate) http: SocketAddr,
@@ -87,14 +87,14 @@
     pub(crate) process: Process,
 }
 
-/// The sizes of a fleet.
+/// Number of processes of each kind in a fleet.
 pub(crate) struct FleetSize {
     pub(crate) engines: u32,
     pub(crate) nodes: u32,
     pub(crate) services: u32,
 }
 
-/// Entry nodes and stand-ins, all separate processes.
+/// Nodes and stand-ins, each a separate process.
 pub(crate) struct Fleet {
     pub(crate) client: reqwest::Client,
     pub(crate) engines: Vec<(Process, SocketAddr)>,
@@ -104,18 +104,18 @@
     _platform_process: Process,
 }
 
-/// The configuration that the fleets of the tests begin with.
+/// Returns the initial configuration document of a fleet.
 pub(crate) fn document() -> String {
     include_str!("fleet.toml").to_owned()
 }
 
 impl Fleet {
-    /// Starts a fleet, puts the configuration in force, and waits until every node knows it.
+    /// Starts a fleet, applies the initial configuration, and waits until every node is ready.
     pub(crate) async fn start(size: &FleetSize) -> Self {
         Self::start_with(size, &["--tick-ms", "5"], &[]).await
     }
 
-    /// Starts a fleet whose engines and services get further arguments.
+    /// Starts a fleet with additional arguments for its engines and services.
     pub(crate) async fn start_with(size: &FleetSize, engine: &[&str], service: &[&str]) -> Self {
         let (platform_process, platform) = start_standin(&["platform", "--list-lag-ms", "100"]);
         let mut fleet = Self {
@@ -148,7 +148,7 @@
         fleet
     }
 
-    /// Puts the tests' configuration in force through the first node.
+    /// Applies the initial configuration through the first node.
     async fn apply_initial_document(&self) {
         let body = json!({ "base_revision": 0, "operation_id": "first", "text": document() });
         self.poll_until("the first configuration is accepted", async || {
@@ -158,26 +158,26 @@
         .await;
     }
 
-    /// Waits until every node is ready, knows all targets, and all nodes.
+    /// Waits until every node is ready and lists all targets and nodes.
     async fn wait_ready(&self, targets: &usize) {
         for node in 0..self.nodes.len() {
             self.poll_until("the node is ready", async || {
                 let status = self.status(node).await;
                 let count = |list: &str| status[list].as_array().map_or(0, Vec::len);
-                let whole = count("targets") == *targets && count("nodes") == self.nodes.len();
-                (status["ready"] == true && whole).then_some(())
+                let complete = count("targets") == *targets && count("nodes") == self.nodes.len();
+                (status["ready"] == true && complete).then_some(())
             })
             .await;
         }
     }
 
-    /// Starts one more node, at addresses of its own.
+    /// Starts a node at free ports.
     pub(crate) fn start_node(&mut self, number: u32) {
         let loopback = "127.0.0.1:0";
         self.start_node_at(number, loopback, loopback);
     }
 
-    /// Kills a node and starts another process under its name and at its addresses.
+    /// Kills a node and starts a new process with the same name and addresses.
     pub(crate) fn replace_node(&mut self, node: usize) {
         let mut killed = self.nodes.remove(node);
         killed.process.signal("KILL");
@@ -189,16 +189,16 @@
     }
 
     fn start_node_at(&mut self, number: u32, http: &str, control: &str) {
-        let place = ["salle-a", "salle-b", "salle-c"][number as usize % 3];
+        let data_centre = ["salle-a", "salle-b", "salle-c"][number as usize % 3];
         let peers: Vec<String> = self.nodes.iter().map(|node| node.control.to_string()).collect();
         let name = format!("entry-{number}");
         let tokens = format!(
             "caller:app={CALLER},operator:alice={OPERATOR},trainer:citation-trainer={TRAINER}"
         );
         let platform = self.platform.to_string();
-        let pairs = [
+        let options = [
             ("--name", name.as_str()),
-            ("--data-centre", place),
+            ("--data-centre", data_centre),
             ("--http", http),
             ("--control", control),
             ("--peers", &peers.join(",")),
@@ -206,19 +206,20 @@
             ("--shared-key", "a shared key of the tests"),
             ("--tokens", &tokens),
         ];
-        let arguments: Vec<String> = pairs
+        let arguments: Vec<String> = options
             .iter()
             .flat_map(|(flag, value)| [(*flag).to_owned(), (*value).to_owned()])
             .collect();
         let process = Process::start(env!("CARGO_BIN_EXE_catkinmast-node"), &arguments);
-        let line: Value = serde_json::from_str(&process.first_line).expect("a line of addresses");
-        let address = |field: &str| line[field].as_str().and_then(|text| text.parse().ok());
+        let addresses: Value =
+            serde_json::from_str(&process.first_line).expect("a line of addresses");
+        let address = |field: &str| addresses[field].as_str().and_then(|text| text.parse().ok());
         let control = address("control").expect("the control address");
         let http = address("http").expect("the HTTP address");
         self.nodes.push(NodeProcess { control, http, name, process });
     }
 
-    /// Lets the platform list an instance.
+    /// Adds or updates an instance in the platform's list.
     pub(crate) async fn set_instance(
         &self,
         name: &str,
@@ -241,26 +242,26 @@
         assert!(sent.expect("the platform answers").status().is_success());
     }
 
-    /// Switches faults of the platform on or off.
+    /// Sets the faults that the platform stand-in simulates; faults not given are switched off.
     pub(crate) async fn set_platform_faults(&self, faults: &Value) {
         let url = format!("http://{}/faults", self.platform);
         let sent = self.client.post(url).json(faults).send().await;
         assert!(sent.expect("the platform answers").status().is_success());
     }
 
-    /// Polls until `look` finds something.
-    pub(crate) async fn poll_until<T>(&self, what: &str, look: impl AsyncFn() -> Option<T>) -> T {
-        let began = Instant::now();
+    /// Polls until `probe` returns a value, and returns it; fails the test after a time limit.
+    pub(crate) async fn poll_until<T>(&self, what: &str, probe: impl AsyncFn() -> Option<T>) -> T {
+        let started_at = Instant::now();
         loop {
-            if let Some(found) = look().await {
+            if let Some(found) = probe().await {
                 return found;
             }
-            assert!(began.elapsed() < HUNG_AFTER, "hung: {what}");
+            assert!(started_at.elapsed() < HANG_TIMEOUT, "timed out waiting until {what}");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Sends a request and returns status and body; status 0 means that it was not answered.
+    /// Sends a request and returns the status and body of the answer, status 0 if there is none.
     pub(crate) async fn send(
         &self,
         method: &str,
@@ -278,7 +279,7 @@
         (status, response.text().await.unwrap_or_default())
     }
 
-    /// Sends an operator's request to a node.
+    /// Sends a request to a node with the operator's token.
     pub(crate) async fn send_as_operator(
         &self,
         method: &str,
@@ -296,7 +297,7 @@
         self.send_as_operator("GET", node, "/v1/status", None).await.1
     }
 
-    /// Returns the place, among the started nodes, of the node that owns the trainer.
+    /// Waits until a node owns the trainer, as the node `asked` sees it, and returns its index.
     pub(crate) async fn owner_index(&self, asked: usize) -> usize {
         self.poll_until("some node owns the trainer", async || {
             let status = self.status(asked).await;
@@ -306,7 +307,7 @@
         .await
     }
 
-    /// Returns how often the services ran each body at a path, by their own records.
+    /// Returns how often the services have run a call with this path and body.
     pub(crate) async fn count_runs(&self, path: &str, body: &str) -> usize {
         let mut count = 0;
         for (_, address) in &self.services {
@@ -330,7 +331,7 @@
         entry.expect("the node itself")["ticket_prefix"].as_str().expect("a prefix").to_owned()
     }
 
-    /// Calls a service with a ticket and returns status and body.
+    /// Calls a service, with a ticket if given, and returns the status and body of the answer.
     pub(crate) async fn call(
         &self,
         node: usize,
@@ -355,7 +356,7 @@
     }
 }
 
-/// Returns the verdict of a refusal's body.
+/// Returns the verdict in an error body, empty if there is none.
 pub(crate) fn verdict(body: &str) -> String {
     let problem: Value = serde_json::from_str(body).unwrap_or_default();
     problem["verdict"].as_str().unwrap_or_default().to_owned()
--- a/tests/all/support/mod.rs
+++ b/tests/all/support/mod.rs
@@ -1,3 +1,3 @@
-//! Fixtures that several areas share.
+//! Test fixtures shared by several modules.
 
 pub(crate) mod fleet;
