--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -1,22 +1,22 @@
 //! The command line of the benchmarks.
 
-use crate::capacity::{counted, table, timed};
+use crate::capacity::{count_figures, markdown_table, time_events};
 use crate::plot;
 use crate::policy::{
-    Deployment, OWNER_CRASHES, RECOVERIES, Row, SCHEDULES, SLOW_ENGINE, SWAPS, Variant, WEIGHTS,
-    run_variant, step_bound_ms,
+    Deployment, OWNER_CRASHES, PolicyRow, RECOVERIES, SCHEDULES, SLOW_ENGINE, SWAPS, Variant,
+    WEIGHTS, run_variant, step_lower_bound_ms,
 };
-use crate::routing::{Chooser, SCENES, run_choice, run_overload};
-use crate::world::Fault;
+use crate::routing::{Chooser, SCENARIOS, run_choice, run_overload};
+use crate::simulation::Fault;
 use argh::FromArgs;
 use catkinmast_model::UnixMs;
 use std::process::ExitCode;
 
-/// The title of the table whose curve can be drawn.
+/// Title of the table that `--plot` draws.
 const WEIGHTS_TITLE: &str = "weight of idle time, in percent";
 
-/// catkinmast-bench: benchmarks of the decisions, in virtual time. The same seed gives the same
-/// bytes on any machine.
+/// catkinmast-bench: benchmarks of scheduling, routing and capacity, in virtual time. The same seed
+/// gives the same output on any machine, except for processor times.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -31,7 +31,7 @@
     Route(Route),
 }
 
-/// idle time, staleness, waste and recovery of a trainer's steps
+/// trainer idle time, staleness, wasted tokens and recovery of scheduling policies
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "policy")]
 struct Policy {
@@ -41,13 +41,14 @@
     /// first seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many seeds (default 5)
+    /// number of consecutive seeds (default 5)
     #[argh(option, default = "5")]
     seeds: u64,
-    /// none or owner: whether the owner of the steps dies twice in the schedule tables
+    /// none or owner (default none): whether the owner of the steps crashes twice in all tables, or
+    /// only in the table on the loss of the owner
     #[argh(option, default = "String::from(\"none\")")]
     faults: String,
-    /// file into which the weights' curve is drawn, as SVG
+    /// SVG file for a plot of trainer idle time against staleness
     #[argh(option)]
     plot: Option<String>,
     /// print JSON
@@ -55,11 +56,11 @@
     json: bool,
 }
 
-/// what each role costs, from slopes measured on the real aggregates
+/// resource use of each role by size, and processor time of events
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "capacity")]
 struct Capacity {
-    /// only what is counted, which is the same on every machine
+    /// only counted figures, which are the same on every machine; no processor times
     #[argh(switch)]
     counted: bool,
     /// print JSON
@@ -67,7 +68,7 @@
     json: bool,
 }
 
-/// Runs the command line of this process.
+/// Parses this process's arguments and runs the benchmark that they name.
 pub fn main() -> ExitCode {
     match argh::from_env::<Arguments>().command {
         Command::Capacity(capacity) => run_capacity(&capacity),
@@ -76,7 +77,7 @@
     }
 }
 
-/// choice of target, retries to a dead third, overload
+/// choice of target, retries when a third of the targets is down, overload
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "route")]
 struct Route {
@@ -88,12 +89,12 @@
     json: bool,
 }
 
-/// Ways of choosing, in the order of the table.
+/// Ways of choosing targets, in the order of the table.
 const CHOOSERS: [Chooser; 4] =
     [Chooser::RoundRobin, Chooser::LaggingReport, Chooser::Least, Chooser::TwoChoices];
 
 fn run_route(route: &Route) -> ExitCode {
-    for (title, scene) in SCENES {
+    for (title, scene) in SCENARIOS {
         let rows = CHOOSERS.map(|chooser| run_choice(scene, chooser, route.seed));
         if route.json {
             println!("{}", serde_json::json!({ "table": title, "rows": rows }));
@@ -152,13 +153,13 @@
 }
 
 fn run_capacity(capacity: &Capacity) -> ExitCode {
-    let counted = counted();
-    let timed = if capacity.counted { Vec::new() } else { timed() };
+    let counted = count_figures();
+    let timed = if capacity.counted { Vec::new() } else { time_events() };
     if capacity.json {
         println!("{}", serde_json::json!({ "counted": counted, "timed": timed }));
         return ExitCode::SUCCESS;
     }
-    print!("{}", table(&counted));
+    print!("{}", markdown_table(&counted));
     if !timed.is_empty() {
         println!("\n| timed | ns | references |\n| --- | ---: | ---: |");
     }
@@ -178,7 +179,7 @@
         }
     };
     let seeds = policy.seed..policy.seed + policy.seeds;
-    let bounds = seeds.map(|seed| step_bound_ms(&policy.deployment.settings(seed)));
+    let bounds = seeds.map(|seed| step_lower_bound_ms(&policy.deployment.settings(seed)));
     let bound_ms = bounds.sum::<u64>() / policy.seeds.max(1);
     let tables = [
         ("schedule", &SCHEDULES[..], faults),
@@ -187,20 +188,20 @@
         ("weight swap", &SWAPS[..], faults),
         ("loss of the owner", &RECOVERIES[..], &OWNER_CRASHES[..]),
     ];
-    let mut broken = 0;
+    let mut violations = 0;
     for (title, variants, faults) in tables {
         let run = |variant: &Variant| {
             run_variant(policy.deployment, policy.seed, policy.seeds, faults, *variant)
         };
-        let rows: Vec<Row> = variants.iter().map(run).collect();
+        let rows: Vec<PolicyRow> = variants.iter().map(run).collect();
         if title == WEIGHTS_TITLE
             && let Some(file) = &policy.plot
-            && let Err(error) = plot::weights(file, policy.deployment, &rows)
+            && let Err(error) = plot::plot_weights(file, policy.deployment, &rows)
         {
             eprintln!("--plot: '{file}' cannot be drawn: {error}");
             return ExitCode::from(2);
         }
-        broken += rows.iter().map(|row| row.violations).sum::<usize>();
+        violations += rows.iter().map(|row| row.violations).sum::<usize>();
         if policy.json {
             let table = serde_json::json!({ "table": title, "rows": rows });
             println!("{table}");
@@ -208,10 +209,10 @@
             print_table(title, &rows, bound_ms);
         }
     }
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn print_table(title: &str, rows: &[Row], bound_ms: u64) {
+fn print_table(title: &str, rows: &[PolicyRow], bound_ms: u64) {
     println!("\n{title} (no schedule makes a step in less than {bound_ms} ms)");
     println!(
         "{:<42} {:>7} {:>6} {:>4} {:>4} {:>8} {:>8} {:>7} {:>7} {:>6}",
