--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`Freshness`]: how old a node's view of the store is, and when it must read the store itself.
 //! - [`RunTimeEstimator`]: how long items run.
 //! - [`Lookahead`]: which weights a later batch of the same items will accept.
-//! - [`Rollout`]: which target loads which weight version, and when.
+//! - [`WeightRollout`]: which target loads which weight version, and when.
 //! - [`Demand`]: how many targets each model gets.
 //! - [`EventReader`]: a parser for token streams.
 //! - [`SentTexts`] and [`CopiedTexts`]: incremental copies of partial texts.
@@ -40,7 +40,7 @@
 pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
-pub use rollout::{LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget};
+pub use rollout::{LoadOrder, LoadOutcome, RolloutSettings, RolloutTarget, WeightRollout};
 pub use run_time::RunTimeEstimator;
 pub use shares::{Demand, interleave};
 pub use stream::{EventReader, StreamEvent};
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -85,7 +85,7 @@
 
 /// The weight versions of all targets of one service.
 #[derive(Clone, Debug, Default)]
-pub struct Rollout {
+pub struct WeightRollout {
     assigned: IndexMap<String, String>,
     loading: IndexMap<String, (LoadOrder, UnixMs)>,
     /// Until when a model's loads are deferred.
@@ -95,7 +95,7 @@
     settings: RolloutSettings,
 }
 
-impl Rollout {
+impl WeightRollout {
     /// Opens a rollout that knows no published version yet.
     pub fn open(settings: RolloutSettings) -> Self {
         Self { settings, ..Self::default() }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -17,7 +17,7 @@
 use crate::store::{Put, StoreCall};
 use bytes::Bytes;
 use catkinmast_dispatch::{
-    LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget, TargetEntry,
+    LoadOrder, LoadOutcome, RolloutSettings, RolloutTarget, TargetEntry, WeightRollout,
 };
 use catkinmast_model::Verdict;
 use http::{Request, StatusCode};
@@ -57,7 +57,7 @@
 struct Holder {
     /// Orders that each target has accepted, by target id, as far as known.
     accepted: RefCell<IndexMap<String, AcceptedOrders>>,
-    rollouts: RefCell<IndexMap<String, Rollout>>,
+    rollouts: RefCell<IndexMap<String, WeightRollout>>,
     /// How each service's targets were shared among models when that was last logged.
     shared: RefCell<IndexMap<String, serde_json::Value>>,
     lease: Rc<DutyLease>,
@@ -131,7 +131,7 @@
             let mut rollouts = holder.rollouts.borrow_mut();
             let rollout = rollouts
                 .entry(service.clone())
-                .or_insert_with(|| Rollout::open(RolloutSettings::default()));
+                .or_insert_with(|| WeightRollout::open(RolloutSettings::default()));
             for (model, version) in node.versions.borrow().iter() {
                 rollout.version_published(model, *version);
             }
@@ -162,7 +162,12 @@
 }
 
 /// Logs how the targets of a service are shared among its models, when that has changed.
-fn log_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
+fn log_shares<P: Platform>(
+    node: &Node<P>,
+    holder: &Holder,
+    service: &str,
+    rollout: &WeightRollout,
+) {
     let counts = json!(rollout.counts());
     let mut shared = holder.shared.borrow_mut();
     if shared.get(service) != Some(&counts) {
--- a/tests/all/dispatch/rollout.rs
+++ b/tests/all/dispatch/rollout.rs
@@ -1,7 +1,7 @@
 //! Loads of weights: divided among models, limited in number, the most urgent first.
 
 use catkinmast_dispatch::{
-    Demand, LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget,
+    Demand, LoadOrder, LoadOutcome, RolloutSettings, RolloutTarget, WeightRollout,
 };
 use catkinmast_model::UnixMs;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 }
 
 /// Carries out loads, round after round, until none is ordered.
-fn carry_out(rollout: &mut Rollout, targets: &mut [RolloutTarget]) -> Vec<LoadOrder> {
+fn carry_out(rollout: &mut WeightRollout, targets: &mut [RolloutTarget]) -> Vec<LoadOrder> {
     let mut all = Vec::new();
     for round in 0..100 {
         let now = UnixMs(round * 1_000);
@@ -46,7 +46,7 @@
 
 #[test]
 fn each_target_loads_for_one_model_and_models_share_equally() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
         rollout.version_published(&model, 2);
@@ -64,7 +64,7 @@
 
 #[test]
 fn at_most_a_fifth_of_all_and_half_of_a_models_targets_load_at_once() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     for model in models() {
         rollout.version_published(&model, 2);
     }
@@ -81,7 +81,7 @@
 // the targets.
 #[test]
 fn a_model_without_current_targets_goes_first() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     rollout.version_published("x", 2);
     rollout.version_published("y", 2);
     rollout.version_published("z", 3);
@@ -93,7 +93,7 @@
 
 #[test]
 fn with_fewer_targets_than_models_each_model_is_loaded() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let mut targets = targets(1);
     for model in models() {
         rollout.version_published(&model, 2);
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_lost_target_is_replaced_with_few_moves() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
         rollout.version_published(&model, 2);
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_failed_load_is_retried_after_a_backoff() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     rollout.version_published("x", 2);
     let targets = targets(1);
     let first = rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
@@ -139,7 +139,7 @@
 // block them; items that have started continue during a load.
 #[test]
 fn when_a_step_opens_one_target_loads_and_the_others_follow_once_items_started() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(20);
     rollout.version_published("x", 2);
     rollout.batch_opened(UnixMs(0), "x");
@@ -159,7 +159,7 @@
 // second half of the first model's targets must not load before any of the other's.
 #[test]
 fn a_model_without_a_target_of_its_newest_version_loads_before_one_that_has_some() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     rollout.version_published("x", 2);
     let first = rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
--- a/tests/all/dispatch/shares.rs
+++ b/tests/all/dispatch/shares.rs
@@ -1,7 +1,7 @@
 //! Sharing of targets among models by their work.
 
 use catkinmast_dispatch::{
-    Demand, Rollout, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, interleave,
+    Demand, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, WeightRollout, interleave,
 };
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
@@ -48,7 +48,7 @@
     table
 }
 
-fn counts(rollout: &Rollout, targets: &[RolloutTarget]) -> Vec<usize> {
+fn counts(rollout: &WeightRollout, targets: &[RolloutTarget]) -> Vec<usize> {
     let of = |model: &String| {
         targets.iter().filter(|target| rollout.model_of(&target.id) == Some(model)).count()
     };
@@ -115,7 +115,7 @@
 // the work of the others together, must not share 45 targets equally.
 #[test]
 fn a_model_is_kept_current_on_as_many_targets_as_its_work_asks_for() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
 
     rollout.plan(UnixMs(0), &targets, &models(), &uneven());
@@ -125,7 +125,7 @@
 
 #[test]
 fn owners_and_the_order_holder_agree_before_anything_is_loaded() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
     let (table, demand) = (table(&targets), uneven());
     rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
@@ -145,7 +145,7 @@
 fn a_new_holder_leaves_targets_with_the_models_that_they_hold() {
     let mut targets = targets(9);
     let mut versions = IndexMap::new();
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     for (number, target) in targets.iter_mut().enumerate() {
         target.models[(number + 1) % 3].1 = 7;
     }
@@ -164,7 +164,7 @@
 
 #[test]
 fn small_changes_of_work_move_no_target() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
     let mut demand = uneven();
     rollout.version_published("long", 1);
