--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -44,6 +44,6 @@
 pub use run_time::RunTimeEstimator;
 pub use shares::{Demand, interleave};
 pub use stream::{EventReader, StreamEvent};
-pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
+pub use submission::{Item, ItemResult, ItemState, Progress, RewardRequest, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
 pub use wait_queue::{WaitQueue, WaiterId};
--- a/crates/dispatch/src/submission.rs
+++ b/crates/dispatch/src/submission.rs
@@ -4,7 +4,7 @@
 
 /// The request that scores an item's text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Reward {
+pub struct RewardRequest {
     /// Body of the request.
     pub body: Vec<u8>,
     /// Host whose route the request takes.
@@ -31,7 +31,7 @@
     /// Path of the request.
     pub path: String,
     /// The request that scores its text.
-    pub reward: Option<Reward>,
+    pub reward: Option<RewardRequest>,
     /// Number of prompt tokens plus the largest number of output tokens.
     pub tokens: u64,
 }
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -6,7 +6,7 @@
 use crate::forward::{self, OutgoingRequest};
 use crate::node::Node;
 use crate::platform::Platform;
-use catkinmast_dispatch::{Item, ItemResult, ItemState, NextItem, Progress, Reward};
+use catkinmast_dispatch::{Item, ItemResult, ItemState, NextItem, Progress, RewardRequest};
 use http::header::HOST;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use serde_json::json;
@@ -83,7 +83,7 @@
 async fn score<P: Platform>(
     node: &Rc<Node<P>>,
     local: &RefCell<LocalBatch>,
-    reward: &Reward,
+    reward: &RewardRequest,
 ) -> Option<String> {
     let attempts = local.borrow().batch.policy().attempts;
     let mut failures = 0;
@@ -125,7 +125,7 @@
     }
 }
 
-fn score_request(reward: &Reward) -> OutgoingRequest {
+fn score_request(reward: &RewardRequest) -> OutgoingRequest {
     let mut headers = HeaderMap::new();
     if let Ok(host) = HeaderValue::from_str(&reward.host) {
         headers.insert(HOST, host);
