--- a/crates/dispatch/src/document.rs
+++ b/crates/dispatch/src/document.rs
@@ -48,7 +48,7 @@
     /// Whether a stream may be resumed at another target.
     pub resumable: bool,
     /// How long after its first submission all results of a batch are due.
-    pub run_target_ms: Option<u64>,
+    pub results_due_ms: Option<u64>,
     /// Services that the requests go to.
     pub services: Vec<WeightedService>,
     /// Whether a single weight version must have produced a whole sample.
@@ -56,7 +56,7 @@
     /// Longest time that a request is kept waiting.
     pub timeout_ms: Option<u64>,
     /// Time within which an answer has its full value.
-    pub target_latency_ms: u64,
+    pub latency_goal_ms: u64,
 }
 
 impl Route {
--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -54,7 +54,7 @@
     // An item that is not done after half of the time is a long one: the mean item takes a tenth
     // of it.
     const LONG_ITEM_DIVISOR: u64 = 2;
-    let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
+    let due_ms = route.results_due_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
     BatchPolicy {
         attempts: route.attempts.max(reward_attempts).max(1),
--- a/tests/all/dispatch/routes.rs
+++ b/tests/all/dispatch/routes.rs
@@ -14,7 +14,7 @@
         prefix: prefix.to_owned(),
         priority: 1,
         resumable: false,
-        run_target_ms: None,
+        results_due_ms: None,
         services: shares
             .iter()
             .map(|(service, weight)| WeightedService {
@@ -24,7 +24,7 @@
             .collect(),
         single_version: false,
         timeout_ms: None,
-        target_latency_ms: 100,
+        latency_goal_ms: 100,
     }
 }
 
