--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -64,7 +64,7 @@
     /// A node with an earlier rank reported an answer.
     EarlierRank,
     /// Another node, not known to have an earlier rank, reported an answer.
-    LaterRank,
+    OtherRank,
 }
 
 /// The age of a node's view of the store.
@@ -90,7 +90,7 @@
         match by {
             ConfirmationSource::OwnCall => self.own_call_at = self.own_call_at.max(Some(at)),
             ConfirmationSource::EarlierRank => self.earlier_at = self.earlier_at.max(Some(at)),
-            ConfirmationSource::LaterRank => {}
+            ConfirmationSource::OtherRank => {}
         }
     }
 
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -313,7 +313,7 @@
         Source::Peer(peer) if peers::ranks_before(node, peer, DUTY) => {
             ConfirmationSource::EarlierRank
         }
-        Source::Peer(_) => ConfirmationSource::LaterRank,
+        Source::Peer(_) => ConfirmationSource::OtherRank,
     }
 }
 
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -32,7 +32,7 @@
 impl Fleet {
     fn open(size: usize) -> Self {
         let mut node = Node { reaches_store: true, ..Node::default() };
-        node.freshness.confirm(UnixMs(0), ConfirmationSource::LaterRank);
+        node.freshness.confirm(UnixMs(0), ConfirmationSource::OtherRank);
         Self { nodes: vec![node; size], now: UnixMs(0), stored: 0 }
     }
 
@@ -75,7 +75,7 @@
             let confirmed_by = if rank < other {
                 ConfirmationSource::EarlierRank
             } else {
-                ConfirmationSource::LaterRank
+                ConfirmationSource::OtherRank
             };
             node.freshness.confirm(UnixMs(now.since_ms(UnixMs(age_ms))), confirmed_by);
             node.known = node.known.max(read);
@@ -174,7 +174,7 @@
 fn a_replacement_watches_until_an_earlier_rank_is_answered() {
     let mut view = Freshness::default();
     view.confirm(UnixMs(1_000), ConfirmationSource::OwnCall);
-    view.confirm(UnixMs(1_000), ConfirmationSource::LaterRank);
+    view.confirm(UnixMs(1_000), ConfirmationSource::OtherRank);
     assert!(view.should_watch(UnixMs(1_100), 2, BOUND));
 
     view.confirm(UnixMs(1_200), ConfirmationSource::EarlierRank);
