--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -218,7 +218,7 @@
     /// If loads are learnt from refusals instead, a step's longest items go first to the emptiest
     /// targets, which are those that load, and are then placed after shorter ones: the item that
     /// ended a step started 1.1 s late on average over fifteen days.
-    pub fn loading_until(&mut self, id: &str, until: UnixMs) {
+    pub fn record_loading_until(&mut self, id: &str, until: UnixMs) {
         self.entry(id).loading_until = until;
     }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -268,7 +268,7 @@
 }
 
 fn target_loads<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
-    node.load.borrow_mut().loading_until(target, clock::now().plus(for_ms));
+    node.load.borrow_mut().record_loading_until(target, clock::now().plus(for_ms));
 }
 
 /// Returns this incarnation of this node; none before it has joined.
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -135,7 +135,7 @@
     for id in ["b", "c"] {
         balancer.call_sent(id);
     }
-    balancer.loading_until("a", UnixMs(900));
+    balancer.record_loading_until("a", UnixMs(900));
 
     let meanwhile = balancer
         .choose_with_free_slot(UnixMs(899), &candidates(), Some("a"), 1_000, 0)
