--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -209,7 +209,7 @@
     }
 
     /// Returns whether a target is skipped after a failure or refusal, or while it loads weights.
-    pub fn is_backing_off(&self, now: UnixMs, id: &str) -> bool {
+    pub fn is_unavailable(&self, now: UnixMs, id: &str) -> bool {
         self.unavailable_until(id) > now
     }
 
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -184,7 +184,7 @@
             candidates.iter().filter(is_model_target).copied().collect();
         // If all targets of the model are backing off, use the others rather than none.
         let all_back_off =
-            model_candidates.iter().all(|candidate| load.is_backing_off(now, candidate.id));
+            model_candidates.iter().all(|candidate| load.is_unavailable(now, candidate.id));
         let from = if all_back_off { candidates } else { &model_candidates };
         let preferred = preferred.map(String::as_str);
         load.choose_with_free_slot(now, from, preferred, run_ms, random)
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -59,12 +59,12 @@
     balancer.call_sent("a");
     balancer.call_ended(UnixMs(1_000), "a", 4, CallOutcome::Failed);
 
-    assert!(balancer.is_backing_off(UnixMs(1_399), "a"));
-    assert!(!balancer.is_backing_off(UnixMs(1_400), "a"));
+    assert!(balancer.is_unavailable(UnixMs(1_399), "a"));
+    assert!(!balancer.is_unavailable(UnixMs(1_400), "a"));
     balancer.call_sent("a");
     balancer.call_ended(UnixMs(2_000), "a", 4, CallOutcome::Failed);
-    assert!(balancer.is_backing_off(UnixMs(2_799), "a"));
-    assert!(!balancer.is_backing_off(UnixMs(2_800), "a"));
+    assert!(balancer.is_unavailable(UnixMs(2_799), "a"));
+    assert!(!balancer.is_unavailable(UnixMs(2_800), "a"));
 }
 
 #[test]
@@ -92,8 +92,8 @@
     }
     full.call_ended(UnixMs(0), "a", 4, CallOutcome::Overloaded);
 
-    assert!(loading.is_backing_off(UnixMs(249), "a"));
-    assert!(!full.is_backing_off(UnixMs(60), "a"));
+    assert!(loading.is_unavailable(UnixMs(249), "a"));
+    assert!(!full.is_unavailable(UnixMs(60), "a"));
 }
 
 #[test]
