--- a/crates/dispatch/src/targets.rs
+++ b/crates/dispatch/src/targets.rs
@@ -332,7 +332,7 @@
     }
 
     /// Returns the number of targets that are not known to be gone.
-    pub fn count(&self) -> usize {
+    pub fn usable_count(&self) -> usize {
         self.known.values().filter(|known| self.is_usable(known)).count()
     }
 
--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -77,7 +77,8 @@
 ) {
     let now = clock::now();
     let removed = events.iter().filter(|event| matches!(event, StoreEvent::Deleted { .. })).count();
-    let registry_lost = removed > 1 && removed * LOSS_DIVISOR > node.targets.borrow().count();
+    let registry_lost =
+        removed > 1 && removed * LOSS_DIVISOR > node.targets.borrow().usable_count();
     for event in events {
         let change = match event {
             StoreEvent::Deleted { key, .. } => {
--- a/tests/all/dispatch/targets.rs
+++ b/tests/all/dispatch/targets.rs
@@ -161,7 +161,7 @@
     table.apply_entry(started("b", 1_000, 1, false));
 
     assert_eq!(usable(&table), ["a", "b"]);
-    assert_eq!(table.count(), 2);
+    assert_eq!(table.usable_count(), 2);
 }
 
 #[test]
