--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -31,7 +31,7 @@
 
     /// Returns how old a watching node's view may get before it calls the store again, in
     /// milliseconds.
-    pub const fn wait_ms(self) -> u64 {
+    pub const fn watch_wait_ms(self) -> u64 {
         self.ms / 2
     }
 
@@ -132,7 +132,7 @@
     pub fn next_wait_ms(&self, now: UnixMs, bound: ChangeBound) -> u64 {
         const WAIT_MIN_DIVISOR: u64 = 4;
         let age_ms = self.own_call_at.map_or(0, |at| now.since_ms(at));
-        let wait_ms = bound.wait_ms();
+        let wait_ms = bound.watch_wait_ms();
         wait_ms.saturating_sub(age_ms).max(wait_ms / WAIT_MIN_DIVISOR)
     }
 }
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -58,7 +58,7 @@
         let is_watching = rank < WATCHERS && now >= node.watches_again_at;
         if is_watching || node.freshness.next_read_at(rank, BOUND) <= now {
             node.calls += 1;
-            node.watches_again_at = now.plus(BOUND.wait_ms());
+            node.watches_again_at = now.plus(BOUND.watch_wait_ms());
             node.call = node.reaches_store.then_some((now.plus(CALL_MS), stored));
         }
     }
@@ -200,8 +200,8 @@
     let mut view = Freshness::default();
     view.confirm(UnixMs(1_000), ConfirmationSource::OwnCall);
 
-    assert_eq!(view.next_wait_ms(UnixMs(1_000), BOUND), BOUND.wait_ms());
-    assert_eq!(view.next_wait_ms(UnixMs(1_400), BOUND), BOUND.wait_ms() - 400);
+    assert_eq!(view.next_wait_ms(UnixMs(1_000), BOUND), BOUND.watch_wait_ms());
+    assert_eq!(view.next_wait_ms(UnixMs(1_400), BOUND), BOUND.watch_wait_ms() - 400);
     assert!(
         view.next_wait_ms(UnixMs(9_000), BOUND) > 0,
         "a slow store is not polled without pause"
