--- a/crates/access/src/credential.rs
+++ b/crates/access/src/credential.rs
@@ -16,7 +16,7 @@
     /// the Authorization header is not of the scheme Bearer
     Scheme,
     /// the Authorization header holds no single key after its scheme
-    NoKey,
+    NotOneKey,
 }
 
 impl std::error::Error for CredentialError {}
@@ -44,7 +44,7 @@
     let key = rest.trim_ascii_start();
     let is_one_word = !key.is_empty() && key.iter().all(u8::is_ascii_graphic);
     if !is_one_word {
-        return Err(CredentialError::NoKey);
+        return Err(CredentialError::NotOneKey);
     }
     Ok(KeyDigest::of(key))
 }
--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -68,8 +68,8 @@
     twice = { &["Bearer a", "Bearer a"], CredentialError::Repeated(2) },
     other_scheme = { &["Basic 42q492cqf75rjvz48wua"], CredentialError::Scheme },
     no_scheme = { &["42q492cqf75rjvz48wua"], CredentialError::Scheme },
-    no_key = { &["Bearer "], CredentialError::NoKey },
-    two_words = { &["Bearer a b"], CredentialError::NoKey },
+    no_key = { &["Bearer "], CredentialError::NotOneKey },
+    two_words = { &["Bearer a b"], CredentialError::NotOneKey },
     tab_for_a_space = { &["Bearer\ta"], CredentialError::Scheme },
     empty = { &[""], CredentialError::Scheme },
 )]
