--- a/tests/all/access.rs
+++ b/tests/all/access.rs
@@ -126,10 +126,10 @@
 
         let value = stored_by_node(&tenants[shape]);
 
-        let notice = UsersPlatform::operator_update("op/config", &value);
-        let found = format!("{} {notice:?}", String::from_utf8_lossy(&value));
+        let update = UsersPlatform::operator_update("op/config", &value);
+        let found = format!("{} {update:?}", String::from_utf8_lossy(&value));
         prop_assert!(!found.contains(&secret), "{}", found);
-        prop_assert_eq!(notice.is_ok(), shape == 0);
+        prop_assert_eq!(update.is_ok(), shape == 0);
     }
 
     #[test]
@@ -153,10 +153,10 @@
         { "name": "without", "apiKeys": [] },
     ]);
 
-    let notice =
+    let update =
         UsersPlatform::operator_update("op/config", &stored_by_node(&tenants)).expect("a document");
 
-    let Some(OperatorUpdate::Document(document)) = notice else { panic!("{notice:?}") };
+    let Some(OperatorUpdate::Document(document)) = update else { panic!("{update:?}") };
     let workspaces = document.workspaces.expect("workspaces");
     assert_eq!((workspaces.len(), workspaces.key_count()), (2, 2));
     let holder = workspaces.find_by_key(&KeyDigest::of(KEY.as_bytes())).expect("a holder");
@@ -177,8 +177,8 @@
     no_list = { json!("hule930"), "tenants cannot be read" },
 )]
 fn invalid_workspaces_are_an_error_that_names_the_fault(tenants: Value, expected: &str) {
-    let error =
-        UsersPlatform::operator_update("op/config", &stored_by_node(&tenants)).expect_err("unfit");
+    let error = UsersPlatform::operator_update("op/config", &stored_by_node(&tenants))
+        .expect_err("invalid workspaces are rejected");
 
     assert!(error.to_string().contains(expected), "{error}");
 }
@@ -210,9 +210,9 @@
     }
 }
 
-// Guards against refusing a caller for good whose key was just added. The operator adds the key
-// while a node has lost the store and every peer that would report the change; it must not deny the
-// key by a view of unknown age.
+// Guards against a caller whose key was just added being refused for good. The operator adds the
+// key while a node has lost the store and every peer that would report the change; it must not deny
+// the key by a view of unknown age.
 #[yare::parameterized(
     current = { Some(0), true },
     at_the_bound = { Some(BOUND_MS), true },
--- a/tests/all/dispatch/batch.rs
+++ b/tests/all/dispatch/batch.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn terms() -> BatchPolicy {
+fn policy() -> BatchPolicy {
     BatchPolicy {
         attempts: 2,
         due_at: UnixMs(7_500),
@@ -45,7 +45,8 @@
 
 fn batch(count: usize) -> Batch {
     let items = (0..count).map(|n| item(&format!("i{n}"), &format!("g{}", n / 2), 10)).collect();
-    Batch::open(submission(items, 9), terms(), |_| false)
+    // Nine is more than there are groups, so the number that the trainer waits for is unknown.
+    Batch::open(submission(items, 9), policy(), |_| false)
 }
 
 /// Returns items in groups of two.
@@ -54,7 +55,7 @@
 }
 
 fn batch_of_groups(groups: usize, target: u32) -> Batch {
-    Batch::open(submission(items(groups), target), terms(), |_| false)
+    Batch::open(submission(items(groups), target), policy(), |_| false)
 }
 
 fn finish_groups(batch: &mut Batch, at: UnixMs, groups: std::ops::Range<usize>) {
@@ -88,7 +89,7 @@
         item("beside", "b", 5),
         item("middle", "c", 50),
     ];
-    let mut batch = Batch::open(submission(items, 2), terms(), |_| false);
+    let mut batch = Batch::open(submission(items, 2), policy(), |_| false);
 
     let order = order(&mut batch);
 
@@ -98,7 +99,7 @@
 #[test]
 fn resubmitted_groups_start_by_length_like_all_others() {
     let items = vec![item("long", "a", 90), item("again", "b", 20), item("short", "a", 10)];
-    let mut batch = Batch::open(submission(items, 1), terms(), |group| group == "b");
+    let mut batch = Batch::open(submission(items, 1), policy(), |group| group == "b");
 
     assert_eq!(order(&mut batch), ["long", "again", "short"]);
 }
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn a_result_waits_for_its_group_until_two_seconds_after_the_due_time_limit() {
+fn a_result_waits_for_its_group_for_two_seconds_from_shortly_before_the_due_time() {
     let mut batch = batch(4);
     batch.record_result(UnixMs(100), result("i0"));
     batch.record_result(UnixMs(1_900), result("i2"));
@@ -197,7 +198,7 @@
 }
 
 #[yare::parameterized(
-    soon_after_the_last_listing = { 7_000, 7_900 },
+    shortly_before_all_are_due = { 7_000, 7_900 },
     when_all_are_due = { 7_500, 7_900 },
     when_they_are_overdue = { 8_000, 9_000 },
 )]
@@ -231,7 +232,7 @@
 
 #[test]
 fn a_resubmitted_group_is_waited_for_whichever_others_are_complete() {
-    let mut batch = Batch::open(submission(items(3), 2), terms(), |group| group == "g2");
+    let mut batch = Batch::open(submission(items(3), 2), policy(), |group| group == "g2");
     finish_groups(&mut batch, UnixMs(0), 0..2);
     assert!(!batch.is_complete());
 
@@ -241,10 +242,10 @@
     assert_eq!(batch.consumed_groups().len(), 3);
 }
 
-// Guards against a step as long as its longest item because that item's group was left by an
-// earlier step. The trainer leaves the groups with the longest items, and waits for each when they
-// come again, under weights that do not accept their texts. Without second runs, nothing is
-// generated under newer weights before the later step is submitted.
+// Guards against a step as long as its longest item because that item's group was left incomplete
+// by an earlier step. The trainer ends a step without the groups with the longest items, and waits
+// for each when they come again, under weights that do not accept their texts. Without second runs,
+// nothing is generated under newer weights before the later step is submitted.
 #[test]
 fn the_longest_unfinished_items_are_run_again_after_half_of_the_time() {
     let items = vec![
@@ -255,7 +256,7 @@
         item("e", "g4", 10),
         item("again", "g5", 300),
     ];
-    let mut batch = Batch::open(submission(items, 5), terms(), |group| group == "g5");
+    let mut batch = Batch::open(submission(items, 5), policy(), |group| group == "g5");
     while batch.next_item(UnixMs(0)).is_some() {}
     batch.record_result(UnixMs(500), result("e"));
     let of = |batch: &Batch, now, version| -> Vec<String> {
@@ -288,9 +289,9 @@
     assert_eq!(chunk.results, [result("i0")]);
 }
 
-// Guards against generating incomplete groups from the start although most of their items had
-// finished. A step ends while one item of a group is missing and the group is submitted again; the
-// texts of the finished items must be kept too.
+// Guards against generating a whole group again although most of its items had finished. A step
+// ends while one item of a group is missing and the group is submitted again; the texts of the
+// finished items must be kept too.
 #[test]
 fn finished_texts_of_incomplete_groups_are_kept_for_the_next_batch() {
     let mut batch = batch(4);
@@ -305,7 +306,7 @@
 
     let left = batch.take_progress();
     assert_eq!(left, [("i2".to_owned(), Progress::of_finished(&result("i2")))]);
-    let mut next = Batch::open(submission(vec![item("i2", "g1", 10)], 1), terms(), |_| true);
+    let mut next = Batch::open(submission(vec![item("i2", "g1", 10)], 1), policy(), |_| true);
     assert!(next.resume_from("i2", left[0].1.clone()));
     assert!(next.next_item(UnixMs(0)).is_some_and(|next| next.progress.complete));
 }
--- a/tests/all/dispatch/freshness.rs
+++ b/tests/all/dispatch/freshness.rs
@@ -91,7 +91,7 @@
     both_watchers_of_eight = { 8, 2 },
     all_but_one_of_eight = { 8, 7 },
     half_of_thirty = { 30, 15 },
-    all_but_one_of_three_hundred = { 320, 319 },
+    all_but_one_of_three_hundred_and_twenty = { 320, 319 },
     all_but_one_of_a_thousand = { 1_000, 999 },
 )]
 fn a_change_is_known_in_time_whichever_nodes_lose_the_store(size: usize, lost: usize) {
@@ -111,7 +111,7 @@
         for (rank, node) in fleet.nodes.iter().enumerate() {
             assert_eq!(
                 node.known, fleet.stored,
-                "rank {rank}, disconnected after {lost_after_ms} ms"
+                "rank {rank} of {size}, store lost at {lost_at:?}"
             );
         }
         for node in &mut fleet.nodes {
@@ -120,7 +120,7 @@
     }
 }
 
-#[parameterized(eight = { 8 }, three_hundred = { 320 }, a_thousand = { 1_000 })]
+#[parameterized(eight = { 8 }, three_hundred_and_twenty = { 320 }, a_thousand = { 1_000 })]
 fn only_the_watchers_read_the_store_while_they_are_answered(size: usize) {
     let mut fleet = Fleet::open(size);
 
@@ -131,7 +131,7 @@
     assert!(fleet.calls() <= 2 * 10, "{} calls in ten seconds", fleet.calls());
 }
 
-#[parameterized(eight = { 8 }, three_hundred = { 320 }, a_thousand = { 1_000 })]
+#[parameterized(eight = { 8 }, three_hundred_and_twenty = { 320 }, a_thousand = { 1_000 })]
 fn few_nodes_replace_watchers_that_have_lost_the_store(size: usize) {
     let mut fleet = Fleet::open(size);
     fleet.run_until(UnixMs(3_000));
@@ -157,7 +157,7 @@
     for now in (100..5_000).step_by(100).map(UnixMs) {
         for (sender, receiver) in [(0, 1), (1, 0)] {
             if let Some(age_ms) = views[sender].reportable_age_ms(now, BOUND) {
-                // A datagram takes a while, and its age counts from when it arrives.
+                // A datagram takes 10 ms; the receiver subtracts the reported age from its arrival.
                 let at = UnixMs(now.plus(10).since_ms(UnixMs(age_ms)));
                 views[receiver].confirm(at, ConfirmationSource::EarlierRank);
             }
--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -126,9 +126,9 @@
 }
 
 // Guards against a step's longest items starting 1.1 s late. Targets start to load as a step is
-// submitted. Its longest items go to the emptiest targets, which are those that load, are refused,
-// and find the others filled with shorter items, if only the node that ordered the load knows of
-// it.
+// submitted. If only the node that ordered a load knows of it, the step's longest items go to the
+// emptiest targets, which are those that load; they are refused and find the others filled with
+// shorter items.
 #[test]
 fn a_loading_target_gets_no_item_until_its_load_is_expected_to_end() {
     let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
--- a/tests/all/dispatch/rollout.rs
+++ b/tests/all/dispatch/rollout.rs
@@ -77,7 +77,7 @@
 }
 
 // Guards against a step that stands still while another model's targets are loaded. One model is
-// two versions behind everywhere, the others one; loads must not follow lag alone or the order of
+// two versions behind everywhere, the others one; it must be loaded first, whatever the order of
 // the targets.
 #[test]
 fn a_model_without_current_targets_goes_first() {
@@ -105,20 +105,20 @@
 }
 
 #[test]
-fn a_lost_target_is_replaced_with_few_moves() {
+fn a_model_that_lost_targets_gets_others_with_few_moves() {
     let mut rollout = WeightRollout::open(RolloutSettings::default());
     let mut targets = targets(9);
     for model in models() {
         rollout.version_published(&model, 2);
     }
     carry_out(&mut rollout, &mut targets);
-    let lost = rollout.model_of("t0").expect("a model").to_owned();
-    targets.retain(|target| rollout.model_of(&target.id) != Some(&lost) || target.id == "t1");
+    let model = rollout.model_of("t0").expect("a model").to_owned();
+    targets.retain(|target| rollout.model_of(&target.id) != Some(&model) || target.id == "t1");
 
     let moved = carry_out(&mut rollout, &mut targets);
 
     assert!(moved.len() <= 2, "{moved:?}");
-    assert!(targets.iter().any(|target| rollout.model_of(&target.id) == Some(&lost)));
+    assert!(targets.iter().any(|target| rollout.model_of(&target.id) == Some(&model)));
 }
 
 #[test]
--- a/tests/all/dispatch/shares.rs
+++ b/tests/all/dispatch/shares.rs
@@ -10,7 +10,7 @@
     ["long", "longer", "short"].map(str::to_owned).to_vec()
 }
 
-/// Work of three models whose steps have 200 to 230 items of 11 and 20 events.
+/// Work of three models whose steps have 200 to 232 items of 11 or 20 tokens.
 fn uneven() -> Demand {
     let mut demand = Demand::default();
     demand.record_batch("short", 200 * 11);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_large_step_moves_a_share_by_a_quarter_only() {
+fn one_large_step_counts_for_a_quarter_of_the_mean_work() {
     let mut demand = uneven();
     demand.record_batch("short", 200 * 11 * 5);
 
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn owners_and_the_order_holder_agree_before_anything_is_loaded() {
+fn batch_owners_and_the_node_that_orders_loads_agree_before_anything_is_loaded() {
     let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
     let (table, demand) = (table(&targets), uneven());
@@ -142,7 +142,7 @@
 // over the orders, while steps wait. The successor must assign targets by the versions that they
 // hold.
 #[test]
-fn a_new_holder_leaves_targets_with_the_models_that_they_hold() {
+fn a_new_node_that_orders_loads_leaves_targets_with_the_models_that_they_hold() {
     let mut targets = targets(9);
     let mut versions = IndexMap::new();
     let mut rollout = WeightRollout::open(RolloutSettings::default());
--- a/tests/all/dispatch/targets.rs
+++ b/tests/all/dispatch/targets.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_target_whose_address_another_answers_at_is_unusable() {
+fn a_target_is_marked_as_left_once() {
     let mut table = TargetTable::default();
     table.apply_entry(entry("a", 5, false));
 
@@ -189,7 +189,8 @@
 }
 
 proptest::proptest! {
-    // Each change updates the counts behind the rule for entries without a start time.
+    // The counts of listed entries are updated with each change; here they are checked against a
+    // recount.
     #[test]
     fn usable_entries_depend_only_on_the_listed_ones(
         steps in proptest::collection::vec((0..6_u64, proptest::bool::ANY, proptest::bool::ANY), 1..60),
--- a/tests/all/dispatch/wait_queue.rs
+++ b/tests/all/dispatch/wait_queue.rs
@@ -18,12 +18,12 @@
 
 /// How many requests of a workspace were served and refused.
 #[derive(Default)]
-struct Served {
+struct Outcomes {
     refused: u64,
     served: u64,
 }
 
-impl Served {
+impl Outcomes {
     fn share(&self) -> f64 {
         self.served as f64 / (self.served + self.refused).max(1) as f64
     }
@@ -37,10 +37,10 @@
 
 /// Simulates a node whose targets have `slots_per_tick` free slots every [`TICK_MS`]. Waiting
 /// requests take them in a seeded random order; with `is_fair`, only requests that are due may.
-fn simulate(senders: &[Sender], slots_per_tick: usize, is_fair: bool) -> Vec<Served> {
+fn simulate(senders: &[Sender], slots_per_tick: usize, is_fair: bool) -> Vec<Outcomes> {
     let mut queue = WaitQueue::default();
     let mut waiting: Vec<Request> = Vec::new();
-    let mut results: Vec<Served> = senders.iter().map(|_| Served::default()).collect();
+    let mut results: Vec<Outcomes> = senders.iter().map(|_| Outcomes::default()).collect();
     let mut seed = 7_u64;
     for now_ms in (0..20_000).step_by(TICK_MS as usize) {
         let now = UnixMs(now_ms);
@@ -89,14 +89,14 @@
     (0..count).map(one).collect()
 }
 
-fn least_share(results: &[Served]) -> f64 {
-    results.iter().map(Served::share).fold(1.0, f64::min)
+fn least_share(results: &[Outcomes]) -> f64 {
+    results.iter().map(Outcomes::share).fold(1.0, f64::min)
 }
 
 // Guards against refusing callers of small workspaces while one workspace sends most requests. One
 // of 72 workspaces sends ten times as much as all others together, and the targets can serve a
-// quarter of it all. In no order, only a quarter of the others' requests are served; in fair order,
-// all are.
+// quarter of it all. Without an order, only a quarter of the others' requests are served; in fair
+// order, all are.
 #[test]
 fn a_workspace_that_sends_ten_times_as_much_as_all_others_does_not_starve_them() {
     let senders = senders(72, 1, 710);
@@ -105,14 +105,15 @@
     let without = simulate(&senders, slots_per_tick, false);
     let with = simulate(&senders, slots_per_tick, true);
 
-    assert!(least_share(&without[1..]) < 0.5, "{}", least_share(&without[1..]));
-    assert!(least_share(&with[1..]) > 0.9, "{}", least_share(&with[1..]));
-    let served = |results: &[Served]| results.iter().map(|result| result.served).sum::<u64>();
+    assert!(least_share(&without[1..]) < 0.5, "least share {}", least_share(&without[1..]));
+    assert!(least_share(&with[1..]) > 0.9, "least share {}", least_share(&with[1..]));
+    let served = |results: &[Outcomes]| results.iter().map(|result| result.served).sum::<u64>();
     assert!(served(&with) * 100 >= served(&without) * 98, "fairness leaves no slot empty");
 }
 
-// Guards against a workspace that gets less than a quarter of the mean while one of 72 sends ten
-// times its share and the targets can serve half of all requests.
+// Guards against workspaces that get much less than the mean (less than a quarter of it) while one
+// of 72 sends ten times its share and the targets can serve half of all requests. Nine tenths of
+// the mean are required.
 #[test]
 fn a_workspace_that_sends_ten_times_its_share_leaves_others_their_share() {
     let senders = senders(72, 5, 50);
@@ -123,7 +124,11 @@
         (served + result.served, all + result.served + result.refused)
     });
     let mean = served as f64 / all as f64;
-    assert!(least_share(&results[1..]) >= mean * 0.9, "{} of {mean}", least_share(&results[1..]));
+    assert!(
+        least_share(&results[1..]) >= mean * 0.9,
+        "least share {}, mean {mean}",
+        least_share(&results[1..])
+    );
 }
 
 // Guards against urgent requests that wait behind others, and against starving the others. An
@@ -135,8 +140,8 @@
 
     let results = simulate(&senders, 2, true);
 
-    assert!(results[0].share() > 0.7, "{}", results[0].share());
-    assert!(results[1].share() > 0.15, "{}", results[1].share());
+    assert!(results[0].share() > 0.7, "share of the urgent workspace {}", results[0].share());
+    assert!(results[1].share() > 0.15, "share of the other workspace {}", results[1].share());
 }
 
 #[test]
--- a/tests/all/scaling.rs
+++ b/tests/all/scaling.rs
@@ -139,7 +139,9 @@
 
 #[test]
 fn bounds_that_allow_no_number_are_an_error_that_names_both() {
-    let error = ScalingConfig { min: 5, max: 4, ..CONFIG }.validated().expect_err("unfit");
+    let error = ScalingConfig { min: 5, max: 4, ..CONFIG }
+        .validated()
+        .expect_err("min above max is rejected");
 
     assert_eq!(error, ScalingError { min: 5, max: 4 });
     assert_eq!(error.to_string(), "scaling min 5 is above max 4");
@@ -163,7 +165,8 @@
 
             let orders = plan_for(&mut scaling, at_ms, 2_000, &of(counts), outcome);
 
-            prop_assert!(orders.iter().all(|(_, order)| (1..=30).contains(&order.count)));
+            let are_in_bounds = orders.iter().all(|(_, order)| (1..=30).contains(&order.count));
+            prop_assert!(are_in_bounds, "{:?}", orders);
         }
     }
 }
--- a/tests/all/usage.rs
+++ b/tests/all/usage.rs
@@ -59,7 +59,13 @@
         let estimate = time.at(monotonic).expect("an estimate").0 as i64;
         let moved_ms = estimate - wall(monotonic, 0).0 as i64;
         let (least, most) = (correct_off_ms.iter().min(), correct_off_ms.iter().max());
-        prop_assert!(Some(&moved_ms) >= least && Some(&moved_ms) <= most, "{} ms", moved_ms);
+        prop_assert!(
+            Some(&moved_ms) >= least && Some(&moved_ms) <= most,
+            "the estimate is off by {} ms, the correct clocks by {:?} to {:?}",
+            moved_ms,
+            least,
+            most
+        );
     }
 
     #[test]
@@ -125,8 +131,11 @@
     counts.request_started(queued, Some(UnixMs(5_040)));
     counts.request_not_run(refused);
 
-    let tables = counts.window_counts(UnixMs(6_000));
-    assert_eq!(tables, [window_counts(0, true, &[("a", 1)]), window_counts(1, false, &[("a", 1)])]);
+    let reported = counts.window_counts(UnixMs(6_000));
+    assert_eq!(
+        reported,
+        [window_counts(0, true, &[("a", 1)]), window_counts(1, false, &[("a", 1)])]
+    );
 }
 
 #[test]
@@ -147,9 +156,9 @@
     let mut counts = UsageCounts::open(WINDOWS);
     let _open = counts.request_sent(UnixMs(4_900), "a");
 
-    let tables = counts.window_counts(UnixMs(8_100));
+    let reported = counts.window_counts(UnixMs(8_100));
 
-    assert_eq!(tables, [window_counts(0, true, &[("a", 1)])]);
+    assert_eq!(reported, [window_counts(0, true, &[("a", 1)])]);
 }
 
 #[test]
@@ -158,9 +167,9 @@
     let sent = counts.request_sent(UnixMs(100), "a");
     counts.request_started(sent, None);
 
-    let tables = counts.window_counts(UnixMs(100_000));
+    let reported = counts.window_counts(UnixMs(100_000));
 
-    assert!(tables.iter().all(|counts| counts.window > Window(0)), "{tables:?}");
+    assert!(reported.iter().all(|counts| counts.window > Window(0)), "{reported:?}");
 }
 
 // Guards against requests that are missing or counted twice in a report, after a node reports its
