--- a/tests/all/processes/configuration.rs
+++ b/tests/all/processes/configuration.rs
@@ -1,10 +1,12 @@
-//! Configuration: accepted once, in force everywhere, never back.
+//! A change of the configuration is accepted once and takes effect on all nodes, and no node
+//! returns to an older revision.
 
 use crate::support::fleet::{Fleet, FleetSize, OPERATOR, TRAINER, document};
 use serde_json::{Value, json};
 use std::process::Command;
 
-fn ctl(node: &str, arguments: &[&str]) -> std::process::Child {
+/// Starts catkinmast-ctl with the operator's token.
+fn start_ctl(node: &str, arguments: &[&str]) -> std::process::Child {
     Command::new(env!("CARGO_BIN_EXE_catkinmast-ctl"))
         .args(["--node", node, "--token", OPERATOR, "--json"])
         .args(arguments)
@@ -14,18 +16,18 @@
         .expect("catkinmast-ctl starts")
 }
 
-fn edited(from: &str, to: &str) -> String {
+/// Returns the fleet's document with one text replaced.
+fn edited_document(from: &str, to: &str) -> String {
     let text = document();
     assert!(text.contains(from));
     text.replace(from, to)
 }
 
-/// Symptom: both operators believe that their change is in force, and one of them is wrong.
-/// Sequence: two operators apply different documents made from the same revision, at the same
-/// time, through different nodes.
-/// Cause: the second write replaces the first without looking at it.
+/// Guards against changes that are overwritten unnoticed. Two operators apply different documents
+/// based on the same revision at the same time through different nodes; if the second write
+/// replaced the first, both operators would believe that their change is in force.
 #[tokio::test]
-async fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_changes_one_is_accepted_and_one_conflicts() {
     // Arrange
     let fleet = Fleet::start(&FleetSize { engines: 0, nodes: 3, services: 0 }).await;
     let folder = tempfile::tempdir().expect("a folder");
@@ -34,12 +36,12 @@
         std::fs::write(&path, text).expect("a file");
         path.to_str().expect("a path").to_owned()
     };
-    let one = write("one.toml", &edited("timeout_ms = 8000", "timeout_ms = 7000"));
-    let two = write("two.toml", &edited("timeout_ms = 8000", "timeout_ms = 6000"));
+    let one = write("one.toml", &edited_document("timeout_ms = 8000", "timeout_ms = 7000"));
+    let two = write("two.toml", &edited_document("timeout_ms = 8000", "timeout_ms = 6000"));
 
     // Act
     let apply = |node: usize, file: &str| {
-        ctl(&fleet.nodes[node].http.to_string(), &["config", "apply", file, "--base", "1"])
+        start_ctl(&fleet.nodes[node].http.to_string(), &["config", "apply", file, "--base", "1"])
     };
     let (first, second) = (apply(0, &one), apply(1, &two));
     let codes = [first, second].map(|child| {
@@ -47,11 +49,11 @@
         output.status.code().expect("an exit code")
     });
 
-    // Assert: one accepted (0), one conflict (4); every node ends with the one that won.
+    // Assert: exit codes of one accepted (0) and one conflicting (4) change.
     let mut sorted = codes;
     sorted.sort_unstable();
     assert_eq!(sorted, [0, 4]);
-    let winner = if codes[0] == 0 { "timeout_ms = 7000" } else { "timeout_ms = 6000" };
+    let accepted = if codes[0] == 0 { "timeout_ms = 7000" } else { "timeout_ms = 6000" };
     for node in 0..3 {
         let text = fleet
             .poll_until("revision 2 is in force", async || {
@@ -60,10 +62,10 @@
                 (shown["revision"] == 2).then_some(text)
             })
             .await;
-        assert!(text.contains(winner));
+        assert!(text.contains(accepted));
     }
     let results = fleet
-        .poll_until("the audit trail has all three", async || {
+        .poll_until("the audit trail has all three entries", async || {
             let (_, audit) = fleet.send_as_operator("GET", 2, "/v1/audit", None).await;
             let entries = audit.as_array()?.clone();
             let text = |entry: &Value, field: &str| entry[field].as_str().map(str::to_owned);
@@ -77,12 +79,11 @@
     assert_eq!(results.iter().filter(|result| *result == "conflict").count(), 1);
 }
 
-/// Symptom: a trainer that was taken out of the configuration keeps its node busy, or one that
-/// comes back finds nobody.
-/// Sequence: operators remove a trainer, and put it back.
-/// Cause: duties that follow only what is added.
+/// Guards against duties that only follow additions to the configuration. Operators remove a
+/// trainer and add it again; its node must not go on with its steps in between, and a node must own
+/// it again afterwards.
 #[tokio::test]
-async fn a_trainer_that_is_taken_out_is_given_up_and_can_come_back() {
+async fn a_removed_trainer_is_released_and_can_be_added_again() {
     // Arrange
     let fleet = Fleet::start(&FleetSize { engines: 1, nodes: 2, services: 1 }).await;
     fleet.owner_index(0).await;
@@ -109,45 +110,49 @@
     fleet.poll_until("the trainer is served again", served).await;
 }
 
-/// Symptom: a document is put in force twice, or an operator is told "not run" although it was.
-/// Sequence: the key-value service takes the write of the head, and its reply is lost.
-/// Cause: a lost reply looks like a lost request.
+/// Guards against changes that are accepted twice, or reported as not run although they were. The
+/// key-value service performs the write of the head but its reply is lost, which looks like a lost
+/// request.
 #[tokio::test]
-async fn a_lost_reply_to_the_head_is_settled_as_accepted_once() {
+async fn a_head_write_with_a_lost_reply_is_accepted_once() {
     // Arrange
     let fleet = Fleet::start(&FleetSize { engines: 0, nodes: 2, services: 0 }).await;
-    let text = edited("timeout_ms = 8000", "timeout_ms = 7500");
+    let text = edited_document("timeout_ms = 8000", "timeout_ms = 7500");
     let body = json!({ "base_revision": 1, "operation_id": "lost-reply", "text": text });
-    // The first write is the body, whose loss is answered at once; the second is the head.
+    // The first write is the body, whose loss is reported at once; the second is the head.
     fleet.set_platform_faults(&json!({ "lose_write_replies": 2 })).await;
 
-    // Act: the operator repeats the same operation until it is settled.
+    // Act: the operator repeats the same operation until its outcome is known.
     let revision = fleet
-        .poll_until("the operation is settled", async || {
+        .poll_until("the outcome of the operation is known", async || {
             let (status, answer) =
                 fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
             (status == 200).then(|| answer["revision"].as_u64())
         })
         .await;
-    let (_, again) = fleet.send_as_operator("PUT", 1, "/v1/config", Some(&body)).await;
+    let (_, repeated) = fleet.send_as_operator("PUT", 1, "/v1/config", Some(&body)).await;
 
     // Assert
     assert_eq!(revision, Some(2));
-    assert_eq!(again["revision"].as_u64(), Some(2), "the same operation is the same revision");
+    assert_eq!(
+        repeated["revision"].as_u64(),
+        Some(2),
+        "a repeated operation has the same revision"
+    );
     let (_, history) = fleet.send_as_operator("GET", 0, "/v1/config/history", None).await;
     let operations = history.as_array().expect("a list");
-    let ours = operations.iter().filter(|entry| entry["operation_id"] == "lost-reply");
-    assert_eq!((operations.len(), ours.count()), (2, 1));
+    let matching = operations.iter().filter(|entry| entry["operation_id"] == "lost-reply");
+    assert_eq!((operations.len(), matching.count()), (2, 1));
 }
 
-/// Symptom: a node that was replaced during an outage serves with no configuration, or an old one.
-/// Sequence: the key-value service goes down; a node starts; its peers know revision 2.
-/// Cause: a new node can only ask the service, which is away.
+/// Guards against nodes that start during an outage without a configuration or with an old one. The
+/// key-value service is unavailable when the node starts, so that only its peers, which have
+/// revision 2, can provide it.
 #[tokio::test]
-async fn a_node_that_starts_during_an_outage_takes_the_newest_from_its_peers() {
+async fn a_node_started_during_an_outage_takes_the_newest_configuration_from_peers() {
     // Arrange
     let mut fleet = Fleet::start(&FleetSize { engines: 0, nodes: 3, services: 1 }).await;
-    let text = edited("timeout_ms = 8000", "timeout_ms = 7000");
+    let text = edited_document("timeout_ms = 8000", "timeout_ms = 7000");
     let body = json!({ "base_revision": 1, "operation_id": "second", "text": text });
     let (status, _) = fleet.send_as_operator("PUT", 0, "/v1/config", Some(&body)).await;
     assert_eq!(status, 200);
@@ -170,7 +175,7 @@
     let (called, _) = fleet.call(3, "/progress", "during-outage", None).await;
     let (refused, answer) = fleet.send_as_operator("PUT", 3, "/v1/config", Some(&body)).await;
 
-    // Assert: it serves, and refuses truthfully what needs the service.
+    // Assert: the node serves calls, and refuses changes of the configuration as not run.
     assert_eq!(revision, Some(2));
     assert_eq!(called, 200);
     assert_eq!((refused, answer["refusal"]["verdict"].as_str()), (503, Some("not_run")));
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -1,4 +1,5 @@
-//! Samples: each exactly once, truly attributed, never too old, whatever dies.
+//! Under failures of nodes, engines and the key-value service, each sample is delivered exactly
+//! once, attributed to the right weight versions, and within the staleness bound.
 
 use crate::support::fleet::{Fleet, FleetSize, TRAINER};
 use catkinmast_model::{Segments, Version};
@@ -7,35 +8,35 @@
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 
-/// Groups in a step.
+/// Number of groups in a step.
 const GROUPS: u64 = 6;
-/// Samples in a group, as the tests' configuration has it.
+/// Number of samples in a group, as in the configuration of the tests.
 const GROUP_SIZE: u64 = 4;
-/// The trainer's bound.
-const BOUND: u64 = 2;
+/// The trainer's staleness bound.
+const STALENESS_BOUND: u64 = 2;
 
-fn size() -> FleetSize {
+fn fleet_size() -> FleetSize {
     FleetSize { engines: 3, nodes: 4, services: 2 }
 }
 
-/// The trainer of the tests, which asks any node that is up.
+/// A trainer that sends its requests to one node and records the samples that it has claimed.
 struct Trainer<'f> {
     fleet: &'f Fleet,
     node: usize,
-    seen: BTreeSet<(u64, u64, u64)>,
+    claimed: BTreeSet<(u64, u64, u64)>,
     version: u64,
 }
 
 impl<'f> Trainer<'f> {
     async fn register(fleet: &'f Fleet, node: usize) -> Self {
-        let trainer = Self { fleet, node, seen: BTreeSet::new(), version: 0 };
+        let trainer = Self { fleet, node, claimed: BTreeSet::new(), version: 0 };
         let body = json!({
             "batch_samples": 8,
             "group_size": GROUP_SIZE,
             "idle_weight_percent": 50,
-            "staleness_bound_versions": BOUND,
+            "staleness_bound_versions": STALENESS_BOUND,
         });
-        trainer.until_done("PUT", "", Some(&body)).await;
+        trainer.send_until_accepted("PUT", "", Some(&body)).await;
         trainer
     }
 
@@ -45,7 +46,7 @@
         self.fleet.send(method, TRAINER, &url, body).await
     }
 
-    async fn until_done(&self, method: &str, path: &str, body: Option<&Value>) {
+    async fn send_until_accepted(&self, method: &str, path: &str, body: Option<&Value>) {
         self.fleet
             .poll_until(path, async || {
                 let (status, text) = self.send(method, path, body).await;
@@ -64,16 +65,16 @@
             "max_tokens": 300,
             "seed": step,
         });
-        self.until_done("PUT", &format!("/steps/{step}"), Some(&body)).await;
+        self.send_until_accepted("PUT", &format!("/steps/{step}"), Some(&body)).await;
     }
 
     async fn publish(&mut self) {
         self.version += 1;
-        self.until_done("PUT", &format!("/versions/{}", self.version), None).await;
+        self.send_until_accepted("PUT", &format!("/versions/{}", self.version), None).await;
     }
 
-    /// Fetches and claims a batch; returns false for one that is void.
-    async fn take(&mut self, batch: u64) -> bool {
+    /// Fetches and claims a batch, and checks its samples; returns false if the batch is void.
+    async fn claim_batch(&mut self, batch: u64) -> bool {
         let path = format!("/batches/{batch}?wait_ms=1000");
         let claim = format!("/batches/{batch}/claim");
         let body = json!({ "at_version": self.version });
@@ -84,7 +85,7 @@
                 if status == 410 {
                     return Some(None);
                 }
-                let samples = (status == 200).then(|| whole_batch(&text)).flatten()?;
+                let samples = (status == 200).then(|| parse_complete_batch(&text)).flatten()?;
                 match self.send("POST", &claim, Some(&body)).await.0 {
                     200 => Some(Some(samples)),
                     410 => Some(None),
@@ -94,20 +95,24 @@
             .await;
         let Some(samples) = samples else { return false };
         for sample in &samples {
-            self.check(sample);
+            self.check_sample(sample);
         }
         true
     }
 
-    /// Checks one claimed sample against what an engine can only have produced.
-    fn check(&mut self, sample: &Value) {
+    /// Checks that a claimed sample is new, not stale, and has the tokens that its versions
+    /// generate.
+    fn check_sample(&mut self, sample: &Value) {
         let number = |field: &str| sample["id"][field].as_u64().expect("a number");
         let (step, group, index) = (number("step"), number("group"), number("index"));
-        assert!(self.seen.insert((step, group, index)), "{step}/{group}/{index} came twice");
+        assert!(
+            self.claimed.insert((step, group, index)),
+            "{step}/{group}/{index} was delivered twice"
+        );
         let segments: Segments =
             serde_json::from_value(sample["segments"].clone()).expect("segments");
         let age = segments.age_versions(Version(self.version));
-        assert!(age <= BOUND, "{step}/{group}/{index} is {age} versions old");
+        assert!(age <= STALENESS_BOUND, "{step}/{group}/{index} is {age} versions old");
         let seed = step.wrapping_mul(1_000_003).wrapping_add(group << 16 | index);
         let tokens = sample["tokens"].as_array().expect("tokens");
         assert_eq!(tokens.len() as u32, segments.token_count());
@@ -120,14 +125,15 @@
         }
     }
 
-    /// Takes batches from `next` on until `steps` whole steps were claimed; returns the next.
-    async fn take_steps(&mut self, mut next: u64, steps: u64) -> u64 {
-        let wanted = (steps * GROUPS * GROUP_SIZE) as usize;
-        while self.seen.len() < wanted {
-            self.take(next).await;
+    /// Claims batches from `next` on until `steps` complete steps are claimed; returns the number
+    /// of the next batch.
+    async fn claim_steps(&mut self, mut next: u64, steps: u64) -> u64 {
+        let expected = (steps * GROUPS * GROUP_SIZE) as usize;
+        while self.claimed.len() < expected {
+            self.claim_batch(next).await;
             next += 1;
         }
-        assert_eq!(self.seen.len(), wanted);
+        assert_eq!(self.claimed.len(), expected);
         next
     }
 }
@@ -136,59 +142,58 @@
     format!("prompt {group} of step {step}")
 }
 
-/// A trainer that talks to `node`, with two steps submitted and the first batch claimed.
-async fn in_the_middle_of_a_step(fleet: &Fleet, node: usize) -> Trainer<'_> {
+/// Returns a trainer that uses `node`, with two steps submitted and the first batch claimed.
+async fn trainer_within_a_step(fleet: &Fleet, node: usize) -> Trainer<'_> {
     let mut trainer = Trainer::register(fleet, node).await;
     trainer.submit(1).await;
     trainer.submit(2).await;
-    assert!(trainer.take(1).await);
+    assert!(trainer.claim_batch(1).await);
     trainer
 }
 
-/// Reads a batch; one whose last line is missing is not whole.
-fn whole_batch(text: &str) -> Option<Vec<Value>> {
+/// Parses a batch; returns `None` if its end line is missing or does not match.
+fn parse_complete_batch(text: &str) -> Option<Vec<Value>> {
     let lines: Vec<Value> =
         text.lines().map(serde_json::from_str).collect::<Result<_, _>>().ok()?;
     let samples: Vec<Value> =
         lines.iter().filter(|line| line["kind"] == "sample").cloned().collect();
     let last = lines.last()?;
-    let whole = last["kind"] == "end" && last["samples"].as_u64() == Some(samples.len() as u64);
-    whole.then_some(samples)
+    let is_complete =
+        last["kind"] == "end" && last["samples"].as_u64() == Some(samples.len() as u64);
+    is_complete.then_some(samples)
 }
 
-/// Symptom: samples are lost or come twice, or a batch changes between two fetches.
-/// Sequence: the owner of the trainer's steps is killed with some batches claimed, some bound and
-/// the rest running.
-/// Cause: what only the owner knew is gone.
+/// Guards against samples that are lost or delivered twice, and batches that change between two
+/// fetches. The owner of the trainer's steps is killed while some batches are claimed, some are
+/// bound and the rest still runs, so that all state only it held is lost.
 #[tokio::test]
-async fn killing_the_owner_in_the_middle_of_a_step_loses_and_doubles_nothing() {
+async fn a_killed_owner_loses_and_duplicates_no_samples() {
     // Arrange
-    let fleet = Fleet::start(&size()).await;
+    let fleet = Fleet::start(&fleet_size()).await;
     let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
-    let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
+    let mut trainer = trainer_within_a_step(&fleet, other).await;
 
     // Act
     fleet.nodes[owner].process.signal("KILL");
-    let next = trainer.take_steps(2, 1).await;
+    let next = trainer.claim_steps(2, 1).await;
     trainer.publish().await;
-    trainer.take_steps(next, 2).await;
+    trainer.claim_steps(next, 2).await;
 
-    // Assert: every sample was checked as it was claimed.
+    // Assert: `claim_batch` has checked every sample.
     assert_ne!(fleet.owner_index(other).await, owner);
 }
 
-/// Symptom: a planned stop costs a trainer its samples, or the stop never ends.
-/// Sequence: SIGTERM to the owner of the trainer's steps in the middle of a step, while it runs
-/// samples and holds the tokens of others.
-/// Cause: duties and tokens that are not handed over.
+/// Guards against a planned stop that loses samples or never ends. SIGTERM reaches the owner of the
+/// trainer's steps during a step, while it runs samples and holds tokens of others; its duties and
+/// tokens must be handed over.
 #[tokio::test]
-async fn stopping_the_owner_hands_its_trainer_over_and_ends_in_order() {
-    // Arrange: slow engines, so that the stop meets the step in its middle.
-    let mut fleet = Fleet::start_with(&size(), &["--tick-ms", "40"], &[]).await;
+async fn a_stopped_owner_hands_its_trainer_over_and_exits_cleanly() {
+    // Arrange: engines are slow, so that the stop falls into the step.
+    let mut fleet = Fleet::start_with(&fleet_size(), &["--tick-ms", "40"], &[]).await;
     let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
-    let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
+    let mut trainer = trainer_within_a_step(&fleet, other).await;
 
     // Act
     fleet.nodes[owner].process.signal("TERM");
@@ -197,57 +202,56 @@
             (fleet.owner_index(other).await != owner).then_some(())
         })
         .await;
-    let next = trainer.take_steps(2, 1).await;
+    let next = trainer.claim_steps(2, 1).await;
     trainer.publish().await;
-    trainer.take_steps(next, 2).await;
+    trainer.claim_steps(next, 2).await;
 
-    // Assert: every sample was checked as it was claimed.
-    assert_eq!(fleet.nodes[owner].process.exit_code(), Some(0), "nothing was cut");
+    // Assert: `claim_batch` has checked every sample.
+    assert_eq!(fleet.nodes[owner].process.exit_code(), Some(0), "no request was aborted");
 }
 
-/// Symptom: two owners deliver the same samples, or a paused owner binds over the new one.
-/// Sequence: the owner is stopped for longer than its lease; another node takes over and goes on;
-/// the old owner wakes up with all it was about to do.
-/// Cause: a paused process does not notice that its lease has lapsed.
+/// Guards against two owners that deliver the same samples or overwrite each other's batches. The
+/// owner is paused for longer than its lease, another node takes over, and the old owner resumes
+/// without having noticed that its lease has expired.
 #[tokio::test]
-async fn an_owner_paused_past_its_lease_changes_nothing_when_it_wakes() {
+async fn an_owner_paused_past_its_lease_changes_nothing_when_it_resumes() {
     // Arrange
-    let fleet = Fleet::start(&size()).await;
+    let fleet = Fleet::start(&fleet_size()).await;
     let owner = fleet.owner_index(0).await;
     let other = (owner + 1) % fleet.nodes.len();
-    let mut trainer = in_the_middle_of_a_step(&fleet, other).await;
+    let mut trainer = trainer_within_a_step(&fleet, other).await;
 
-    // Act: the pause ends only when another node has taken the trainer over.
+    // Act: the pause ends only after another node has taken over.
     fleet.nodes[owner].process.signal("STOP");
     fleet
         .poll_until("another node owns the trainer", async || {
             (fleet.owner_index(other).await != owner).then_some(())
         })
         .await;
-    let next = trainer.take_steps(2, 1).await;
+    let next = trainer.claim_steps(2, 1).await;
     fleet.nodes[owner].process.signal("CONT");
     trainer.publish().await;
-    let next = trainer.take_steps(next, 2).await;
+    let next = trainer.claim_steps(next, 2).await;
 
-    // Assert: the woken node knows its successor, and the trainer can go on through it.
+    // Assert: the resumed node knows its successor, and the trainer can use it as before.
     assert!(next > 1);
     fleet
-        .poll_until("the woken node knows the new owner", async || {
+        .poll_until("the resumed node knows the new owner", async || {
             (fleet.owner_index(owner).await != owner).then_some(())
         })
         .await;
     trainer.node = owner;
     trainer.submit(3).await;
-    trainer.take_steps(next, 3).await;
+    trainer.claim_steps(next, 3).await;
 }
 
-/// Symptom: a step never becomes whole, or samples are attributed to the wrong version.
-/// Sequence: an engine is killed in the middle of its streams, while another swaps weights.
-/// Cause: a stream that broke has tokens of one engine and must go on at another.
+/// Guards against steps that never complete and samples attributed to wrong versions. An engine is
+/// killed during its streams while another swaps weights, so that samples with tokens of one engine
+/// are resumed on another.
 #[tokio::test]
-async fn killing_an_engine_in_the_middle_of_streams_keeps_samples_whole_and_attributed() {
-    // Arrange: slow engines, so that the kill meets streams in their middle.
-    let fleet = Fleet::start_with(&size(), &["--tick-ms", "40"], &[]).await;
+async fn a_killed_engine_leaves_samples_complete_and_attributed_to_their_versions() {
+    // Arrange: engines are slow, so that the kill interrupts streams.
+    let fleet = Fleet::start_with(&fleet_size(), &["--tick-ms", "40"], &[]).await;
     let mut trainer = Trainer::register(&fleet, 0).await;
     trainer.submit(1).await;
     trainer.submit(2).await;
@@ -260,16 +264,16 @@
 
     // Act
     fleet.engines[0].0.signal("KILL");
-    let next = trainer.take_steps(1, 1).await;
+    let next = trainer.claim_steps(1, 1).await;
     trainer.publish().await;
-    trainer.take_steps(next, 2).await;
+    trainer.claim_steps(next, 2).await;
 
-    // Assert: each sample was compared, token by token, with what its versions must give.
-    assert_eq!(trainer.seen.len() as u64, 2 * GROUPS * GROUP_SIZE);
+    // Assert: `claim_batch` has compared each token with the one that its version generates.
+    assert_eq!(trainer.claimed.len() as u64, 2 * GROUPS * GROUP_SIZE);
 }
 
-/// An engine that answers each request with a whole HTTP body in which nothing is said.
-fn silent_engine() -> std::net::SocketAddr {
+/// Starts an engine that answers each request with a complete but empty HTTP body.
+fn start_empty_engine() -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the bound address");
     std::thread::spawn(move || {
@@ -278,22 +282,21 @@
             let mut request = [0; 8_192];
             if stream.read(&mut request).is_ok_and(|size| size > 0) {
                 let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-                let _hung_up = stream.write_all(answer);
+                let _disconnected = stream.write_all(answer);
             }
         }
     });
     address
 }
 
-/// Symptom: a sample is delivered as whole although its engine broke off.
-/// Sequence: an engine ends its answer in order, as HTTP goes, but without the line that counts the
-/// tokens.
-/// Cause: the end of a body is taken for the end of a sample.
+/// Guards against truncated samples that are delivered as complete. An engine ends its HTTP answer
+/// correctly but without the end line that gives the number of tokens, and the end of the body is
+/// taken for the end of the sample.
 #[tokio::test]
-async fn an_answer_without_its_last_line_is_not_a_sample() {
-    // Arrange: the emptiest engine is always the one that says nothing.
-    let fleet = Fleet::start(&size()).await;
-    fleet.set_instance("engine-silent", "engine", silent_engine(), "live").await;
+async fn a_stream_without_its_end_line_yields_no_sample() {
+    // Arrange: the engine with empty answers is always the least loaded one.
+    let fleet = Fleet::start(&fleet_size()).await;
+    fleet.set_instance("engine-silent", "engine", start_empty_engine(), "live").await;
     let mut trainer = Trainer::register(&fleet, 0).await;
     let targets = async || {
         let status = fleet.status(0).await;
@@ -303,57 +306,55 @@
 
     // Act
     trainer.submit(1).await;
-    trainer.take_steps(1, 1).await;
+    trainer.claim_steps(1, 1).await;
 
-    // Assert: each sample was checked as it was claimed, and none is empty.
-    assert_eq!(trainer.seen.len() as u64, GROUPS * GROUP_SIZE);
+    // Assert: `claim_batch` has checked that no sample is empty.
+    assert_eq!(trainer.claimed.len() as u64, GROUPS * GROUP_SIZE);
 }
 
-/// Symptom: a slow key-value service looks like a lost one, and steps are taken over back and forth.
-/// Sequence: each call of the service takes most of a second, for a whole step.
-/// Cause: deadlines of calls that fit only a service that is well.
+/// Guards against repeated changes of the owner while the key-value service is slow. Each call
+/// takes most of a second for a whole step, which time limits made for a fast service take for an
+/// outage.
 #[tokio::test]
-async fn a_slow_key_value_service_slows_a_step_and_no_more() {
+async fn a_slow_key_value_service_causes_no_change_of_owner() {
     // Arrange
-    let fleet = Fleet::start(&size()).await;
+    let fleet = Fleet::start(&fleet_size()).await;
     let owner = fleet.owner_index(0).await;
     fleet.set_platform_faults(&json!({ "slow_ms": 700 })).await;
 
     // Act
     let mut trainer = Trainer::register(&fleet, 0).await;
     trainer.submit(1).await;
-    trainer.take_steps(1, 1).await;
+    trainer.claim_steps(1, 1).await;
     let (call, _) = fleet.call(1, "/progress", "while-slow", None).await;
 
     // Assert
     assert_eq!(call, 200);
-    assert_eq!(fleet.owner_index(0).await, owner, "nobody had to take over");
+    assert_eq!(fleet.owner_index(0).await, owner, "no other node took over");
 }
 
-/// Symptom: a batch is used twice, or a claim is lost.
-/// Sequence: the key-value service takes the writes that bind and claim, and loses their replies;
-/// then it is away for longer than a lease.
-/// Cause: a lost reply looks like a lost request, and a retried write like a new one.
+/// Guards against batches that are used twice and claims that are lost. The key-value service
+/// performs writes that bind and claim but loses their replies, and then is unavailable for longer
+/// than a lease. A lost reply looks like a lost request, and a retried write like a new one.
 #[tokio::test]
-async fn lost_replies_and_an_outage_of_the_key_value_service_double_nothing() {
+async fn lost_replies_and_an_outage_of_the_key_value_service_duplicate_nothing() {
     // Arrange
-    let fleet = Fleet::start(&size()).await;
+    let fleet = Fleet::start(&fleet_size()).await;
     let mut trainer = Trainer::register(&fleet, 0).await;
     trainer.submit(1).await;
 
     // Act
     fleet.set_platform_faults(&json!({ "lose_write_replies": 3 })).await;
-    assert!(trainer.take(1).await);
+    assert!(trainer.claim_batch(1).await);
     fleet.set_platform_faults(&json!({ "outage": true })).await;
     let (status, body) =
         trainer.send("POST", "/batches/2/claim", Some(&json!({ "at_version": 0 }))).await;
     let (call, _) = fleet.call(1, "/progress", "during-outage", None).await;
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
     fleet.set_platform_faults(&json!({})).await;
-    trainer.take_steps(2, 1).await;
+    trainer.claim_steps(2, 1).await;
 
-    // Assert: application calls went on; the claim was refused, or its outcome left open, but it
-    // was never confirmed without the ledger.
+    // Assert: application calls are served, and the claim is not confirmed without the ledger.
     assert_eq!(call, 200);
     assert_ne!(status, 200, "{body}");
 }
