--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -1,6 +1,6 @@
 //! The duty towards the platform: reports of usage, and the calls of `scaling`.
 //!
-//! A duty is a job that one node at a time does for all nodes, under a lease.
+//! One node at a time does this duty for all nodes, under a lease.
 //!
 //! Fault guarded against: two different reports of one window, which bill it twice. They come about
 //! when the holder dies, or is cut off, between making a report and sending it, and its successor
@@ -44,9 +44,8 @@
 /// Earliest time after its end at which a window is closed; the last counts are in flight until
 /// then.
 const CLOSE_AFTER_MS: u64 = 700;
-/// Percentage of the time until a report is due during which the holder waits for nodes that have
-/// not sent all counts of the window. The rest is reserved for a slow store, a slow platform and a
-/// successor.
+/// Percentage of `usage_due_ms` for which the holder waits for counts that nodes have not sent yet.
+/// The rest is reserved for a slow store, a slow platform and a successor.
 const WAIT_PERCENT: u64 = 45;
 /// How long the platform may take to answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -55,14 +54,14 @@
 /// Size limit of the platform's answers.
 const ANSWER_MAX_BYTES: usize = 1 << 16;
 
-/// The state of the duty's holder.
+/// What this node knows of the usage reports while it holds the duty.
 #[derive(Debug, Default)]
 struct Reporter {
     /// Since when the platform has not answered this node; none while it answers.
     unanswered_since: Option<UnixMs>,
     /// Windows whose reports the platform has accepted.
-    sent: BTreeSet<Window>,
-    /// Reports that are in the store but not accepted yet.
+    accepted: BTreeSet<Window>,
+    /// Reports that are known to be in the store.
     written: BTreeMap<Window, BTreeMap<String, u64>>,
 }
 
@@ -74,15 +73,16 @@
     }
     let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
     tokio::task::spawn_local(usage::share_counts(Rc::clone(&node)));
-    tokio::task::spawn_local(report(Rc::clone(&node), Rc::clone(&lease)));
-    tokio::task::spawn_local(scaling::order(Rc::clone(&node), Rc::clone(&lease)));
+    tokio::task::spawn_local(report_until_end(Rc::clone(&node), Rc::clone(&lease)));
+    tokio::task::spawn_local(scaling::order_targets(Rc::clone(&node), Rc::clone(&lease)));
     loop {
         sleep(TICK).await;
         lease.tick(&node);
     }
 }
 
-async fn report<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
+/// Reports each window that has ended, while this node holds the duty.
+async fn report_until_end<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
     let mut reporter = Reporter::default();
     loop {
         sleep(TICK).await;
@@ -97,18 +97,20 @@
             continue;
         }
         for number in oldest.0..windows.at(now).0 {
-            reporter.report(&node, &lease, &duties, windows, Window(number)).await;
+            reporter.report_window(&node, &lease, &duties, windows, Window(number)).await;
         }
     }
 }
 
 impl Reporter {
     fn forget_before(&mut self, oldest: Window) {
-        self.sent.retain(|window| *window >= oldest);
+        self.accepted.retain(|window| *window >= oldest);
         self.written.retain(|window, _| *window >= oldest);
     }
 
-    async fn report<P: Platform>(
+    /// Closes a window and sends its report, unless it is too early or too late or the platform has
+    /// accepted the report.
+    async fn report_window<P: Platform>(
         &mut self,
         node: &Rc<Node<P>>,
         lease: &DutyLease,
@@ -116,12 +118,12 @@
         windows: Windows,
         window: Window,
     ) {
-        let over_ms = node.usage.now().since_ms(windows.end(window));
-        let is_due = over_ms <= duties.usage_due_ms;
-        if self.sent.contains(&window) || !is_due || over_ms < CLOSE_AFTER_MS {
+        let ended_ms_ago = node.usage.now().since_ms(windows.end(window));
+        let is_in_time = ended_ms_ago <= duties.usage_due_ms;
+        if self.accepted.contains(&window) || !is_in_time || ended_ms_ago < CLOSE_AFTER_MS {
             return;
         }
-        let may_wait = over_ms * 100 < duties.usage_due_ms * WAIT_PERCENT;
+        let may_wait = ended_ms_ago * 100 < duties.usage_due_ms * WAIT_PERCENT;
         let written = self.written.remove(&window);
         let counts = match written {
             Some(counts) => counts,
@@ -141,12 +143,12 @@
                 "window": window.0, "total": total, "workspaces": workspaces,
                 "status": status.as_ref().ok().map(StatusCode::as_u16),
                 "why": status.as_ref().err().map(|error| error.message.clone()),
-                "over_ms": over_ms,
+                "over_ms": ended_ms_ago,
             }),
         );
         count(&node.metrics.usage_reports, label(&status));
         if matches!(status, Ok(StatusCode::OK)) {
-            self.sent.insert(window);
+            self.accepted.insert(window);
         }
         self.record_answer(node, lease, status.is_ok());
     }
@@ -166,7 +168,9 @@
         let since = *self.unanswered_since.get_or_insert(now);
         if now.since_ms(since) >= STEP_DOWN_AFTER_MS {
             self.unanswered_since = None;
-            lease.step_down(node, "the platform does not answer this node");
+            let unanswered_ms = now.since_ms(since);
+            let why = format!("the platform has not answered this node for {unanswered_ms} ms");
+            lease.step_down(node, &why);
         }
     }
 }
@@ -179,8 +183,9 @@
     }
 }
 
-/// Closes a window: creates its report in the store, or reads the one that is there. None if nodes
-/// still have to send counts or the store did not answer.
+/// Closes a window: creates its report in the store, or reads the one that is there. None if
+/// nodes still have to send counts, this node has lost the duty, or the report is not known to be
+/// in the store.
 async fn close<P: Platform>(
     node: &Rc<Node<P>>,
     lease: &DutyLease,
@@ -251,7 +256,7 @@
 }
 
 /// Sends a call of the duty to the platform. Returns the outcome, or none if this node does not
-/// hold the duty.
+/// hold the duty or the request cannot be built.
 pub(crate) async fn send_duty_call<P: Platform>(
     node: &Rc<Node<P>>,
     lease: &DutyLease,
@@ -260,13 +265,13 @@
 ) -> Option<Result<StatusCode, CallError>> {
     // Checked right before the call: after a pause the lease may have lapsed.
     let fence = lease.order_fence(clock::now())?;
-    let written = P::duty_request(call, &node.settings().node, fence.0);
-    let mut request = Request::post(written.path)
+    let encoded = P::duty_request(call, &node.settings().node, fence.0);
+    let mut request = Request::post(encoded.path)
         .header(http::header::HOST, duties.address.to_string())
         .header(http::header::CONTENT_TYPE, "application/json")
-        .body(Full::new(written.body))
+        .body(Full::new(encoded.body))
         .ok()?;
-    request.headers_mut().extend(written.headers);
+    request.headers_mut().extend(encoded.headers);
     let exchange = async {
         let (response, connection) = node.pool.send(duties.address, request).await?;
         let (head, body) = response.into_parts();
@@ -275,5 +280,7 @@
         Ok(head.status)
     };
     let answer = timeout(CALL_TIMEOUT, exchange).await;
-    Some(answer.unwrap_or_else(|_| Err(CallError::may_have_run("no answer in time"))))
+    Some(answer.unwrap_or_else(|_| {
+        Err(CallError::may_have_run(format!("the platform did not answer within {CALL_TIMEOUT:?}")))
+    }))
 }
--- a/crates/serve/src/duty_lease.rs
+++ b/crates/serve/src/duty_lease.rs
@@ -1,10 +1,10 @@
 //! Holds the lease of a duty, with a fencing number.
 //!
-//! A duty is a job that one node at a time does for all nodes. The receivers of its calls need not
-//! check the fencing number. So the holder stops before its lease can lapse, by a clock that counts
-//! pauses, and a new holder waits until no call of the previous one can still arrive. A holder
-//! keeps the duty while it lives; if no live holder is known, the first in rank takes it. A holder
-//! that cannot do the work names its successor.
+//! A duty is a job that one node at a time does for all nodes. The receivers of its calls may
+//! ignore the fencing number. So the holder stops before its lease can lapse, by a clock that also
+//! runs while the instance is suspended, and a new holder waits until no call of the previous one
+//! can still arrive. A holder keeps the duty while it lives; if no live holder is known, the first
+//! in rank takes it. A holder that cannot do the work names its successor.
 
 use crate::clock;
 use crate::node::Node;
@@ -21,11 +21,13 @@
 /// Duration of the lease without renewal: long enough for a slow store, which takes half a second,
 /// and short enough that a dead holder's successor begins before the next step of a trainer.
 const LEASE_TTL_MS: u64 = 2_500;
-/// The holder stops this long before the lease lapses. The margin counts towards the successor's
-/// wait, so a large one shortens the gap. The rest of the lease covers one lost renewal and one
-/// that a slow store answers after half a second.
+/// The holder stops this long before the lease lapses. The successor's wait after the lapse is
+/// shorter by this margin, so a larger margin shortens the time without a holder. The rest of the
+/// lease covers one lost renewal and one that a slow store answers after half a second.
 const LEASE_MARGIN_MS: u64 = 1_200;
+/// Interval of the renewals.
 const LEASE_RENEW_MS: u64 = 500;
+/// Delay after a failed attempt to take, read or renew the lease.
 const LEASE_RETRY_MS: u64 = 300;
 /// Added to a new holder's wait, for calls of the previous holder that are in flight.
 const IN_FLIGHT_MS: u64 = 200;
@@ -86,7 +88,8 @@
         self.claim.borrow().fence(now)
     }
 
-    /// Returns the fencing number while the duty is held and its calls may be sent.
+    /// Returns the fencing number while the duty is held and the wait for calls of the previous
+    /// holder is over.
     pub(crate) fn order_fence(&self, now: UnixMs) -> Option<Fence> {
         self.claim.borrow().order_fence(now)
     }
@@ -124,7 +127,8 @@
         }
     }
 
-    /// Hands the duty to the next node in rank, because this one cannot do its work.
+    /// Announces the next node in rank as holder, because this one cannot do the work, and does not
+    /// take the duty again for some time. Does nothing if no other live node is known.
     pub(crate) fn step_down<P: Platform>(&self, node: &Node<P>, why: &str) {
         let now = clock::now();
         let Some(fence) = self.fence(now) else { return };
@@ -133,7 +137,9 @@
         let line = json!({ "duty": self.duty, "successor": successor.node, "why": why });
         node.note("duty_resigned", line);
         let Owner { incarnation, node: name, .. } = successor;
+        // One above the number of this node, so that the announcement replaces this node's.
         let fence = Fence(fence.0 + 1);
+        // The holder of a duty is announced like the owner of a trainer, with the duty's name.
         let fact = OwnerFact { fence, incarnation, node: name, trainer: self.name() };
         peers::announce_holder(node, fact);
     }
@@ -190,8 +196,9 @@
             Ok(StoreAnswer::Conflict { items }) => {
                 let Some(item) = items.first() else { return Report::Refused };
                 let held = postcard::from_bytes::<HolderRecord>(&item.value);
-                // Held by a previous incarnation, or by this one: during an outage the store lets
-                // no lease lapse, but by our clock the lease was not renewed in time.
+                // Held by an earlier incarnation of this node, or by this one: during an outage the
+                // store lets no lease lapse, so the key outlives the time at which this node gave
+                // the duty up.
                 let own_earlier = held.is_ok_and(|held| {
                     held.node == self.record.node && held.incarnation <= self.record.incarnation
                 });
@@ -231,8 +238,9 @@
     async fn read<P: Platform>(&self, node: &Node<P>) -> Report {
         let call = StoreCall::Get { key: self.key.to_owned(), may_be_old: false };
         match node.store(&call).await {
-            // The key is bound to an earlier lease of ours, which is no longer renewed. It will
-            // lapse and another node will take it, while renewals of the new lease succeed.
+            // The key is bound to another lease than the one that this node renews. If that is an
+            // earlier lease of this node, it will lapse and another node will take the duty, while
+            // renewals of the new lease succeed.
             Ok(StoreAnswer::Item(Some(item))) if item.lease != self.lease.get() => {
                 Report::Read(None)
             }
--- a/crates/serve/src/feed/apply.rs
+++ b/crates/serve/src/feed/apply.rs
@@ -10,10 +10,11 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// When more than one target in this many is removed at once, the registry has lost its entries;
-/// targets that leave do so one by one.
+/// If at least two targets, and more than one in this many, are removed at once, the registry
+/// counts as having lost its entries: targets that really leave do so one by one.
 const LOSS_DIVISOR: usize = 3;
 
+/// Applies a key that an operator or a trainer has written.
 pub(super) fn apply_operator_item<P: Platform>(node: &Node<P>, item: &StoredItem, source: Source) {
     match P::operator_update(&item.key, &item.value) {
         Ok(Some(OperatorUpdate::Document(document))) => {
@@ -34,11 +35,11 @@
                 );
             }
         }
-        Ok(Some(OperatorUpdate::Drain { node: instance })) => {
+        Ok(Some(OperatorUpdate::Drain { instance })) => {
             let previous = node.draining.borrow_mut().insert(instance.clone(), item.revision);
             if previous != Some(item.revision) {
-                let why = json!({ "machine": instance, "revision": item.revision });
-                node.note("vacate_asked", why);
+                let fields = json!({ "machine": instance, "revision": item.revision });
+                node.note("vacate_asked", fields);
             }
         }
         Ok(None) => {}
@@ -70,6 +71,8 @@
     node.work.notify_one();
 }
 
+/// Applies changes of targets' entries. After an outage of the store, or if the registry has lost
+/// its entries, a removed target may register again soon, so it stays in use for a while.
 pub(super) fn apply_target_events<P: Platform>(
     node: &Node<P>,
     events: &[StoreEvent],
--- a/crates/serve/src/feed/mod.rs
+++ b/crates/serve/src/feed/mod.rs
@@ -11,7 +11,7 @@
 //! the age of the store's answer behind it, and a node whose view gets too old reads the store
 //! itself ([`Freshness`]).
 //!
-//! Stale reads are never used here: a stale entry would bring back a target that has left.
+//! The feeds never use stale reads: a stale entry would bring back a target that has left.
 //!
 //! [`Freshness`]: catkinmast_dispatch::Freshness
 
@@ -38,7 +38,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// The duty whose first ranks watch the store.
+/// The name by which nodes are ranked as watchers; the first two watch the store. No lease is held.
 const DUTY: &str = "feeds";
 /// Interval of a watcher's heartbeats, by which nodes notice that they have missed a datagram.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
@@ -91,6 +91,7 @@
     loop {
         let idle_ms = own_read_in_ms(&node, subject);
         if idle_ms > 0 {
+            // A node that has just started may become a watcher when it knows the other nodes.
             let wait_ms = idle_ms.min(peers::next_settle_check_ms(&node));
             let own_read_wanted = node.feeds.of(subject).own_read_wanted.notified();
             drop(timeout(Duration::from_millis(wait_ms), own_read_wanted).await);
@@ -115,8 +116,9 @@
                 );
                 // A failed watch alone is no outage: the next read may go via a peer.
                 watch(&node, subject).await.is_some_and(|refusal| {
-                    let why = json!({ "subject": format!("{subject:?}"), "why": refusal.message });
-                    node.note("feed_lost", why);
+                    let fields =
+                        json!({ "subject": format!("{subject:?}"), "why": refusal.message });
+                    node.note("feed_lost", fields);
                     true
                 })
             }
@@ -131,7 +133,7 @@
 /// milliseconds.
 fn own_read_in_ms<P: Platform>(node: &Node<P>, subject: Subject) -> u64 {
     let state = node.feeds.of(subject).state.borrow();
-    if !state.started || is_watcher(node) {
+    if !state.started || is_watcher_by_rank(node) {
         return 0;
     }
     let rank = peers::rank_for(node, DUTY).unwrap_or(0);
@@ -150,7 +152,7 @@
 /// the other nodes yet and does not watch until it does; its first read is enough meanwhile. When
 /// each starting node watched, a start cost two more calls of the store (660 of 7,560 on a day with
 /// 330 starts).
-pub(crate) fn is_watcher<P: Platform>(node: &Node<P>) -> bool {
+pub(crate) fn is_watcher_by_rank<P: Platform>(node: &Node<P>) -> bool {
     peers::settles_after_ms(node) == Some(0)
         && peers::rank_for(node, DUTY).is_some_and(|rank| rank < WATCHERS)
 }
@@ -163,8 +165,8 @@
         && freshness.should_watch(clock::now(), rank, node.settings().change_bound)
 }
 
-/// Returns how long ago the store confirmed the view to this node itself, in milliseconds, if the
-/// value may be sent to peers.
+/// Returns the age of the store's last confirmation to this node itself, in milliseconds; none if
+/// it must not be sent to peers.
 fn reportable_age_ms<P: Platform>(node: &Node<P>, subject: Subject) -> Option<u64> {
     let freshness = node.feeds.of(subject).state.borrow().freshness;
     freshness.reportable_age_ms(clock::now(), node.settings().change_bound)
@@ -224,7 +226,8 @@
     age_ms(node, subject).is_some_and(|age_ms| age_ms <= node.settings().change_bound.as_ms())
 }
 
-/// Converts a peer's changes, sent at `sent_after` or later, into an update by this node's clock.
+/// Converts a peer's changes into an update by this node's clock. `sent_after` is a time before
+/// they were sent; for a datagram it is the time of receipt, and the time in flight is neglected.
 fn peer_update(changes: Changes, from: SocketAddr, sent_after: UnixMs) -> FeedUpdate {
     FeedUpdate {
         after_outage: changes.after_outage,
@@ -331,7 +334,8 @@
     read_pages(prefix, false, async |call| node.store(&call).await).await
 }
 
-/// Reads all keys under a prefix by stale reads: they may be some seconds old and cost a tenth.
+/// Reads all keys under a prefix by stale reads: they may be some seconds old and cost a
+/// tenth of current ones.
 pub(crate) async fn read_stale<P: Platform>(
     node: &Node<P>,
     prefix: &str,
@@ -341,7 +345,7 @@
 }
 
 /// Reads the current keys under a prefix, directly and, if that is slow, also via a peer; the first
-/// answer wins. Tried one after the other, a path that hangs would delay one that works again.
+/// answer wins. If the paths were tried one after the other, one that hangs would delay the other.
 async fn read_hedged<P: Platform>(
     node: &Rc<Node<P>>,
     prefix: &'static str,
@@ -429,8 +433,8 @@
                 }
             }
             Ok(_) => {
-                let why = json!({ "subject": format!("{subject:?}"), "after": after });
-                node.note("feed_restarted", why);
+                let fields = json!({ "subject": format!("{subject:?}"), "after": after });
+                node.note("feed_restarted", fields);
                 return None;
             }
             Err(refusal) => return Some(refusal),
--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -44,8 +44,8 @@
     pub after_outage: bool,
     /// The revision up to which the changes are complete.
     pub as_of: u64,
-    /// How long before sending the sender last had its view confirmed by the store itself; none if
-    /// that was too long ago. A duration, because the clocks of two instances cannot be compared.
+    /// The age of the store's last confirmation of the sender's view when this was sent; none if it
+    /// was too old. A duration, because the clocks of two instances cannot be compared.
     pub confirmed_ms_ago: Option<u64>,
     /// The changes; none if they do not fit in a datagram.
     pub events: Option<Vec<StoreEvent>>,
@@ -85,6 +85,7 @@
 pub(super) struct FeedState {
     pub(super) as_of: u64,
     pub(super) freshness: Freshness,
+    /// The revision and value of each key.
     pub(super) items: IndexMap<String, (u64, Vec<u8>)>,
     /// The last changes, in the order in which they were applied.
     pub(super) log: VecDeque<StoreEvent>,
@@ -104,8 +105,8 @@
         let new = items.iter().filter(|item| item.revision > held(item));
         let mut events: Vec<StoreEvent> =
             removed.chain(new.cloned().map(StoreEvent::Written)).collect();
-        // A peer that misses some of them asks for the changes after its last revision, so they
-        // must be in order.
+        // They may be sent in several datagrams. A node that misses one asks for the changes after
+        // the last revision that it has, so they must be in order.
         events.sort_by_key(StoreEvent::revision);
         events
     }
@@ -152,7 +153,7 @@
 pub(super) fn datagrams(changes: Changes) -> Vec<Changes> {
     let Changes { after, after_outage, as_of, confirmed_ms_ago, events } = changes;
     let mut parts = Vec::new();
-    let mut part: Vec<StoreEvent> = Vec::new();
+    let mut part_events: Vec<StoreEvent> = Vec::new();
     let mut part_after = after;
     let mut spent_bytes = 0;
     for event in events.unwrap_or_default() {
@@ -161,8 +162,8 @@
             return vec![Changes { after, after_outage, as_of, confirmed_ms_ago, events: None }];
         }
         if spent_bytes + size_bytes > DATAGRAM_CHANGES_BYTES {
-            let until = part.last().map_or(part_after, StoreEvent::revision).max(part_after);
-            let events = Some(std::mem::take(&mut part));
+            let until = part_events.last().map_or(part_after, StoreEvent::revision).max(part_after);
+            let events = Some(std::mem::take(&mut part_events));
             let part = Changes {
                 after: part_after,
                 after_outage,
@@ -175,9 +176,9 @@
             spent_bytes = 0;
         }
         spent_bytes += size_bytes;
-        part.push(event);
+        part_events.push(event);
     }
-    let events = Some(part);
+    let events = Some(part_events);
     parts.push(Changes { after: part_after, after_outage, as_of, confirmed_ms_ago, events });
     parts
 }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -10,8 +10,9 @@
 //! → reader.
 //!
 //! A duty is a job that one node at a time does for all nodes; `duty_lease` holds the lease of a
-//! duty. `orders` is the duty that sends load orders to engines. `duties` is the duty that makes
-//! the calls to the platform, for `usage` and `scaling`.
+//! duty. There are two: `orders` sends load orders to engines, and `duties` makes the calls to the
+//! platform, for `usage` and `scaling`. In `feed` two nodes, chosen by rank without a lease, watch
+//! the store for all nodes.
 
 mod access;
 mod batch_calls;
--- a/crates/serve/src/metrics.rs
+++ b/crates/serve/src/metrics.rs
@@ -29,11 +29,13 @@
     pub feed_age_ms: Family<Reason, Gauge>,
     pub item_runs: Family<Reason, Counter>,
     pub item_seconds: Histogram,
+    /// Load orders to engines.
     pub orders: Family<Reason, Counter>,
     pub request_seconds: Histogram,
     pub requests_barred: Gauge,
     pub store_calls: Family<Reason, Counter>,
     pub store_failures: Family<Reason, Counter>,
+    /// Orders to the platform for a number of targets.
     pub target_orders: Family<Reason, Counter>,
     pub targets_ended: Family<Reason, Counter>,
     pub usage_reports: Family<Reason, Counter>,
@@ -124,11 +126,11 @@
 
     /// Returns the number of calls of the store so far, by kind.
     pub(crate) fn store_calls_so_far(&self) -> serde_json::Value {
-        let duties = ["get", "get_old", "lease", "renew", "range_old", "range", "write", "watch"];
+        let kinds = ["get", "get_old", "lease", "renew", "range_old", "range", "write", "watch"];
         let count = |reason| self.store_calls.get_or_create(&Reason { reason }).get();
-        duties
+        kinds
             .iter()
-            .map(|duty| ((*duty).to_owned(), count(*duty).into()))
+            .map(|kind| ((*kind).to_owned(), count(*kind).into()))
             .collect::<Map<_, _>>()
             .into()
     }
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -40,7 +40,7 @@
 /// After this time a call counts as lost. The store usually answers within milliseconds, and within
 /// half a second when it is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time that a watch may take beyond its wait.
+/// Time that a watch may take beyond its wait, and a call via a peer beyond a direct one.
 const WATCH_SLACK_MS: u64 = 1_000;
 /// How long calls go to peers first after a direct call to the store has failed.
 const STORE_BACKOFF_MS: u64 = 1_500;
@@ -49,8 +49,8 @@
 const STORE_PEERS_MAX: usize = 2;
 /// Approximate time per stream event, to estimate the remaining time of a resumed run.
 const EVENT_MS: u64 = 40;
-/// Size limit of the store's answers: a page of 1 MB in base64, with a margin.
-const STORE_ANSWER_MAX_BYTES: usize = 4 << 20;
+/// Size limit of the answers of the store and of peers: a page of 1 MB in base64, with a margin.
+const ANSWER_MAX_BYTES: usize = 4 << 20;
 
 /// The state of one process. Everything runs on one thread, and no borrow is held across an await.
 #[derive(Debug)]
@@ -68,6 +68,7 @@
     /// The configuration in force.
     pub document: RefCell<Option<Rc<Document>>>,
     pub feeds: Feeds,
+    /// Number of requests of callers that are being answered.
     pub in_flight: Cell<usize>,
     /// When this node joined the fleet; none before.
     pub joined_at: Cell<Option<UnixMs>>,
@@ -99,6 +100,7 @@
     pub usage: Usage,
     /// The store instances that are to be drained, each with the revision of the request.
     pub draining: RefCell<IndexMap<String, u64>>,
+    /// The newest published weight version of each model.
     pub versions: RefCell<IndexMap<String, u64>>,
     /// Wakes the scheduler of batch items.
     pub work: Notify,
@@ -120,8 +122,8 @@
             feeds: Feeds::default(),
             in_flight: Cell::new(0),
             joined_at: Cell::new(None),
-            // The platform provides no shared secret; the tag still rejects datagrams that are
-            // not frames.
+            // The platform provides no shared secret. With this fixed key the tag of a datagram
+            // still rejects data that is not a frame.
             key: SharedKey::derive(""),
             leaving: Cell::new(false),
             run_times: RefCell::new(RunTimeEstimator::default()),
@@ -257,9 +259,9 @@
 
     /// Calls the store, directly or via a peer.
     ///
-    /// A watch is tried one way only. A watch that was cut must not be resumed at its revision: the
-    /// store may have dropped that history, and reports so only with the next change, so the
-    /// configuration would be seconds old here. The feed reads all keys again instead.
+    /// A watch is not repeated on the other path. If the store has dropped the history after the
+    /// watch's revision, it reports so only with the next change, and until then this node would
+    /// miss changes. So the feed reads all keys again instead.
     pub(crate) async fn store(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let backs_off = clock::now() < self.store_backoff_until.get();
         if matches!(call, StoreCall::Watch { .. }) {
@@ -293,12 +295,12 @@
     /// Calls the store directly from this instance.
     pub(crate) async fn store_direct(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         count(&self.metrics.store_calls, call.kind());
-        let max = match call {
+        let timeout_after = match call {
             StoreCall::Watch { wait_ms, .. } => Duration::from_millis(wait_ms + WATCH_SLACK_MS),
             _ => STORE_TIMEOUT,
         };
         let began_at = clock::now();
-        let result = self.exchange_retried_after_outage(call, max).await;
+        let result = self.exchange_retried_after_outage(call, timeout_after).await;
         match &result {
             Ok(_) => {
                 self.store_backoff_until.set(UnixMs(0));
@@ -311,8 +313,8 @@
                 }
                 self.store_backoff_until.set(clock::now().plus(STORE_BACKOFF_MS));
                 if self.outage.record_failure(began_at) {
-                    let why = json!({ "by": call.kind(), "why": refusal.message });
-                    self.note("store_lost", why);
+                    let fields = json!({ "by": call.kind(), "why": refusal.message });
+                    self.note("store_lost", fields);
                 }
             }
         }
@@ -323,7 +325,7 @@
     async fn exchange_retried_after_outage(
         &self,
         call: &StoreCall,
-        max: Duration,
+        timeout_after: Duration,
     ) -> Result<StoreAnswer, StoreRefusal> {
         let may_have_run = |message: &str| StoreRefusal {
             message: message.to_owned(),
@@ -331,7 +333,7 @@
         };
         let outage_ended = self.outage.ended.notified();
         tokio::select! {
-            result = timeout(max, self.exchange_with_store(call)) => {
+            result = timeout(timeout_after, self.exchange_with_store(call)) => {
                 return result.unwrap_or_else(|_| Err(may_have_run("no answer in time")));
             }
             () = outage_ended => {}
@@ -340,7 +342,7 @@
             return Err(may_have_run("it was made during an outage"));
         }
         self.note("store_call_again", json!({ "by": call.kind() }));
-        let again = timeout(max, self.exchange_with_store(call)).await;
+        let again = timeout(timeout_after, self.exchange_with_store(call)).await;
         // The first call may still have been carried out, whatever the outcome of the second.
         again
             .unwrap_or_else(|_| Err(may_have_run("no answer in time")))
@@ -352,14 +354,14 @@
         &self,
         call: &StoreCall,
     ) -> Result<StoreAnswer, StoreRefusal> {
-        let written = P::store_request(call);
+        let encoded = P::store_request(call);
         let address = self.settings().store;
         let request = Request::builder()
-            .method(written.method)
-            .uri(written.path)
+            .method(encoded.method)
+            .uri(encoded.path)
             .header(http::header::HOST, address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
-            .body(Full::new(written.body))
+            .body(Full::new(encoded.body))
             .map_err(|error| StoreRefusal {
                 message: error.to_string(),
                 verdict: Verdict::NotRun,
@@ -370,18 +372,18 @@
         };
         let (response, connection) = self.pool.send(address, request).await.map_err(failed)?;
         let (head, body) = response.into_parts();
-        let body = read_body(body, STORE_ANSWER_MAX_BYTES).await.map_err(failed)?;
+        let body = read_body(body, ANSWER_MAX_BYTES).await.map_err(failed)?;
         self.pool.release(connection, &head.headers);
         P::store_answer(call, head.status.as_u16(), &body)
     }
 
     async fn store_via_peers(&self, call: &StoreCall) -> Result<StoreAnswer, StoreRefusal> {
         let wait_ms = if let StoreCall::Watch { wait_ms, .. } = call { *wait_ms } else { 0 };
-        let max = STORE_TIMEOUT + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
+        let timeout_after = STORE_TIMEOUT + Duration::from_millis(wait_ms + WATCH_SLACK_MS);
         let peers = if wait_ms > 0 { 1 } else { STORE_PEERS_MAX };
         let mut last = no_live_peer();
         for peer in self.live_peers().into_iter().take(peers) {
-            match self.store_via(peer, call, max).await {
+            match self.store_via(peer, call, timeout_after).await {
                 Ok(answer) => {
                     self.batches.store_returned();
                     return Ok(answer);
@@ -407,10 +409,11 @@
         &self,
         peer: SocketAddr,
         call: &StoreCall,
-        max: Duration,
+        timeout_after: Duration,
     ) -> Result<StoreAnswer, StoreRefusal> {
         let refusal = |message: String, verdict| StoreRefusal { message, verdict };
-        let result = match self.ask_peer(peer, &PeerCall::Store(call.clone()), max).await {
+        let result = match self.ask_peer(peer, &PeerCall::Store(call.clone()), timeout_after).await
+        {
             Ok(PeerAnswer::Store(result)) => result,
             Ok(_) => Err(refusal("another answer than the store's".to_owned(), Verdict::Ran)),
             Err(error) => Err(refusal(error.message, error.verdict)),
@@ -421,12 +424,12 @@
         result
     }
 
-    /// Calls a peer, with a timeout of `max`.
+    /// Calls a peer, with a timeout of `timeout_after`.
     pub(crate) async fn ask_peer(
         &self,
         peer: SocketAddr,
         call: &PeerCall,
-        max: Duration,
+        timeout_after: Duration,
     ) -> Result<PeerAnswer, crate::pool::CallError> {
         use crate::pool::CallError;
         let body = postcard::to_stdvec(call)
@@ -438,11 +441,11 @@
         let exchange = async {
             let (response, connection) = self.pool.send(peer, request).await?;
             let (head, body) = response.into_parts();
-            let body = read_body(body, STORE_ANSWER_MAX_BYTES).await?;
+            let body = read_body(body, ANSWER_MAX_BYTES).await?;
             self.pool.release(connection, &head.headers);
             postcard::from_bytes(&body).map_err(|error| CallError::may_have_run(error.to_string()))
         };
-        match timeout(max, exchange).await {
+        match timeout(timeout_after, exchange).await {
             Ok(answer) => answer,
             Err(_) => Err(CallError::may_have_run("the peer did not answer in time")),
         }
--- a/crates/serve/src/orders.rs
+++ b/crates/serve/src/orders.rs
@@ -1,10 +1,10 @@
 //! Orders engines to load the weight versions that trainers publish.
 //!
-//! One node at a time sends all orders, under a lease with a fencing number. Engines need not check
-//! the number. So the holder stops before its lease can lapse, by a clock that counts pauses, and a
-//! new holder waits until no order of the previous one can still arrive. Every order states how
-//! many orders the engine must have accepted before it; one that arrives late finds another number
-//! and has no effect.
+//! One node at a time sends all orders, under a lease with a fencing number. Engines may ignore the
+//! number. So the holder stops before its lease can lapse, by a clock that also runs while the
+//! instance is suspended, and a new holder waits until no order of the previous one can still
+//! arrive. Every order states how many orders the engine must have accepted before it; one that
+//! arrives late finds another number and has no effect.
 
 use crate::clock;
 use crate::duty_lease::DutyLease;
@@ -52,17 +52,17 @@
 /// Size limit of an engine's report.
 const REPORT_MAX_BYTES: usize = 1 << 20;
 
-/// The state of the duty's holder.
+/// This node's state of the duty.
 #[derive(Debug)]
-struct Holder {
+struct OrderDuty {
     /// Orders that each target has accepted, by target id, as far as known.
     accepted: RefCell<IndexMap<String, AcceptedOrders>>,
     rollouts: RefCell<IndexMap<String, Rollout>>,
     /// How each service's targets were shared among models when that was last logged.
-    shared: RefCell<IndexMap<String, serde_json::Value>>,
+    logged_shares: RefCell<IndexMap<String, serde_json::Value>>,
     lease: Rc<DutyLease>,
-    /// The store instances that were reported as drained, each with the revision of the request. An
-    /// instance may be drained again, and its earlier report is gone by then.
+    /// The store instances whose reports as drained were begun or sent, each with the revision of
+    /// the request. An instance may be drained again, and its earlier report is gone by then.
     drained: RefCell<IndexMap<String, u64>>,
 }
 
@@ -73,7 +73,7 @@
     orders: u64,
 }
 
-impl Holder {
+impl OrderDuty {
     /// Returns how many orders a target has accepted in its current incarnation. The count starts
     /// anew when the target restarts, and the engine refuses every order with the old count.
     fn accepted(&self, entry: &TargetEntry) -> Option<u64> {
@@ -91,10 +91,10 @@
 /// Takes part in the duty until the process ends.
 pub(crate) async fn run_order_duty<P: Platform>(node: Rc<Node<P>>) {
     let Some(lease) = DutyLease::open(&node, DUTY, LEASE_KEY).await else { return };
-    let holder = Rc::new(Holder {
+    let holder = Rc::new(OrderDuty {
         accepted: RefCell::new(IndexMap::new()),
         rollouts: RefCell::new(IndexMap::new()),
-        shared: RefCell::new(IndexMap::new()),
+        logged_shares: RefCell::new(IndexMap::new()),
         lease,
         drained: RefCell::new(IndexMap::new()),
     });
@@ -105,6 +105,8 @@
         if holder.lease.order_fence(now).is_some() {
             plan(&node, &holder);
         }
+        // A report of a drain goes to the store, so it need not wait for the calls of the previous
+        // holder.
         if holder.lease.fence(now).is_some() {
             report_drained(&node, &holder);
         }
@@ -112,7 +114,7 @@
 }
 
 /// Starts the load orders that are due.
-fn plan<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
+fn plan<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<OrderDuty>) {
     let Some(document) = node.document() else { return };
     let now = clock::now();
     for (service, config) in &document.services {
@@ -162,18 +164,18 @@
 }
 
 /// Logs how the targets of a service are shared among its models, when that has changed.
-fn log_shares<P: Platform>(node: &Node<P>, holder: &Holder, service: &str, rollout: &Rollout) {
+fn log_shares<P: Platform>(node: &Node<P>, holder: &OrderDuty, service: &str, rollout: &Rollout) {
     let counts = json!(rollout.counts());
-    let mut shared = holder.shared.borrow_mut();
-    if shared.get(service) != Some(&counts) {
+    let mut logged_shares = holder.logged_shares.borrow_mut();
+    if logged_shares.get(service) != Some(&counts) {
         node.note("targets_shared", json!({ "service": service, "targets": counts }));
-        shared.insert(service.to_owned(), counts);
+        logged_shares.insert(service.to_owned(), counts);
     }
 }
 
 async fn carry_out<P: Platform>(
     node: &Rc<Node<P>>,
-    holder: &Rc<Holder>,
+    holder: &Rc<OrderDuty>,
     order: &LoadOrder,
     runs_continue: bool,
 ) -> LoadOutcome {
@@ -184,7 +186,7 @@
     let chosen = ChosenTarget { address: entry.address, id: entry.id };
     let expected_orders = match known {
         Some(accepted) => accepted,
-        None => match report(node, &chosen).await {
+        None => match read_report(node, &chosen).await {
             Ok(report) if report.busy => return LoadOutcome::Failed,
             Ok(report) => {
                 apply_report(node, holder, &chosen, &report);
@@ -209,7 +211,7 @@
         version: order.version,
     };
     let (path, body) = P::engine_order(&call);
-    peers::announce_load(node, &chosen.id, LOAD_MS);
+    peers::announce_loading(node, &chosen.id, LOAD_MS);
     let sent = engine_call::<P>(node, &chosen, Some((path, body))).await;
     let status = sent.as_ref().ok().map(|(status, _)| status.as_u16());
     node.note(
@@ -235,7 +237,7 @@
         Err(error) if error.verdict == Verdict::NotRun => return LoadOutcome::Failed,
         Err(_) => {
             sleep(REPORT_LAG).await;
-            match report(node, &chosen).await {
+            match read_report(node, &chosen).await {
                 Ok(report) if report.busy || has_version(&report, order) => {}
                 _ => return LoadOutcome::Failed,
             }
@@ -246,7 +248,7 @@
 
 async fn wait_for_version<P: Platform>(
     node: &Rc<Node<P>>,
-    holder: &Rc<Holder>,
+    holder: &Rc<OrderDuty>,
     chosen: &ChosenTarget,
     order: &LoadOrder,
 ) -> LoadOutcome {
@@ -257,7 +259,7 @@
         if known {
             return LoadOutcome::Done;
         }
-        match report(node, chosen).await {
+        match read_report(node, chosen).await {
             Ok(report) => {
                 apply_report(node, holder, chosen, &report);
                 if has_version(&report, order) {
@@ -280,7 +282,7 @@
 
 fn apply_report<P: Platform>(
     node: &Node<P>,
-    holder: &Holder,
+    holder: &OrderDuty,
     chosen: &ChosenTarget,
     report: &EngineReport,
 ) {
@@ -292,13 +294,16 @@
     }
 }
 
-async fn report<P: Platform>(
+/// Reads the report of an engine, and applies the start time that it gives.
+async fn read_report<P: Platform>(
     node: &Rc<Node<P>>,
     chosen: &ChosenTarget,
 ) -> Result<EngineReport, CallError> {
     let (status, body) = engine_call::<P>(node, chosen, None).await?;
     if status != StatusCode::OK {
-        return Err(CallError::may_have_run(format!("the report was answered {status}")));
+        return Err(CallError::may_have_run(format!(
+            "the engine answered {status} when asked for its report"
+        )));
     }
     let report =
         P::engine_report(&body).map_err(|error| CallError::may_have_run(error.to_string()))?;
@@ -326,11 +331,11 @@
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
         .map_err(|error| CallError { message: error.to_string(), verdict: Verdict::NotRun })?;
-    let marks = crate::platform::TargetRequestMetadata {
+    let metadata = crate::platform::TargetRequestMetadata {
         expected_target: Some(&chosen.id),
         ..crate::platform::TargetRequestMetadata::default()
     };
-    P::set_request_metadata(request.headers_mut(), &marks);
+    P::set_request_metadata(request.headers_mut(), &metadata);
     let exchange = async {
         let (response, connection) = node.pool.send(chosen.address, request).await?;
         let (head, body) = response.into_parts();
@@ -340,12 +345,15 @@
     };
     match timeout(ENGINE_TIMEOUT, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(CallError::may_have_run("the engine did not answer in time")),
+        Err(_) => Err(CallError::may_have_run(format!(
+            "the engine did not answer within {ENGINE_TIMEOUT:?}"
+        ))),
     }
 }
 
-/// Reports the store instances to be drained as drained at once: nothing durable is kept on them.
-fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<Holder>) {
+/// Reports each store instance to be drained as drained at once: this process keeps nothing on it
+/// beside its data in the store, which it does not move itself.
+fn report_drained<P: Platform>(node: &Rc<Node<P>>, holder: &Rc<OrderDuty>) {
     let requested = node.draining.borrow().clone();
     for (instance, revision) in requested {
         let reported = holder.drained.borrow_mut().insert(instance.clone(), revision);
@@ -354,7 +362,7 @@
         }
         let (node, holder) = (Rc::clone(node), Rc::clone(holder));
         tokio::task::spawn_local(async move {
-            let (key, value) = P::drained(&instance);
+            let (key, value) = P::drained_report(&instance);
             let puts = vec![Put { key, lease: None, value }];
             let call = StoreCall::Transaction { deletes: Vec::new(), expected: Vec::new(), puts };
             match node.store(&call).await {
@@ -362,8 +370,8 @@
                     node.note("vacate_done", json!({ "machine": instance, "revision": revision }));
                 }
                 Err(refusal) => {
-                    let why = json!({ "machine": instance, "why": refusal.message });
-                    node.note("vacate_unreported", why);
+                    let fields = json!({ "machine": instance, "why": refusal.message });
+                    node.note("vacate_unreported", fields);
                     holder.drained.borrow_mut().swap_remove(&instance);
                 }
             }
--- a/crates/serve/src/outage.rs
+++ b/crates/serve/src/outage.rs
@@ -2,10 +2,10 @@
 //!
 //! Fault guarded against: work is delayed after the store is back. A call made during the outage
 //! counts as lost only after a second, and the paths to the store are tried one after the other.
-//! Results were listed, and batches taken over, up to 3.6 s after the store's return (1.3 s for a
-//! dead owner's batch with an outage of seven seconds). So the watching nodes probe the store with
-//! stale reads, which cost a tenth. When one is answered they notify all nodes, and calls that
-//! still wait for an answer are repeated at once.
+//! Results were listed, and batches taken over, up to 3.6 s after the store's return; after an
+//! outage of seven seconds, a dead owner's batch was taken over 1.3 s after it. So the watching
+//! nodes probe the store with stale reads, which cost a tenth. When one is answered they notify all
+//! nodes, and calls that still wait for an answer are repeated at once.
 
 use crate::feed;
 use crate::metrics::count;
@@ -35,14 +35,15 @@
 pub(crate) struct Outage {
     /// When the store last answered this node.
     answered_at: Cell<UnixMs>,
-    /// When the first unanswered call was made; none while the store answers.
+    /// When the first failed call was made; none while calls succeed.
     since: Cell<Option<UnixMs>>,
     /// Wakes the calls that wait for an answer, to be repeated.
     pub ended: Notify,
 }
 
 impl Outage {
-    /// Returns whether the last call of this node to the store failed.
+    /// Returns whether an outage is going on, as this node sees it. A failed call does not count if
+    /// the store has answered since it was made.
     pub(crate) const fn is_ongoing(&self) -> bool {
         self.since.get().is_some()
     }
@@ -74,7 +75,7 @@
         return;
     }
     node.outage.ended.notify_waiters();
-    if feed::is_watcher(node) {
+    if feed::is_watcher_by_rank(node) {
         peers::broadcast(node, &Datagram::StoreReturned);
     }
 }
@@ -97,13 +98,14 @@
 pub(crate) async fn probe_during_outages<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(PROBE_INTERVAL).await;
-        if node.outage.is_ongoing() && feed::is_watcher(&node) {
+        if node.outage.is_ongoing() && feed::is_watcher_by_rank(&node) {
             tokio::task::spawn_local(probe(Rc::clone(&node)));
         }
     }
 }
 
 async fn probe<P: Platform>(node: Rc<Node<P>>) {
+    // Any key will do.
     let call = StoreCall::Get { key: orders::LEASE_KEY.to_owned(), may_be_old: true };
     count(&node.metrics.store_calls, call.kind());
     if matches!(timeout(PROBE_TIMEOUT, node.exchange_with_store(&call)).await, Ok(Ok(_))) {
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -40,7 +40,7 @@
 /// The answer to a [`PeerCall`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum PeerAnswer {
-    /// The call was accepted; a batch that came with it is kept.
+    /// The call was accepted: a submission is durable, a copy or counts are kept.
     Accepted,
     /// The receiver takes the batch over.
     Adopting,
@@ -50,7 +50,7 @@
     Changes(Changes),
     /// The batch is ended, and that is durable.
     Ended,
-    /// There is no such batch, or the caller may not see it.
+    /// There is no such batch, the caller may not see it, or a submission's id is taken.
     NoBatch,
     /// There is no such item.
     NoItem,
@@ -60,7 +60,7 @@
     Page { results: Vec<ItemResult>, total: usize },
     /// The store's answer.
     Store(Result<StoreAnswer, StoreRefusal>),
-    /// The receiver cannot serve the call now.
+    /// The receiver cannot serve the call now, or lacks the changes or the copy that it is about.
     Unavailable,
 }
 
@@ -84,7 +84,7 @@
     TargetLoads { started_at_unix_ms: Option<u64>, for_ms: u64, target: String },
 }
 
-/// An incarnation of a node, as the owner of batches.
+/// An incarnation of a node, as the owner of batches or a candidate for a duty.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub(crate) struct Owner {
     /// Where the node takes calls and datagrams of its peers.
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -45,14 +45,14 @@
 /// A gap this long between two ticks means that the process was paused, and that others may have
 /// suspected this node.
 const PAUSE_MIN_MS: u64 = 700;
-/// How long after joining a node knows the other nodes: the time of several probes. Before that it
+/// How long after joining a node knows the other nodes: the time of two probes. Before that it
 /// does not watch the store, although it may rank first.
 pub(crate) const SETTLE_MS: u64 = 700;
 /// Size limit of a call between nodes: a page of results or a value of the store.
 const PEER_CALL_MAX_BYTES: usize = 4 << 20;
 
-/// Converts a text into a valid node name: other characters become `-`, and it is cut at 64
-/// characters.
+/// Converts a text into a valid name of a node, data centre or duty: it is lowercased, other
+/// characters become `-`, and it is cut at 64 characters; `node` if the result is not valid.
 pub(crate) fn to_node_name(text: &str) -> Name {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
     let cleaned: String = text
@@ -95,8 +95,8 @@
     Some(joined_at.plus(SETTLE_MS).since_ms(clock::now()))
 }
 
-/// Returns after how long this node must check its rank again, in milliseconds. Once it knows the
-/// other nodes, changes are reported to it and it need not check.
+/// Returns the time until this node knows the other nodes, in milliseconds, as the time after which
+/// to check its rank again; `u64::MAX` once it knows them.
 pub(crate) fn next_settle_check_ms<P: Platform>(node: &Node<P>) -> u64 {
     match settles_after_ms(node) {
         None => SETTLE_MS,
@@ -109,6 +109,7 @@
 pub(crate) async fn run_membership<P: Platform>(node: Rc<Node<P>>) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    // Larger than the largest datagram, so that an oversized one is seen as such.
     let mut buffer = vec![0; wire::DATAGRAM_MAX_BYTES + 64];
     let mut signs = SuspicionSigns { refutation: 0, ticked_at: clock::now() };
     with_members(&node, |members, _| members.announce_to_seeds());
@@ -171,7 +172,7 @@
                 node.targets.borrow_mut().apply_start_time(&target, started_at_unix_ms);
             node.target_changed(&change, "a peer");
             if is_current {
-                target_loads(node, &target, for_ms);
+                set_target_loading(node, &target, for_ms);
             }
         }
         Err(error) => {
@@ -233,8 +234,9 @@
     match wire::seal(&node.key, datagram, wire::DATAGRAM_MAX_BYTES) {
         Ok(frame) => {
             if let Err(error) = node.datagrams.try_send_to(&frame, to) {
-                let waits = error.kind() == std::io::ErrorKind::WouldBlock;
-                if !waits {
+                let buffer_is_full = error.kind() == std::io::ErrorKind::WouldBlock;
+                // The datagram is dropped, like one lost on the way.
+                if !buffer_is_full {
                     node.note("datagram_unsent", json!({ "to": to, "why": error.to_string() }));
                 }
             }
@@ -257,8 +259,8 @@
 }
 
 /// Announces to the owners of batches, which alone start items, that a target loads weights.
-pub(crate) fn announce_load<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
-    target_loads(node, target, for_ms);
+pub(crate) fn announce_loading<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
+    set_target_loading(node, target, for_ms);
     let started_at_unix_ms =
         node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
     let datagram = Datagram::TargetLoads { started_at_unix_ms, for_ms, target: target.to_owned() };
@@ -267,7 +269,7 @@
     }
 }
 
-fn target_loads<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
+fn set_target_loading<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
     node.load.borrow_mut().loading_until(target, clock::now().plus(for_ms));
 }
 
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -1,4 +1,4 @@
-//! Ranks of nodes for duties, the jobs that one node at a time does for all nodes.
+//! Ranks of nodes, by which the nodes that do a duty or watch the store are chosen.
 
 use super::{Owner, to_node_name, with_members};
 use crate::node::Node;
@@ -31,7 +31,8 @@
     rank_for(node, duty) == Some(0)
 }
 
-/// Returns the address of the node that ranks first for a duty; none if it is this one.
+/// Returns the address of the node that ranks first for a duty; none if it is this one or
+/// no other live node is known.
 pub(crate) fn first_for<P: Platform>(node: &Node<P>, duty: &str) -> Option<SocketAddr> {
     if is_first_for(node, duty) {
         return None;
@@ -48,7 +49,7 @@
     Some(owner_of(first))
 }
 
-/// Returns the `count` nodes that rank first for a duty, this one included, and its holder.
+/// Returns the `count` nodes that rank first for a duty, this one included, and the duty's holder.
 pub(crate) fn duty_candidates<P: Platform>(node: &Node<P>, duty: &str, count: usize) -> Vec<Owner> {
     let holder = holder_of(node, &to_node_name(duty));
     let members = node.members.borrow();
@@ -77,7 +78,7 @@
         .collect()
 }
 
-/// Returns the announced holder of a duty, if it is alive.
+/// Returns the announced holder of a duty, if it is neither leaving nor gone.
 pub(crate) fn holder_of<P: Platform>(node: &Node<P>, duty: &Name) -> Option<Name> {
     let members = node.members.borrow();
     let members = members.as_ref()?;
--- a/crates/serve/src/platform.rs
+++ b/crates/serve/src/platform.rs
@@ -42,8 +42,8 @@
     Document(Document),
     /// An instance of the store is to be drained.
     Drain {
-        /// The name of the instance's node.
-        node: String,
+        /// The name of the store instance.
+        instance: String,
     },
     /// A trainer has published a weight version of its model.
     Version {
@@ -156,7 +156,7 @@
         count: u32,
         /// The data centre.
         data_centre: &'a str,
-        /// Whether the call is about targets that the platform may reclaim.
+        /// Whether these are targets that the platform may reclaim.
         reclaimable: bool,
         /// The service.
         service: &'a str,
@@ -183,7 +183,7 @@
 
 /// The names, formats and calls of a platform, chosen at compile time.
 pub trait Platform: Copy + Debug + 'static {
-    /// Prefix of the keys that the operators write.
+    /// Prefix of the keys that operators and trainers write.
     const OPERATOR_PREFIX: &'static str;
     /// Prefix of the keys under which targets register.
     const TARGETS_PREFIX: &'static str;
@@ -207,7 +207,8 @@
         body: &[u8],
     ) -> Result<StoreAnswer, StoreRefusal>;
 
-    /// Decodes the value that was written under a key; none for keys that mean nothing here.
+    /// Decodes the value that was written under a key; none for a key that
+    /// this process does not use.
     ///
     /// # Errors
     /// If the value is not in its format.
@@ -223,7 +224,7 @@
     fn target_entry(key: &str, value: &[u8]) -> Result<TargetEntry, DecodeError>;
 
     /// Returns the key and value which report that an instance of the store is drained.
-    fn drained(node: &str) -> (String, Vec<u8>);
+    fn drained_report(instance: &str) -> (String, Vec<u8>);
 
     /// Returns whether this is the platform's readiness probe.
     fn is_readiness_probe(head: &Parts) -> bool;
@@ -250,7 +251,7 @@
     fn results_page(total: usize, next: usize, results: &[ItemResult]) -> Bytes;
 
     /// Writes the metadata of a request to a target into its headers.
-    fn set_request_metadata(headers: &mut HeaderMap, marks: &TargetRequestMetadata<'_>);
+    fn set_request_metadata(headers: &mut HeaderMap, metadata: &TargetRequestMetadata<'_>);
 
     /// Reads the metadata of a target's response from its headers.
     fn response_metadata(headers: &HeaderMap) -> TargetResponseMetadata;
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -35,7 +35,8 @@
 const ADDRESS_TTL_FACTOR: u64 = 3;
 /// Part of the grace time that is reserved for the exit itself.
 const EXIT_RESERVE_MS: u64 = 1_000;
-/// Interval of the summary lines: rare enough to cost little, close enough to date an incident.
+/// Interval of the summary lines: rare enough to cost little, frequent enough to show
+/// when an incident began.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 /// Interval at which a start waits for the configuration, and a stop for its last requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -58,7 +59,7 @@
     LocalSet::new().block_on(&runtime, work)
 }
 
-/// Runs an entry node until it receives SIGTERM.
+/// Runs a node that serves callers until it receives SIGTERM.
 ///
 /// # Errors
 /// If a setting is wrong or an address cannot be bound.
@@ -90,6 +91,7 @@
             }
         }
         trail.note(clock::now(), "stopped", json!({}));
+        // Leaves the writer of the audit trail time to write the last lines.
         sleep(Duration::from_millis(EXIT_RESERVE_MS)).await;
         Ok(())
     })
@@ -102,7 +104,7 @@
     let trail = Trail::open(&settings.node);
     let datagrams = UdpSocket::bind(settings.peer)
         .await
-        .map_err(start_error("cannot bind the peer address"))?;
+        .map_err(start_error("cannot bind the peer address (UDP)"))?;
     let node = Rc::new(Node::<P>::open(settings, datagrams, trail));
     let settings = node.settings();
     node.note(
@@ -146,8 +148,8 @@
         spawn_local(listener::accept(Rc::clone(node), callers, listener::serve_caller));
     }
     for address in [settings.ready, settings.directory].into_iter().flatten() {
-        let operators = bind(address).await?;
-        spawn_local(listener::accept(Rc::clone(node), operators, listener::serve_operators));
+        let probes = bind(address).await?;
+        spawn_local(listener::accept(Rc::clone(node), probes, listener::serve_operators));
     }
     if let Some(port) = metrics_port {
         let metrics = bind(SocketAddr::new(settings.peer.ip(), port)).await?;
@@ -207,8 +209,8 @@
     }
 }
 
-/// Reads the registered nodes. Gossip adds the missing ones, so a stale read is sufficient, unless
-/// it lists no other node, as when the whole fleet starts for the first time.
+/// Reads the registered nodes. A stale read is sufficient, since gossip adds missing nodes. If it
+/// lists no other node, as at the first start of the fleet, the current list is read.
 async fn registered_nodes<P: Platform>(node: &Node<P>) -> Result<Vec<StoredItem>, StoreRefusal> {
     let own_key = format!("{NODES}{}", node.settings().node);
     let items = feed::read_stale(node, NODES).await?;
--- a/crates/serve/src/scaling.rs
+++ b/crates/serve/src/scaling.rs
@@ -1,5 +1,5 @@
-//! Orders the number of targets of each service from the platform, on the node that holds the duty
-//! towards it.
+//! Tells the platform how many targets each service is to have, on the node that holds the duty
+//! towards the platform.
 
 use crate::clock;
 use crate::duties::send_duty_call;
@@ -18,9 +18,9 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Prefix of the keys with the desired counts, by service. Without them a new holder would take the
-/// targets left after a loss for the number that the service started with.
-const WANTED: &str = "cm/w/";
+/// Prefix of the keys with the desired counts, by service. Without them a holder that
+/// takes over after a loss of targets would take the remaining ones for the desired number.
+const DESIRED: &str = "cm/w/";
 /// Interval at which due work is done.
 const TICK: Duration = Duration::from_millis(250);
 
@@ -33,7 +33,7 @@
 }
 
 /// Orders targets whenever this node holds the duty, until the process ends.
-pub(crate) async fn order<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
+pub(crate) async fn order_targets<P: Platform>(node: Rc<Node<P>>, lease: Rc<DutyLease>) {
     let mut services: IndexMap<String, Service> = IndexMap::new();
     loop {
         sleep(TICK).await;
@@ -68,18 +68,18 @@
 /// Opens a service with the desired counts that an earlier holder stored; none while the store does
 /// not answer.
 async fn open<P: Platform>(node: &Rc<Node<P>>, service: &str) -> Option<Service> {
-    let call = StoreCall::Get { key: wanted_key(service), may_be_old: false };
+    let call = StoreCall::Get { key: desired_key(service), may_be_old: false };
     let Ok(StoreAnswer::Item(found)) = node.store(&call).await else { return None };
-    let wanted = found.and_then(|item| {
-        let wanted = postcard::from_bytes::<Vec<(Pool, u32)>>(&item.value);
-        wanted.ok().map(|pools| pools.into_iter().collect::<PoolCounts>())
+    let desired = found.and_then(|item| {
+        let desired = postcard::from_bytes::<Vec<(Pool, u32)>>(&item.value);
+        desired.ok().map(|pools| pools.into_iter().collect::<PoolCounts>())
     });
-    let written = wanted.is_some();
-    Some(Service { scaling: Scaling::open(wanted), written })
+    let written = desired.is_some();
+    Some(Service { scaling: Scaling::open(desired), written })
 }
 
-fn wanted_key(service: &str) -> String {
-    format!("{WANTED}{service}")
+fn desired_key(service: &str) -> String {
+    format!("{DESIRED}{service}")
 }
 
 /// Returns the number of usable targets in each pool of a service.
@@ -106,9 +106,9 @@
         let serving = serving(node, name);
         let orders = self.scaling.plan(clock::now(), config, &serving);
         if !self.written
-            && let Some(wanted) = self.scaling.desired()
+            && let Some(desired) = self.scaling.desired()
         {
-            self.written = write(node, lease, name, wanted).await;
+            self.written = write(node, lease, name, desired).await;
         }
         for order in orders {
             let call = DutyCall::Targets {
@@ -120,8 +120,8 @@
             let Some(answer) = send_duty_call(node, lease, duties, &call).await else { return };
             log_order(node, name, &order, &serving, &answer);
             let outcome = outcome(&answer);
-            let count = serving.get(&order.pool).copied().unwrap_or(0);
-            self.scaling.record_outcome(clock::now(), &order, count, outcome);
+            let serving_count = serving.get(&order.pool).copied().unwrap_or(0);
+            self.scaling.record_outcome(clock::now(), &order, serving_count, outcome);
         }
     }
 }
@@ -130,6 +130,7 @@
     match answer {
         Ok(StatusCode::OK) => OrderOutcome::Accepted,
         Ok(StatusCode::CONFLICT) => OrderOutcome::NoCapacity,
+        // Also a refusal with another status: the order may be in force.
         Ok(_) | Err(_) => OrderOutcome::Unknown,
     }
 }
@@ -163,15 +164,15 @@
     node: &Rc<Node<P>>,
     lease: &DutyLease,
     service: &str,
-    wanted: &PoolCounts,
+    desired: &PoolCounts,
 ) -> bool {
     let Some(fence) = lease.order_fence(clock::now()) else { return false };
-    let pools: Vec<(&Pool, u32)> = wanted.iter().map(|(pool, count)| (pool, *count)).collect();
+    let pools: Vec<(&Pool, u32)> = desired.iter().map(|(pool, count)| (pool, *count)).collect();
     let Ok(value) = postcard::to_stdvec(&pools) else { return false };
     let call = StoreCall::Transaction {
         deletes: Vec::new(),
         expected: vec![Expectation { key: lease.key().to_owned(), revision: fence.0 }],
-        puts: vec![Put { key: wanted_key(service), lease: None, value }],
+        puts: vec![Put { key: desired_key(service), lease: None, value }],
     };
     matches!(node.store(&call).await, Ok(StoreAnswer::Committed { .. }))
 }
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process, validated at start.
+//! The settings of a process, validated at start and at each reload.
 
 use catkinmast_dispatch::ChangeBound;
 use displaydoc::Display;
@@ -28,9 +28,10 @@
     pub keys_refused_from_age_ms: Option<u64>,
     /// The shortest lease that the store grants.
     pub lease_min_ms: u64,
-    /// The name of this node, which is its instance's.
+    /// The name of this node: the name of its instance.
     pub node: String,
-    /// How long after a previous holder's last order to a target a new holder's may come.
+    /// How long after a previous holder's last order a new holder must not send one, in
+    /// milliseconds.
     pub order_lease_ms: u64,
     /// The address for the other nodes, by UDP and TCP.
     pub peer: SocketAddr,
@@ -47,7 +48,7 @@
 pub struct DutySettings {
     /// The address that its calls go to.
     pub address: SocketAddr,
-    /// Whether numbers of targets are ordered.
+    /// Whether this process orders targets from the platform.
     pub orders_targets: bool,
     /// Whether the usage of each workspace is reported.
     pub reports_usage: bool,
--- a/crates/serve/src/store.rs
+++ b/crates/serve/src/store.rs
@@ -2,7 +2,7 @@
 //!
 //! The store may refuse this instance while it serves the others. Then a peer makes the call on its
 //! behalf; a peer never forwards it further. A call that may have been carried out is reported as
-//! such, and the caller must be able to find out whether it was.
+//! such, and the code that makes the call must be able to find out whether it was.
 
 use catkinmast_model::Verdict;
 use displaydoc::Display;
@@ -39,7 +39,7 @@
     Get {
         /// The key.
         key: String,
-        /// Whether an answer that is seconds old will do; it costs a tenth.
+        /// Whether an answer that is seconds old will do; it costs a tenth of a current one.
         may_be_old: bool,
     },
     /// Ends a lease.
@@ -61,7 +61,7 @@
     Range {
         /// The key after which the page begins; empty for the first page.
         after: String,
-        /// Whether an answer that is seconds old will do; it costs a tenth.
+        /// Whether an answer that is seconds old will do; it costs a tenth of a current one.
         may_be_old: bool,
         /// The prefix.
         prefix: String,
--- a/crates/serve/src/usage.rs
+++ b/crates/serve/src/usage.rs
@@ -24,8 +24,8 @@
 
 /// Interval at which a node shares new counts, in a small fleet.
 const SHARE_INTERVAL: Duration = Duration::from_millis(250);
-/// Fleet size per multiple of [`SHARE_INTERVAL`], so that each receiver gets at most some 250 calls
-/// a second in a fleet of any size.
+/// The interval grows by one [`SHARE_INTERVAL`] per this many nodes, so that each receiver gets at
+/// most some 250 calls a second in a fleet of any size.
 const SHARE_NODES_PER_INTERVAL: usize = 64;
 /// How long a receiver may take to answer.
 const SHARE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -47,7 +47,8 @@
         self.time.borrow_mut().record_reading(node, wall, clock::now());
     }
 
-    /// Returns the wall-clock time on which most nodes agree.
+    /// Returns the wall-clock time on which most nodes agree; this node's own while no clock is
+    /// known.
     pub(crate) fn now(&self) -> UnixMs {
         self.time.borrow().at(clock::now()).unwrap_or_else(UnixMs::from_wall_clock)
     }
@@ -77,7 +78,8 @@
         Some(Self { node: Rc::clone(node), open_request })
     }
 
-    /// Records that the target began the request now, not when it was sent.
+    /// Records that the target has begun the request only now, so that it counts in the current
+    /// window.
     pub(crate) fn began_now(mut self) {
         let at = Some(self.node.usage.now());
         self.settle(|counts, open_request| counts.request_started(open_request, at));
--- a/tests/all/site/configuration.rs
+++ b/tests/all/site/configuration.rs
@@ -32,8 +32,8 @@
     site.store.put("op/config", &with_route(7, "/new/"));
 
     wait_for_route(&site, "/new/a").await;
-    let watchers = site.store.calls("kv-watch");
-    assert!(watchers > 0, "at least one node watches");
+    let watch_calls = site.store.calls("kv-watch");
+    assert!(watch_calls > 0, "at least one node watches");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -53,7 +53,7 @@
             .filter_map(|line| line["version"].as_u64())
             .collect();
         assert!(versions.is_sorted(), "a version went back: {versions:?}");
-        assert!(!versions.contains(&5));
+        assert!(!versions.contains(&5), "version 5 came into force: {versions:?}");
     }
 }
 
@@ -71,8 +71,9 @@
     // The trail is written up to a quarter of a second late.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     let restarted: usize = site.nodes.iter().map(|node| node.lines("feed_restarted").len()).sum();
-    assert_eq!(restarted, 0);
-    assert!(site.store.calls("kv-range") > before);
+    assert_eq!(restarted, 0, "a watch was resumed at its old revision and its history was lost");
+    let after = site.store.calls("kv-range");
+    assert!(after > before, "no node read all keys again: {before} calls before, {after} after");
 }
 
 // Guards against calls of the store that grow with the fleet because each node watches for itself.
@@ -87,7 +88,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
     }
 
-    // Per watcher at most one call for each of ten changes, and one for every two seconds.
+    // Two watchers, ten changes, and two subjects with at most three watches without a change.
     let calls = site.store.calls("kv-watch") - before;
     assert!(calls <= 2 * (10 + 2 * 3), "{calls} watches in four seconds");
 }
@@ -143,7 +144,7 @@
     for node in &site.nodes {
         in_force_after_ms(node, version, 0).await;
     }
-    // Until then the watchers have sent their next watch.
+    // By the end of this time the watchers have sent their next watch.
     tokio::time::sleep(Duration::from_millis(200)).await;
     for index in cut {
         site.store.set_mode(site.nodes[*index].store_endpoint, StoreMode::Unresponsive);
@@ -151,7 +152,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_in_force_in_time_where_both_watchers_have_lost_the_store() {
+async fn a_change_is_in_force_in_time_at_nodes_whose_watchers_have_lost_the_store() {
     let site = Site::start(5, 0, 1).await;
     let (watchers, others) = watchers_and_others(&site).await;
     cut_off_after_version(&site, &watchers, 7).await;
@@ -166,17 +167,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_in_force_in_time_where_one_node_alone_reaches_the_store() {
+async fn a_change_is_in_force_in_time_at_the_only_node_that_reaches_the_store() {
     let site = Site::start(6, 0, 1).await;
     let (mut cut, mut others) = watchers_and_others(&site).await;
-    let reaches = others.pop().expect("a node that does not watch");
+    let connected = others.pop().expect("a node that does not watch");
     cut.extend(others);
     cut_off_after_version(&site, &cut, 7).await;
 
     let changed_ms = trail_now_ms();
     site.store.put("op/config", &with_route(8, "/new/"));
 
-    let after_ms = in_force_after_ms(&site.nodes[reaches], 8, changed_ms).await;
+    let after_ms = in_force_after_ms(&site.nodes[connected], 8, changed_ms).await;
     assert!(after_ms <= CHANGE_BOUND_MS, "in force {after_ms} ms after the change");
 }
 
@@ -186,7 +187,7 @@
     const CALLS_WAIT: Duration = Duration::from_millis(2_500);
     let site = Site::start(6, 0, 1).await;
     let (mut cut, mut others) = watchers_and_others(&site).await;
-    let reaches = others.pop().expect("a node that does not watch");
+    let connected = others.pop().expect("a node that does not watch");
     cut.extend(others);
     cut_off_after_version(&site, &cut, 7).await;
 
@@ -195,7 +196,7 @@
         let changed_ms = trail_now_ms();
         site.store.put("op/config", &with_route(version, "/new/"));
 
-        for index in cut.iter().chain([&reaches]) {
+        for index in cut.iter().chain([&connected]) {
             let after_ms = in_force_after_ms(&site.nodes[*index], version, changed_ms).await;
             assert!(after_ms <= CHANGE_BOUND_MS, "in force {after_ms} ms after the change");
         }
--- a/tests/all/site/duties.rs
+++ b/tests/all/site/duties.rs
@@ -1,5 +1,5 @@
-//! The duty towards the provider: usage is reported once per window, although holders die or are
-//! cut off, and lost targets are ordered again.
+//! The duty towards the platform, whose stand-in is the provider: usage is reported once per
+//! window, although holders die or are cut off, and lost targets are ordered again.
 
 use super::harness::{HOST, Site, document, until};
 use super::provider::ProviderMode;
@@ -42,11 +42,11 @@
     request.send().await.map_or(0, |answer| answer.status().as_u16())
 }
 
-/// Waits until a node holds the duty and has reported. Returns its index.
+/// Waits until a node that holds the duty has sent a report. Returns its index.
 async fn holder(site: &Site) -> usize {
     let holds = |node: &super::harness::Node| {
-        let mine = |event: &str| node.duty_lines(event, "platform").len();
-        mine("duty_gained") > mine("duty_lost") && !node.lines("usage_sent").is_empty()
+        let count_of = |event: &str| node.duty_lines(event, "platform").len();
+        count_of("duty_gained") > count_of("duty_lost") && !node.lines("usage_sent").is_empty()
     };
     until("a holder", || async { site.nodes.iter().position(holds) }).await
 }
@@ -124,8 +124,8 @@
     let reports = site.provider.calls("/usage").len();
 
     until("its successor reports", || async {
-        let taken = site.provider.calls("/usage");
-        taken[reports..].iter().any(|taken| taken.holder != format!("node-{holder}")).then_some(())
+        let calls = site.provider.calls("/usage");
+        calls[reports..].iter().any(|call| call.holder != format!("node-{holder}")).then_some(())
     })
     .await;
     site.provider.check();
@@ -142,15 +142,16 @@
     let before = site.provider.calls("/usage").len();
 
     until("another holder reports", || async {
-        let taken = site.provider.calls("/usage");
-        taken[before..].iter().any(|taken| taken.holder != format!("node-{first}")).then_some(())
+        let calls = site.provider.calls("/usage");
+        calls[before..].iter().any(|call| call.holder != format!("node-{first}")).then_some(())
     })
     .await;
-    assert!(!site.nodes[first].lines("duty_resigned").is_empty());
+    let resigned = site.nodes[first].lines("duty_resigned");
+    assert!(!resigned.is_empty(), "node {first} did not step down");
     site.provider.check();
 }
 
-// Guards against a lost report, and against exceeding the platform's limit again and again: the
+// Guards against a lost report, and against exceeding the provider's limit again and again: the
 // provider is overloaded for a while, and the holder retries and keeps the duty.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_report_refused_for_overload_is_retried_by_the_same_holder() {
@@ -168,7 +169,8 @@
 
     until("the request is reported", || async { (site.provider.reported("a") == 1).then_some(()) })
         .await;
-    assert!(site.nodes[holder].lines("duty_resigned").is_empty());
+    let resigned = site.nodes[holder].lines("duty_resigned");
+    assert!(resigned.is_empty(), "node {holder} stepped down: {resigned:?}");
     site.provider.check();
 }
 
--- a/tests/all/site/orders.rs
+++ b/tests/all/site/orders.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-fn name_version(site: &Site, version: u64) {
+fn publish_version(site: &Site, version: u64) {
     let value = json!({ "model": "model-a", "version": version });
     site.store.put("op/version/model-a", &value);
 }
@@ -25,7 +25,7 @@
 async fn published_versions_reach_the_engines_under_one_holder_per_fencing_number() {
     // Two models share four engines, so each model is loaded on two of them.
     let site = Site::start(3, 4, 0).await;
-    name_version(&site, 2);
+    publish_version(&site, 2);
     wait_for_version(&site, 2, 2).await;
     let holder = site
         .nodes
@@ -34,7 +34,7 @@
         .expect("one node sends the orders");
 
     site.nodes[holder].signal("KILL");
-    name_version(&site, 3);
+    publish_version(&site, 3);
 
     wait_for_version(&site, 3, 2).await;
     site.nodes[holder].restart();
@@ -62,15 +62,12 @@
     let site = Site::start(1, 1, 0).await;
     site.engines[0].set_behaviour(Behaviour::CarriesOutOrdersLate);
 
-    name_version(&site, 2);
+    publish_version(&site, 2);
 
     wait_for_version(&site, 2, 1).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert_eq!(
-        site.engines[0].orders_seen().len(),
-        1,
-        "the engine accepted more than one of the orders"
-    );
+    let accepted = site.engines[0].orders_seen().len();
+    assert_eq!(accepted, 1, "the engine accepted {accepted} orders instead of 1");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -101,7 +98,8 @@
     until("the second report", report).await;
 }
 
-/// Starts a node that held the duty `orders` until the store had refused it for too long.
+/// Starts a node, lets it gain the duty `orders`, and has the store refuse it until the duty is
+/// lost.
 async fn site_whose_holder_lost_the_store() -> Site {
     let site = Site::start(1, 1, 0).await;
     let node = &site.nodes[0];
@@ -169,14 +167,14 @@
 async fn an_engine_that_restarts_under_its_id_gets_orders_with_its_new_count() {
     let mut site = Site::start(1, 1, 0).await;
     site.engines[0].report_start_time(1_000);
-    name_version(&site, 2);
+    publish_version(&site, 2);
     wait_for_version(&site, 2, 1).await;
     site.engines[0].register("draining");
     let node = &site.nodes[0];
     until("the drain", || async { (!node.lines("target_left").is_empty()).then_some(()) }).await;
 
     site.engines[0].restart_under_same_id(9_000).await;
-    name_version(&site, 3);
+    publish_version(&site, 3);
 
     wait_for_version(&site, 3, 1).await;
     let restarts = site.nodes[0].lines("target_reborn");
@@ -186,9 +184,9 @@
     assert_eq!(expected, [0, 0], "an incarnation counts only its own orders");
 }
 
-// Guards against work for targets that only another program's registry entries describe. A worker's
-// entry is overwritten with an unknown state, and two more entries lack a field or cannot be
-// decoded. No default may stand in for a missing field, and an unreadable entry must remove the
+// Guards against work for targets that do not exist: another program writes to the registry. A
+// worker's entry is overwritten with an unknown state, and two more entries lack a field or cannot
+// be decoded. No default may stand in for a missing field, and an unreadable entry must remove the
 // target.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_registry_entries_add_no_target_and_leave_the_others_in_use() {
--- a/tests/all/site/requests.rs
+++ b/tests/all/site/requests.rs
@@ -93,7 +93,7 @@
 // of lines, and all waiting requests were sent in the millisecond in which a target came back.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_that_do_not_listen_are_not_tried_without_a_pause() {
-    // Twice the number of attempts with one round of the two targets per backoff.
+    // Twice the expected number: the node tries both targets once per backoff.
     const ATTEMPTS_MAX: usize = 600;
     let site = Site::start(1, 0, 2).await;
     site.plain.iter().for_each(super::worker::Worker::crash);
@@ -124,9 +124,9 @@
         .header("X-Catkinmast-Deadline-Ms", "30000")
         .timeout(Duration::from_millis(500));
 
-    let left = request.send().await;
+    let result = request.send().await;
 
-    assert!(left.is_err(), "the caller has disconnected");
+    assert!(result.is_err(), "the caller has disconnected");
     until("the run is cancelled", || async { (site.plain[0].abandoned() == 1).then_some(()) })
         .await;
 }
@@ -138,7 +138,7 @@
 
     let answer = site.call(&site.nodes[0], "/lookup/a", "q1").await.expect("an answer");
 
-    assert!([502, 504].contains(&answer.status().as_u16()), "a final answer: {answer:?}");
+    assert!([502, 504].contains(&answer.status().as_u16()), "502 or 504 expected: {answer:?}");
 }
 
 // Guards against new work for a target that is leaving: its entry says that it is draining, and a
@@ -148,7 +148,7 @@
     let mut site = Site::start(2, 0, 2).await;
     site.plain[0].register("draining");
     for node in &site.nodes {
-        until("the node knows", || async {
+        until("the node has seen plain-0 leave", || async {
             let left = node.lines("target_left");
             left.iter().any(|line| line["target"] == "plain-0").then_some(())
         })
@@ -171,7 +171,7 @@
 async fn a_target_whose_entry_is_removed_gets_no_more_work() {
     let site = Site::start(1, 0, 2).await;
     site.plain[0].deregister();
-    until("the node knows", || async {
+    until("the node has seen plain-0 leave", || async {
         let left = site.nodes[0].lines("target_left");
         left.iter().any(|line| line["target"] == "plain-0").then_some(())
     })
@@ -239,7 +239,7 @@
     site.plain[0].deregister();
 
     for node in &site.nodes {
-        until("the node knows", || async {
+        until("the node has seen plain-0 leave", || async {
             let left = node.lines("target_left");
             left.iter().any(|line| line["target"] == "plain-0").then_some(())
         })
--- a/tests/all/site/soak_keys.rs
+++ b/tests/all/site/soak_keys.rs
@@ -17,14 +17,14 @@
 
 /// Seeds that CI runs.
 const SEEDS: [u64; 2] = [1, 2];
-/// Seeds that have failed once, each with its cause.
-const KEPT: [u64; 0] = [];
+/// Seeds that have failed once, each with its cause in a comment.
+const FAILED_SEEDS: [u64; 0] = [];
 const NODES: usize = 4;
 const FAULTS: usize = 16;
 /// A key that no configuration contains.
 const UNKNOWN_KEY: &str = "neverakey0123456789";
 
-/// The number of configuration changes, and the requests that were sent.
+/// The number of configuration changes, the requests that were sent, and whether to stop sending.
 #[derive(Default)]
 struct Progress {
     changes: Cell<u64>,
@@ -56,7 +56,7 @@
         Some(count) => (number("SOAK_FROM").unwrap_or(100)..).take(count as usize).collect(),
         None => SEEDS.to_vec(),
     };
-    for seed in seeds.into_iter().chain(KEPT) {
+    for seed in seeds.into_iter().chain(FAILED_SEEDS) {
         println!("soak of keys, seed {seed}");
         run_seed(seed).await;
     }
@@ -135,6 +135,7 @@
         .header("Host", HOST)
         .header("Authorization", format!("Bearer {key}"))
         .header("X-Catkinmast-Request-Id", id)
+        // Must be ignored: a caller cannot choose its workspace.
         .header("X-Catkinmast-Tenant", "b")
         .header("X-Catkinmast-Deadline-Ms", "1500")
         .body("question");
--- a/tests/all/site/starts.rs
+++ b/tests/all/site/starts.rs
@@ -8,7 +8,7 @@
 const SETTLED: Duration = Duration::from_secs(1);
 
 /// Returns the number of voluntary context switches of a process so far.
-fn waits(pid: u32) -> u64 {
+fn context_switches(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
     let line = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
     line.and_then(|count| count.trim().parse().ok()).expect("the kernel counts them")
@@ -36,7 +36,8 @@
 
 // Guards against calls of the store that grow with the square of the fleet when all nodes start. A
 // node that knows no other ranks first for every duty; it watched the store and read all records
-// twice. Such a start cost eleven calls at the full price, instead of three, and three at a tenth.
+// twice. Such a start cost eleven calls at the full price instead of three, besides the three stale
+// reads.
 #[yare::parameterized(
     small = { 4 },
     larger = { 9 },
@@ -57,7 +58,11 @@
     let calls = calls_since(&site, node, seen);
     let stale = count(&calls, "serializable=1");
     assert_eq!(count(&calls, "kv-txn"), 1, "one registration: {calls:?}");
-    assert_eq!(count(&calls, "kv-range") - count(&calls, "kv-range prefix=cm"), 2, "{calls:?}");
+    assert_eq!(
+        count(&calls, "kv-range") - count(&calls, "kv-range prefix=cm"),
+        2,
+        "two reads of feeds: {calls:?}"
+    );
     assert_eq!(stale, 3, "nodes, records and the holder of orders: {calls:?}");
     assert_eq!(calls.len(), 6, "nothing else: {calls:?}");
 }
@@ -86,21 +91,21 @@
         calls.iter().any(|call| call.contains("prefix=cm/h/") && !call.contains("serializable"))
     };
     let searching = (0..7).filter(|other| *other != node).filter(searches).count();
-    assert_eq!(searching, 2);
+    assert_eq!(searching, 2, "{searching} nodes read all records");
 }
 
 // Guards against a busy loop that made idle nodes use five times the CPU time they need: a node
-// that has settled waited for the remaining settle time, which is zero, and woke up 520 times a
-// second.
+// that has settled slept for the time left until it settles, which is zero, and so woke up 520
+// times a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idle_node_wakes_up_rarely() {
-    const WAITS_MAX: u64 = 600;
+    const SWITCHES_MAX: u64 = 600;
     let site = Site::start(4, 1, 1).await;
     let node = idle_node(&site).await;
-    let before = waits(site.nodes[node].pid());
+    let before = context_switches(site.nodes[node].pid());
 
     tokio::time::sleep(Duration::from_secs(2)).await;
 
-    let waited = waits(site.nodes[node].pid()) - before;
-    assert!(waited < WAITS_MAX, "{waited} in two seconds");
+    let switches = context_switches(site.nodes[node].pid()) - before;
+    assert!(switches < SWITCHES_MAX, "{switches} context switches in two seconds");
 }
--- a/tests/all/site/stops.rs
+++ b/tests/all/site/stops.rs
@@ -23,7 +23,7 @@
     let answer = answer.expect("the answer is forwarded");
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.headers()["connection"], "close");
-    assert!(!site.is_ready(&leaving).await);
+    assert!(!site.is_ready(&leaving).await, "the stopping node is still ready");
     site.wait_until_all_listed(2).await;
     let status = loop {
         if let Some(status) = leaving.exit_status() {
@@ -82,7 +82,7 @@
     let unanswered: Vec<String> =
         futures::future::join_all(callers).await.into_iter().flatten().collect();
 
-    assert!(!unanswered.is_empty(), "the node has ended");
+    assert!(!unanswered.is_empty(), "all requests were answered: the node did not end");
     for id in unanswered {
         assert!(site.runs.of(&id).is_empty(), "{id} reached a target and was not answered");
     }
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -41,15 +41,19 @@
 
 #[derive(Default)]
 struct State {
+    /// Numbers of calls, by name.
     calls: BTreeMap<String, u64>,
     /// All calls with their queries, by endpoint.
     calls_at: BTreeMap<usize, Vec<String>>,
+    /// History up to this revision is dropped.
     compacted: u64,
     modes: Vec<Option<StoreMode>>,
     history: Vec<(u64, String, Option<Item>)>,
     items: BTreeMap<String, Item>,
+    /// The TTL and the expiry of each lease.
     leases: BTreeMap<u64, (Duration, Instant)>,
     revision: u64,
+    /// Raised to cut all watches.
     watch_epoch: u64,
 }
 
@@ -81,8 +85,12 @@
 
     fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, at))| *at <= now).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, expires_at))| *expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for lease in over {
             self.end_lease(lease);
         }
@@ -115,7 +123,7 @@
         self.state.lock().expect("no test panics while it holds the store")
     }
 
-    /// Opens an endpoint. Its server closes with the returned handle.
+    /// Opens an endpoint. It is open until the returned server is dropped.
     pub(crate) async fn open_endpoint(&self) -> (usize, Server) {
         let index = {
             let mut state = self.state();
@@ -131,8 +139,8 @@
     }
 
     /// Changes how the store answers at an endpoint.
-    pub(crate) fn set_mode(&self, index: usize, mode: StoreMode) {
-        self.state().modes[index] = Some(mode);
+    pub(crate) fn set_mode(&self, endpoint: usize, mode: StoreMode) {
+        self.state().modes[endpoint] = Some(mode);
     }
 
     /// Writes a key, as an operator or a worker does.
@@ -157,7 +165,7 @@
     pub(crate) fn change(&self, key: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state();
         state.revision += 1;
-        let mut value = state.items.get(key).expect("the key").value.clone();
+        let mut value = state.items.get(key).expect("the key is in the store").value.clone();
         change(&mut value);
         state.write(key, value, 0);
         drop(state);
@@ -203,11 +211,12 @@
         self.state().calls_at.get(&endpoint).cloned().unwrap_or_default()
     }
 
-    /// Lets no lease lapse for a minute, like a store that pauses leases during an outage.
+    /// Lets none of the open leases lapse for a minute, unless renewed, like a store that pauses
+    /// leases during an outage.
     pub(crate) fn hold_leases(&self) {
         let later = Instant::now() + Duration::from_mins(1);
-        for (_, at) in self.state().leases.values_mut() {
-            *at = later;
+        for (_, expires_at) in self.state().leases.values_mut() {
+            *expires_at = later;
         }
     }
 
@@ -380,8 +389,8 @@
             }
             "kv-keep" => match state.leases.get_mut(&id) {
                 None => (404, json!({})),
-                Some((ttl, at)) => {
-                    *at = Instant::now() + *ttl;
+                Some((ttl, expires_at)) => {
+                    *expires_at = Instant::now() + *ttl;
                     (200, json!({ "ttlMs": ttl.as_millis() as u64 }))
                 }
             },
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -207,13 +207,25 @@
     for node in [first, second] {
         assert_eq!(status(read(&site, node, "s1")).await, 401, "without a key");
         assert_eq!(status(with_key(read(&site, node, "s1"), KEY_A)).await, 401, "a removed key");
-        assert_eq!(status(with_key(read(&site, node, "s1"), KEY_B)).await, 404, "another's");
-        assert_eq!(status(with_key(read(&site, node, "s9"), KEY_B)).await, 404, "none");
+        assert_eq!(
+            status(with_key(read(&site, node, "s1"), KEY_B)).await,
+            404,
+            "another workspace's batch"
+        );
+        assert_eq!(
+            status(with_key(read(&site, node, "s9"), KEY_B)).await,
+            404,
+            "a batch that does not exist"
+        );
         let end = site.client.delete(format!("http://{}/-/lots/s1", node.callers));
-        assert_eq!(status(with_key(end.header("Host", HOST), KEY_B)).await, 404, "another's");
+        assert_eq!(
+            status(with_key(end.header("Host", HOST), KEY_B)).await,
+            404,
+            "the end of another workspace's batch"
+        );
         let body = format!("http://{}/-/items/s1?id=s1i0", node.callers);
         let body = with_key(site.client.get(body).header("Host", HOST), KEY_B);
-        assert_eq!(status(body).await, 404, "another's");
+        assert_eq!(status(body).await, 404, "an item of another workspace's batch");
     }
     until("all results", || async {
         let page = with_key(read(&site, second, "s1"), "latekey012345").send().await.ok()?;
@@ -221,13 +233,18 @@
         (page["results"].as_array()?.len() == 2).then_some(())
     })
     .await;
-    assert_eq!(status(batch(&site, first, "s1", "latekey012345")).await, 202, "again");
+    assert_eq!(
+        status(batch(&site, first, "s1", "latekey012345")).await,
+        202,
+        "the same submission again"
+    );
     assert_eq!(
         status(batch(&site, second, "s1", KEY_B)).await,
         409,
         "the id belongs to another workspace"
     );
     for run in site.runs.all().into_iter().filter(|run| run.request.starts_with("s1")) {
+        // Ids of scoring requests contain an `r`, and their route is public.
         let expected: &[&str] = if run.request.contains('r') { &[] } else { &["a"] };
         assert_eq!(run.workspaces, expected, "{run:?}");
         assert!(!run.has_key, "{run:?}");
@@ -266,13 +283,13 @@
     let site = site_with_keys(3, 0).await;
     let node = &site.nodes[2];
     site.store.set_mode(node.store_endpoint, StoreMode::Refuses);
-    // Longer than a watch that is still open, which ends within half of the bound.
+    // A watch that is open when the store begins to refuse ends within half of the bound.
     tokio::time::sleep(Duration::from_millis(CHANGE_BOUND_MS)).await;
 
     put_in_force(&site, 9, &[("a", &["memorykey0123456789"]), ("b", &[KEY_B])]).await;
 
     let found = memory_holds(node.pid(), b"memorykey0123456789");
-    assert!(!found, "the key was forwarded");
+    assert!(!found, "the memory of node 2 contains the new key");
 }
 
 /// Returns whether the writable memory of a child process contains these bytes.
