--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -2,8 +2,8 @@
 //! production types.
 //!
 //! Counted figures are the same on every machine: state in allocated bytes, messages in encoded
-//! bytes, propagation in virtual time. They are in `docs/CAPACITY.md`, and a test compares that page
-//! with the output of this command. Processor time differs between machines, so it is reported
+//! bytes, propagation in virtual time. They are in `docs/CAPACITY.md`, and a test compares that
+//! page with the output of this command. Processor time differs between machines, so it is reported
 //! relative to a reference operation measured in the same run, is left out with `--counted`, and no
 //! test compares it.
 
@@ -58,7 +58,7 @@
     pub per: &'static str,
     /// Line fitted to the measurements.
     pub slope: Slope,
-    /// Size in the users' deployments.
+    /// Size for which the last column of the table is computed: that of the users' deployments.
     pub users_size: f64,
 }
 
--- a/crates/bench/src/engines.rs
+++ b/crates/bench/src/engines.rs
@@ -308,8 +308,8 @@
         }
     }
 
-    /// Returns the thousandths of a token that each sequence generates in a tick: at a full batch each
-    /// sequence runs at half the speed of a single one.
+    /// Returns the thousandths of a token that each sequence generates in a tick: at a full batch
+    /// each sequence runs at half the speed of a single one.
     fn tokens_per_tick_millis(&self, tick_ms: u64) -> u64 {
         let batch_slowdown_millis =
             1_000 + 1_000 * self.running.len() as u64 / u64::from(self.model.max_batch);
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -130,7 +130,8 @@
 }
 
 impl VirtualFleet {
-    /// Creates a fleet of `nodes` views that start at the same time. Node 0 is the seed of all others.
+    /// Creates a fleet of `nodes` views that start at the same time. Node 0 is the seed of all
+    /// others.
     pub fn open(nodes: usize, seed: u64, loss_percent: u32) -> Self {
         let mut fleet = Self {
             partitioned: false,
@@ -339,7 +340,8 @@
         up.map(|member| member.view.facts().get(&key)).all(|held| held == Some(fact))
     }
 
-    /// Returns whether, in the view of every node that is up, exactly the nodes that are up are live.
+    /// Returns whether, in the view of every node that is up, exactly the nodes that are up are
+    /// live.
     pub fn all_agree(&self) -> bool {
         let up: Vec<usize> = (0..self.len()).filter(|node| self.members[*node].up).collect();
         up.iter().all(|viewer| {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,10 +1,10 @@
 //! Benchmarks of scheduling, routing and capacity, in virtual time.
 //!
 //! [`Simulation`] runs the production code for a trainer's steps against models of the engines, the
-//! trainer, the ledger and faults; [`run_variant`] compares scheduling policies in it. [`run_choice`]
-//! and [`run_overload`] do the same for routing and admission, and [`VirtualFleet`] for membership.
-//! The same seed gives the same figures on any machine, so tests can assert exact bounds. Only
-//! [`time_events`] depends on the machine.
+//! trainer, the ledger and faults; [`run_variant`] compares scheduling policies in it.
+//! [`run_choice`] and [`run_overload`] do the same for routing and admission, and [`VirtualFleet`]
+//! for membership. The same seed gives the same figures on any machine, so tests can assert exact
+//! bounds. Only [`time_events`] depends on the machine.
 
 mod capacity;
 mod command;
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -54,7 +54,8 @@
     pub p50_us: u64,
     /// 99th percentile of the latency of answered calls, in microseconds.
     pub p99_us: u64,
-    /// Calls of the busiest target, in percent of the mean; targets that are down or slow are left out.
+    /// Calls of the busiest target, in percent of the mean; targets that are down or slow are left
+    /// out.
     pub spread_percent: u64,
 }
 
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -8,7 +8,8 @@
 //! memory are not modelled. The same seed gives the same output on any machine.
 //!
 //! Each ledger write, fetch and claim is checked as it happens, and violated guarantees are
-//! collected in [`Outcome::violations`]. The randomised tests and the benchmark use the same checks.
+//! collected in [`Outcome::violations`]. The randomised tests and the benchmark use the same
+//! checks.
 
 use crate::engines::{EngineModel, EngineSim, RunUpdate};
 use crate::trainer::{TrainerAction, TrainerSim};
