--- a/crates/node/src/api/generate.rs
+++ b/crates/node/src/api/generate.rs
@@ -126,21 +126,22 @@
         while tried.len() < ATTEMPTS_MAX {
             let engines = self.shared.snapshot().engines(&self.model, &self.selector);
             let engines = stable_subset(self.shared.me(), &engines, SUBSET_SIZE);
-            let Some(flight) = choose_target(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX)
+            let Some(target_call) =
+                choose_target(&self.shared, &engines, &tried, ENGINE_IN_FLIGHT_MAX)
             else {
                 break;
             };
-            let engine = flight.target().clone();
+            let engine = target_call.target().clone();
             tried.push(engine.clone());
             let started_at = Instant::now();
             match self.stream_from(&engine, &mut segments).await {
                 Ok(()) => {
                     let latency_us = started_at.elapsed().as_micros() as u64;
-                    return flight.finish(Outcome::Answered { latency_us });
+                    return target_call.finish(Outcome::Answered { latency_us });
                 }
                 Err(StreamFailure::CallerDisconnected) => return,
                 Err(StreamFailure::Engine(reason)) => {
-                    flight.finish(Outcome::Failed);
+                    target_call.finish(Outcome::Failed);
                     log::info!("engine {engine} failed during an answer: {reason}");
                     message = format!("engine {engine}: {reason}");
                 }
