--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::Run;
 use crate::fleet::Fleet;
-use crate::judge::{CallOutcome, Judge};
+use crate::verifier::{CallOutcome, Judge};
 use catkinmast_config::{Call, Document};
 use catkinmast_standin::answer_of;
 use rand::{Rng, SeedableRng};
--- a/crates/local/src/faults.rs
+++ b/crates/local/src/faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong in the middle of a run, one thing after the other.
 
 use crate::fleet::Fleet;
-use crate::judge::Judge;
+use crate::verifier::Judge;
 use catkinmast_model::InstanceState;
 use catkinmast_standin::PlatformFaults;
 use std::sync::Arc;
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -10,16 +10,16 @@
 mod cost;
 mod faults;
 mod fleet;
-mod judge;
 mod trainer;
+mod verifier;
 
 use argh::FromArgs;
 use catkinmast_config::Document;
 use fleet::Fleet;
-use judge::Summary;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use verifier::Summary;
 
 /// How long the stand-ins of plain services take for a call.
 const SERVICE_MS: u64 = 3;
@@ -145,7 +145,7 @@
     fleet.apply(&text).await?;
     fleet.wait_until_ready().await?;
     println!("{:5.1} s  all nodes are ready", began.elapsed().as_secs_f64());
-    let judge = Arc::new(judge::Judge::default());
+    let judge = Arc::new(verifier::Judge::default());
     let callers = caller::spawn_all(&fleet, &judge, &document, &run);
     let trainers = trainer::spawn_all(&fleet, &judge, &document, &run);
     let faults = (!run.no_faults)
--- a/crates/local/src/trainer.rs
+++ b/crates/local/src/trainer.rs
@@ -2,7 +2,7 @@
 
 use crate::Run;
 use crate::fleet::Fleet;
-use crate::judge::{Judge, SampleRecord};
+use crate::verifier::{Judge, SampleRecord};
 use catkinmast_config::{Document, Trainer};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
