--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::Run;
 use crate::fleet::Fleet;
-use crate::verifier::{CallOutcome, Judge};
+use crate::verifier::{CallOutcome, Verifier};
 use catkinmast_config::{Call, Document};
 use catkinmast_standin::answer_of;
 use rand::{Rng, SeedableRng};
@@ -13,31 +13,31 @@
 use std::time::{Duration, Instant};
 
 /// Callers that share the calls.
-const CALLERS: u64 = 6;
+const CALLER_COUNT: u64 = 6;
 /// Most sendings of one call.
-const SENDINGS_MAX: u32 = 8;
+const ATTEMPTS_MAX: u32 = 8;
 /// Pause before a call is sent again.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 struct Caller {
     addresses: Vec<(SocketAddr, String)>,
     data_centre: String,
     expires_at: u64,
     fleet: Arc<Fleet>,
-    judge: Arc<Judge>,
+    verifier: Arc<Verifier>,
     rng: Pcg64Mcg,
 }
 
 /// What one sending of a call came to.
-enum Sending {
+enum AttemptOutcome {
     Answered(String),
-    Broken(SocketAddr),
+    Disconnected(SocketAddr),
     Refused { may_have_run: bool },
 }
 
 pub(crate) fn spawn_all(
     fleet: &Arc<Fleet>,
-    judge: &Arc<Judge>,
+    verifier: &Arc<Verifier>,
     document: &Document,
     run: &Run,
 ) -> Vec<tokio::task::JoinHandle<()>> {
@@ -47,21 +47,22 @@
         .flat_map(|s| s.calls.iter().map(|call| (s.name.to_string(), call.clone())))
         .filter(|(_, call)| call.path != "/score")
         .collect();
-    let every = Duration::from_secs_f64(CALLERS as f64 / run.calls_per_second.max(1) as f64);
+    let interval =
+        Duration::from_secs_f64(CALLER_COUNT as f64 / run.calls_per_second.max(1) as f64);
     let ends_at = Instant::now() + Duration::from_secs(run.duration_s);
     let spawn = |number: u64| {
-        let places = &document.data_centres;
+        let data_centres = &document.data_centres;
         let caller = Caller {
             addresses: Vec::new(),
-            data_centre: places[number as usize % places.len()].name.to_string(),
+            data_centre: data_centres[number as usize % data_centres.len()].name.to_string(),
             expires_at: 0,
             fleet: Arc::clone(fleet),
-            judge: Arc::clone(judge),
+            verifier: Arc::clone(verifier),
             rng: Pcg64Mcg::seed_from_u64(run.seed * 1_000 + number),
         };
-        tokio::spawn(caller.run(number, calls.clone(), every, ends_at))
+        tokio::spawn(caller.run(number, calls.clone(), interval, ends_at))
     };
-    (0..CALLERS).map(spawn).collect()
+    (0..CALLER_COUNT).map(spawn).collect()
 }
 
 fn now_ms() -> u64 {
@@ -73,13 +74,13 @@
         mut self,
         caller: u64,
         calls: Vec<(String, Call)>,
-        every: Duration,
+        interval: Duration,
         ends_at: Instant,
     ) {
-        let mut clock = tokio::time::interval(every);
+        let mut ticks = tokio::time::interval(interval);
         let mut number = 0;
         while Instant::now() < ends_at {
-            clock.tick().await;
+            ticks.tick().await;
             number += 1;
             let (service, call) = &calls[self.rng.random_range(0..calls.len())];
             let body = format!("caller-{caller}-call-{number}");
@@ -90,23 +91,26 @@
     /// Makes one call; each ticket has a number of its own. It is sent again after a truthful `not_run`, and an idempotent one, or one
     /// with a ticket, after any other failure as well.
     async fn call(&mut self, service: &str, call: &Call, body: &str) {
-        self.judge.call_sent();
+        self.verifier.record_call();
         let mut ticket = None;
         let mut may_have_run = false;
-        for sending in 0..SENDINGS_MAX {
+        for attempt in 0..ATTEMPTS_MAX {
             let Some((address, prefix)) = self.address().await else { continue };
             if !call.idempotent && ticket.is_none() {
-                ticket = Some(format!("{prefix}{body}-{sending}"));
+                ticket = Some(format!("{prefix}{body}-{attempt}"));
             }
             match self.send(address, service, call, body, ticket.as_deref()).await {
-                Sending::Answered(answer) => {
-                    let whole = answer == answer_of(&call.path, body);
-                    let outcome = if whole { CallOutcome::Whole } else { CallOutcome::Cut };
-                    return self.judge.call_ended(outcome, call, body);
+                AttemptOutcome::Answered(answer) => {
+                    let complete = answer == answer_of(&call.path, body);
+                    let outcome =
+                        if complete { CallOutcome::Complete } else { CallOutcome::Corrupted };
+                    return self.verifier.record_call_outcome(outcome, call, body);
                 }
-                Sending::Refused { may_have_run: maybe } => may_have_run |= maybe,
-                Sending::Broken(address) => {
-                    self.judge.connection_broke(address);
+                AttemptOutcome::Refused { may_have_run: attempt_may_have_run } => {
+                    may_have_run |= attempt_may_have_run
+                }
+                AttemptOutcome::Disconnected(address) => {
+                    self.verifier.record_disconnection(address);
                     self.expires_at = 0;
                     may_have_run = true;
                 }
@@ -116,11 +120,11 @@
                 // one may be gone, and nobody could tell then whether it ran.
                 ticket = None;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         let outcome =
             if may_have_run { CallOutcome::MayHaveRun } else { CallOutcome::RefusedNotRun };
-        self.judge.call_ended(outcome, call, body);
+        self.verifier.record_call_outcome(outcome, call, body);
     }
 
     async fn send(
@@ -130,7 +134,7 @@
         call: &Call,
         body: &str,
         ticket: Option<&str>,
-    ) -> Sending {
+    ) -> AttemptOutcome {
         let url = format!("http://{address}/v1/call/{service}{}", call.path);
         let mut request = self.fleet.client.post(url).body(body.to_owned());
         if let Some(ticket) = ticket {
@@ -139,34 +143,36 @@
         let response = match request.send().await {
             Ok(response) => response,
             // Nothing was sent on a connection that never came about.
-            Err(error) if error.is_connect() => return Sending::Refused { may_have_run: false },
-            Err(_) => return Sending::Broken(address),
+            Err(error) if error.is_connect() => {
+                return AttemptOutcome::Refused { may_have_run: false };
+            }
+            Err(_) => return AttemptOutcome::Disconnected(address),
         };
         let status = response.status();
         match response.text().await {
-            Ok(answer) if status.is_success() => Sending::Answered(answer),
+            Ok(answer) if status.is_success() => AttemptOutcome::Answered(answer),
             Ok(problem) => {
                 let problem: Value = serde_json::from_str(&problem).unwrap_or_default();
-                Sending::Refused { may_have_run: problem["verdict"] != "not_run" }
+                AttemptOutcome::Refused { may_have_run: problem["verdict"] != "not_run" }
             }
-            Err(_) => Sending::Broken(address),
+            Err(_) => AttemptOutcome::Disconnected(address),
         }
     }
 
     /// Returns an address to use, asking anew when the last answer has expired.
     async fn address(&mut self) -> Option<(SocketAddr, String)> {
         if self.addresses.is_empty() || now_ms() >= self.expires_at {
-            self.refresh().await;
+            self.refresh_addresses().await;
         }
-        let near = self.addresses.len().min(3);
-        if near == 0 {
-            tokio::time::sleep(PAUSE).await;
+        let candidates = self.addresses.len().min(3);
+        if candidates == 0 {
+            tokio::time::sleep(RETRY_PAUSE).await;
             return None;
         }
-        Some(self.addresses[self.rng.random_range(0..near)].clone())
+        Some(self.addresses[self.rng.random_range(0..candidates)].clone())
     }
 
-    async fn refresh(&mut self) {
+    async fn refresh_addresses(&mut self) {
         let address = self.fleet.any_address(&mut self.rng);
         let url = format!("http://{address}/v1/addresses?data_centre={}", self.data_centre);
         let Ok(response) = self.fleet.client.get(url).send().await else { return };
--- a/crates/local/src/cost.rs
+++ b/crates/local/src/cost.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 /// The document of this measurement: one service with one target.
-const DOCUMENT: &str = include_str!("cost.toml");
+const CONFIGURATION: &str = include_str!("cost.toml");
 /// Calls in a round.
-const ROUND: u32 = 500;
+const CALLS_PER_ROUND: u32 = 500;
 
 /// measures a call through a node beside a direct call to the same target
 #[derive(Clone, Debug, FromArgs)]
@@ -24,20 +24,20 @@
 }
 
 #[derive(Debug, Default)]
-struct Way {
-    in_all: Duration,
+struct Measurement {
+    elapsed: Duration,
     latencies: Vec<Duration>,
 }
 
-impl Way {
+impl Measurement {
     fn percentile(&mut self, percent: usize) -> Duration {
         self.latencies.sort_unstable();
-        let place = self.latencies.len() * percent / 100;
-        self.latencies.get(place).copied().unwrap_or_default()
+        let index = self.latencies.len() * percent / 100;
+        self.latencies.get(index).copied().unwrap_or_default()
     }
 
     fn calls_per_s(&self) -> f64 {
-        self.latencies.len() as f64 / self.in_all.as_secs_f64().max(1e-9)
+        self.latencies.len() as f64 / self.elapsed.as_secs_f64().max(1e-9)
     }
 }
 
@@ -46,10 +46,10 @@
     if let Err(exit) = crate::start_log() {
         return exit;
     }
-    let measured = tokio::runtime::Runtime::new()
+    let outcome = tokio::runtime::Runtime::new()
         .map_err(|error| error.to_string())
         .and_then(|runtime| runtime.block_on(measure(cost)));
-    match measured {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("{message}");
@@ -59,9 +59,9 @@
 }
 
 async fn measure(cost: &Cost) -> Result<(), String> {
-    let document = Document::parse(DOCUMENT).map_err(|faults| faults.to_string())?;
+    let document = Document::parse(CONFIGURATION).map_err(|faults| faults.to_string())?;
     let fleet = Fleet::start(&document, 1, 0).await?;
-    fleet.apply(DOCUMENT).await?;
+    fleet.apply(CONFIGURATION).await?;
     fleet.wait_until_ready().await?;
     let target = fleet.services.values().next().ok_or("no target")?.address();
     let node = fleet.any_address(&mut rand_pcg::Pcg64Mcg::new(1));
@@ -70,26 +70,26 @@
         format!("http://{node}/v1/call/badges/progress"),
         format!("http://{node}/v1/call/badges/award"),
     ];
-    let mut ways = [Way::default(), Way::default(), Way::default()];
+    let mut measurements = [Measurement::default(), Measurement::default(), Measurement::default()];
     // The first round warms connections and is not counted.
     for round in 0..=cost.rounds {
-        for (way, url) in ways.iter_mut().zip(&urls) {
-            let (in_all, latencies) = call_in_turn(&fleet, url).await?;
+        for (measurement, url) in measurements.iter_mut().zip(&urls) {
+            let (elapsed, latencies) = call_sequentially(&fleet, url).await?;
             if round > 0 {
-                way.in_all += in_all;
-                way.latencies.extend(latencies);
+                measurement.elapsed += elapsed;
+                measurement.latencies.extend(latencies);
             }
         }
     }
     fleet.stop();
-    print(&mut ways);
+    print(&mut measurements);
     Ok(())
 }
 
-async fn call_in_turn(fleet: &Fleet, url: &str) -> Result<(Duration, Vec<Duration>), String> {
-    let began = Instant::now();
+async fn call_sequentially(fleet: &Fleet, url: &str) -> Result<(Duration, Vec<Duration>), String> {
+    let started_at = Instant::now();
     let mut latencies = Vec::new();
-    for _ in 0..ROUND {
+    for _ in 0..CALLS_PER_ROUND {
         let sent_at = Instant::now();
         let sent = fleet.client.post(url).body("youth-17").send().await;
         let response = sent.map_err(|error| error.to_string())?;
@@ -99,12 +99,16 @@
         response.bytes().await.map_err(|error| error.to_string())?;
         latencies.push(sent_at.elapsed());
     }
-    Ok((began.elapsed(), latencies))
+    Ok((started_at.elapsed(), latencies))
 }
 
-fn print(ways: &mut [Way; 3]) {
-    let names = ["direct", "through a node", "through a node, not repeatable"];
-    let base = (ways[0].percentile(50), ways[0].percentile(99), ways[0].calls_per_s());
+fn print(measurements: &mut [Measurement; 3]) {
+    let labels = ["direct", "through a node", "through a node, not repeatable"];
+    let baseline = (
+        measurements[0].percentile(50),
+        measurements[0].percentile(99),
+        measurements[0].calls_per_s(),
+    );
     println!(
         "{:<32} {:>8} {:>8} {:>10} {:>10} {:>10} {:>12}",
         "one call at a time",
@@ -115,16 +119,17 @@
         "calls/s",
         "calls ratio"
     );
-    for (way, name) in ways.iter_mut().zip(names) {
-        let (p50, p99, rate) = (way.percentile(50), way.percentile(99), way.calls_per_s());
+    for (measurement, label) in measurements.iter_mut().zip(labels) {
+        let (p50, p99, rate) =
+            (measurement.percentile(50), measurement.percentile(99), measurement.calls_per_s());
         println!(
-            "{name:<32} {:>8} {:>8} {:>10.2} {:>10.2} {:>10.0} {:>12.2}",
+            "{label:<32} {:>8} {:>8} {:>10.2} {:>10.2} {:>10.0} {:>12.2}",
             p50.as_micros(),
             p99.as_micros(),
-            p50.as_secs_f64() / base.0.as_secs_f64(),
-            p99.as_secs_f64() / base.1.as_secs_f64(),
+            p50.as_secs_f64() / baseline.0.as_secs_f64(),
+            p99.as_secs_f64() / baseline.1.as_secs_f64(),
             rate,
-            rate / base.2
+            rate / baseline.2
         );
     }
 }
--- a/crates/local/src/faults.rs
+++ b/crates/local/src/faults.rs
@@ -1,46 +1,51 @@
 //! What goes wrong in the middle of a run, one thing after the other.
 
 use crate::fleet::Fleet;
-use crate::verifier::Judge;
+use crate::verifier::Verifier;
 use catkinmast_model::InstanceState;
 use catkinmast_standin::PlatformFaults;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Pause between two faults, in which the system should get over the last one.
-const PAUSE: Duration = Duration::from_secs(2);
+const FAULT_INTERVAL: Duration = Duration::from_secs(2);
 /// How long the platform's outage lasts: shorter than a lease.
-const OUTAGE: Duration = Duration::from_secs(3);
+const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 
-pub(crate) async fn cause(fleet: Arc<Fleet>, judge: Arc<Judge>, text: String, began: Instant) {
-    let say = |what: &str| println!("{:5.1} s  {what}", began.elapsed().as_secs_f64());
-    tokio::time::sleep(PAUSE).await;
+pub(crate) async fn inject(
+    fleet: Arc<Fleet>,
+    verifier: Arc<Verifier>,
+    text: String,
+    started_at: Instant,
+) {
+    let report = |what: &str| println!("{:5.1} s  {what}", started_at.elapsed().as_secs_f64());
+    tokio::time::sleep(FAULT_INTERVAL).await;
 
-    say("the platform loses the replies to its next two writes");
+    report("the platform loses the replies to its next two writes");
     fleet
         .platform
         .set_faults(PlatformFaults { lose_write_replies: 2, ..PlatformFaults::default() });
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(FAULT_INTERVAL).await;
 
     if let Some(engine) = fleet.engines.values().next() {
-        say("an engine crashes");
+        report("an engine crashes");
         engine.crash();
     }
     if let Some(engine) = fleet.engines.values().nth(1) {
-        say("another engine's next weight swap will fail");
+        report("another engine's next weight swap will fail");
         engine.fail_swaps(1);
     }
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(FAULT_INTERVAL).await;
     if let Some(name) = fleet.engines.keys().next() {
-        fleet.list_as(name, InstanceState::Gone);
+        fleet.set_instance_state(name, InstanceState::Gone);
     }
 
     if let Some((name, service)) = fleet.services.first() {
-        say("a service instance leaves");
+        report("a service instance leaves");
         service.leave();
-        fleet.list_as(name, InstanceState::Leaving);
+        fleet.set_instance_state(name, InstanceState::Leaving);
     }
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(FAULT_INTERVAL).await;
 
     let trainer = text.lines().find_map(|line| {
         let name = line.strip_prefix("name = \"")?.strip_suffix('"')?;
@@ -48,24 +53,24 @@
     });
     let owner = fleet.owner_of(trainer.as_deref().unwrap_or_default()).await;
     if let Some(owner) = owner.clone() {
-        say(&format!("{owner}, which owns the trainer's steps, is dropped without warning"));
+        report(&format!("{owner}, which owns the trainer's steps, is dropped without warning"));
         if let Some(address) = fleet.crash_node(&owner) {
-            judge.node_crashed(address);
+            verifier.record_node_crash(address);
         }
     }
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(FAULT_INTERVAL).await;
 
-    let leaver = fleet.node_names().into_iter().next_back();
-    if let Some(leaver) = leaver {
-        say(&format!("{leaver} leaves"));
-        let cut = fleet.drain_node(&leaver).await.unwrap_or(0);
-        judge.node_drained(cut);
-        say(&format!("{leaver} has left; {cut} requests cut"));
+    let draining_node = fleet.node_names().into_iter().next_back();
+    if let Some(draining_node) = draining_node {
+        report(&format!("{draining_node} leaves"));
+        let interrupted = fleet.drain_node(&draining_node).await.unwrap_or(0);
+        verifier.record_node_drain(interrupted);
+        report(&format!("{draining_node} has left; {interrupted} requests cut"));
     }
 
-    say("the platform is out for three seconds");
+    report("the platform is out for three seconds");
     fleet.platform.set_faults(PlatformFaults { outage: true, ..PlatformFaults::default() });
-    tokio::time::sleep(OUTAGE).await;
+    tokio::time::sleep(OUTAGE_DURATION).await;
     fleet.platform.set_faults(PlatformFaults::default());
-    say("the platform is back");
+    report("the platform is back");
 }
--- a/crates/local/src/fleet.rs
+++ b/crates/local/src/fleet.rs
@@ -21,7 +21,7 @@
 /// How long the stand-in's weight store takes for one of the two fetches that it serves at once.
 const WEIGHTS_FETCH_MS: u64 = 60;
 /// How long the nodes may take to become ready.
-const READY_MAX: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A node on a runtime of its own, so that it can be dropped like a process.
 #[derive(Debug)]
@@ -90,9 +90,9 @@
         workers: &Workers,
         answer_after_ms: u64,
     ) -> Result<(), String> {
-        for place in &workers.data_centres {
+        for data_centre in &workers.data_centres {
             for number in 1..=workers.per_data_centre {
-                let name = format!("{}-{place}-{number}", workers.name);
+                let name = format!("{}-{data_centre}-{number}", workers.name);
                 let name: Name = name.parse().map_err(|error| format!("{error}"))?;
                 let address = match workers.kind {
                     InstanceKind::Engine => self.start_engine(&name, workers).await?,
@@ -107,14 +107,14 @@
                 };
                 let instance = Instance {
                     address,
-                    data_centre: place.clone(),
+                    data_centre: data_centre.clone(),
                     incarnation: Incarnation(1),
                     kind: workers.kind,
                     labels: workers.labels.clone(),
                     name: name.clone(),
                     state: InstanceState::Live,
                 };
-                self.platform.list_instance(instance.clone());
+                self.platform.set_instance(instance.clone());
                 lock(&self.instances).insert(name, instance);
             }
         }
@@ -134,13 +134,13 @@
     }
 
     async fn start_nodes(&self, document: &Document, count: u32) -> Result<(), String> {
-        let places = &document.data_centres;
+        let data_centres = &document.data_centres;
         let mut peers: Vec<String> = Vec::new();
         for number in 0..count {
-            let place = &places[number as usize % places.len()].name;
+            let data_centre = &data_centres[number as usize % data_centres.len()].name;
             let arguments = Arguments {
                 name: Some(format!("entry-{number}")),
-                data_centre: Some(place.to_string()),
+                data_centre: Some(data_centre.to_string()),
                 http: Some(loopback().to_string()),
                 control: Some(loopback().to_string()),
                 peers: Some(peers.join(",")),
@@ -176,10 +176,10 @@
     pub(crate) async fn apply(&self, text: &str) -> Result<(), String> {
         let address = lock(&self.addresses)[0];
         let url = format!("http://{address}/v1/config");
-        let shown: Value = self.get(&url).await?;
+        let current: Value = self.get(&url).await?;
         let body = json!({
-            "base_revision": shown["revision"],
-            "operation_id": format!("local-{}", shown["revision"]),
+            "base_revision": current["revision"],
+            "operation_id": format!("local-{}", current["revision"]),
             "text": text,
         });
         let sent = self.client.put(&url).json(&body).send().await;
@@ -197,7 +197,7 @@
     }
 
     pub(crate) async fn wait_until_ready(&self) -> Result<(), String> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let addresses = lock(&self.addresses).clone();
         let targets = lock(&self.instances).len();
         for address in addresses {
@@ -209,7 +209,7 @@
                 {
                     break;
                 }
-                if began.elapsed() > READY_MAX {
+                if started_at.elapsed() > READY_TIMEOUT {
                     return Err(format!("node {address} did not become ready: {status}"));
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -239,10 +239,10 @@
     }
 
     /// Lets the platform list an instance as leaving or gone.
-    pub(crate) fn list_as(&self, name: &Name, state: InstanceState) {
+    pub(crate) fn set_instance_state(&self, name: &Name, state: InstanceState) {
         let instance = lock(&self.instances).get(name).cloned();
         if let Some(instance) = instance {
-            self.platform.list_instance(Instance { state, ..instance });
+            self.platform.set_instance(Instance { state, ..instance });
         }
     }
 
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -22,9 +22,9 @@
 use verifier::Summary;
 
 /// How long the stand-ins of plain services take for a call.
-const SERVICE_MS: u64 = 3;
+const SERVICE_LATENCY_MS: u64 = 3;
 /// The longest that a run may take in all.
-const RUN_MAX: Duration = Duration::from_secs(57);
+const RUN_TIMEOUT: Duration = Duration::from_secs(57);
 
 /// catkinmast-local: runs a whole deployment in one process on loopback.
 #[derive(Clone, Debug, FromArgs)]
@@ -101,12 +101,12 @@
             return ExitCode::FAILURE;
         }
     };
-    let outcome = runtime.block_on(drive(run, document, text));
+    let outcome = runtime.block_on(run_deployment(run, document, text));
     runtime.shutdown_background();
     match outcome {
         Ok(summary) => {
             summary.print();
-            if summary.all_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+            if summary.all_guarantees_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
         Err(message) => {
             eprintln!("{message}");
@@ -132,8 +132,8 @@
     Ok(())
 }
 
-async fn drive(run: Run, document: Document, text: String) -> Result<Summary, String> {
-    let began = Instant::now();
+async fn run_deployment(run: Run, document: Document, text: String) -> Result<Summary, String> {
+    let started_at = Instant::now();
     println!(
         "{}: {} entry nodes, {} trainer(s), seed {}",
         document.deployment,
@@ -141,32 +141,36 @@
         document.trainers.len(),
         run.seed
     );
-    let fleet = Arc::new(Fleet::start(&document, run.nodes, SERVICE_MS).await?);
+    let fleet = Arc::new(Fleet::start(&document, run.nodes, SERVICE_LATENCY_MS).await?);
     fleet.apply(&text).await?;
     fleet.wait_until_ready().await?;
-    println!("{:5.1} s  all nodes are ready", began.elapsed().as_secs_f64());
-    let judge = Arc::new(verifier::Judge::default());
-    let callers = caller::spawn_all(&fleet, &judge, &document, &run);
-    let trainers = trainer::spawn_all(&fleet, &judge, &document, &run);
-    let faults = (!run.no_faults)
-        .then(|| tokio::spawn(faults::cause(Arc::clone(&fleet), Arc::clone(&judge), text, began)));
-    let all = async {
+    println!("{:5.1} s  all nodes are ready", started_at.elapsed().as_secs_f64());
+    let verifier = Arc::new(verifier::Verifier::default());
+    let callers = caller::spawn_all(&fleet, &verifier, &document, &run);
+    let trainers = trainer::spawn_all(&fleet, &verifier, &document, &run);
+    let faults = (!run.no_faults).then(|| {
+        tokio::spawn(faults::inject(Arc::clone(&fleet), Arc::clone(&verifier), text, started_at))
+    });
+    let all_tasks = async {
         for task in trainers.into_iter().chain(callers) {
             if let Err(error) = task.await {
-                judge.note_broken(format!("a driver ended early: {error}"));
+                verifier.record_violation(format!("a driver ended early: {error}"));
             }
         }
         if let Some(faults) = faults
             && let Err(error) = faults.await
         {
-            judge.note_broken(format!("the faults ended early: {error}"));
+            verifier.record_violation(format!("the faults ended early: {error}"));
         }
     };
-    if tokio::time::timeout(RUN_MAX.saturating_sub(began.elapsed()), all).await.is_err() {
-        judge.note_broken("the run did not end in time".to_owned());
+    if tokio::time::timeout(RUN_TIMEOUT.saturating_sub(started_at.elapsed()), all_tasks)
+        .await
+        .is_err()
+    {
+        verifier.record_violation("the run did not end in time".to_owned());
     }
-    println!("{:5.1} s  done", began.elapsed().as_secs_f64());
-    let summary = judge.judge(&fleet, run.seed);
+    println!("{:5.1} s  done", started_at.elapsed().as_secs_f64());
+    let summary = verifier.verify(&fleet, run.seed);
     fleet.stop();
     Ok(summary)
 }
--- a/crates/local/src/trainer.rs
+++ b/crates/local/src/trainer.rs
@@ -2,7 +2,7 @@
 
 use crate::Run;
 use crate::fleet::Fleet;
-use crate::verifier::{Judge, SampleRecord};
+use crate::verifier::{SampleRecord, Verifier};
 use catkinmast_config::{Document, Trainer};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -11,20 +11,20 @@
 use std::time::{Duration, Instant};
 
 /// Groups in each step.
-const GROUPS: u32 = 16;
+const GROUPS_PER_STEP: u32 = 16;
 /// Most tokens of a sample.
 const MAX_TOKENS: u32 = 600;
 /// How long a trainer trains on a batch.
-const TRAIN_BATCH: Duration = Duration::from_millis(200);
+const TRAINING_TIME: Duration = Duration::from_millis(200);
 /// How many steps are submitted before the first of them is trained on.
-const SUBMITTED_AHEAD: u64 = 2;
+const STEPS_AHEAD: u64 = 2;
 /// Pause before a request is sent again.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 struct Driver {
     fleet: Arc<Fleet>,
     group_size: u32,
-    judge: Arc<Judge>,
+    verifier: Arc<Verifier>,
     name: String,
     rng: Pcg64Mcg,
     seed: u64,
@@ -33,7 +33,7 @@
 
 pub(crate) fn spawn_all(
     fleet: &Arc<Fleet>,
-    judge: &Arc<Judge>,
+    verifier: &Arc<Verifier>,
     document: &Document,
     run: &Run,
 ) -> Vec<tokio::task::JoinHandle<()>> {
@@ -41,7 +41,7 @@
         let driver = Driver {
             fleet: Arc::clone(fleet),
             group_size: trainer.group_size,
-            judge: Arc::clone(judge),
+            verifier: Arc::clone(verifier),
             name: trainer.name.to_string(),
             rng: Pcg64Mcg::seed_from_u64(run.seed),
             seed: run.seed,
@@ -60,22 +60,23 @@
             "idle_weight_percent": trainer.idle_weight_percent,
             "staleness_bound_versions": trainer.staleness_bound_versions,
         });
-        self.until_done(reqwest::Method::PUT, "", Some(&registration)).await;
+        self.send_until_accepted(reqwest::Method::PUT, "", Some(&registration)).await;
         let mut batch = 1;
         let mut submitted = 0;
         for step in 1..=steps {
-            while submitted < (step + SUBMITTED_AHEAD).min(steps) {
+            while submitted < (step + STEPS_AHEAD).min(steps) {
                 submitted += 1;
                 self.submit(submitted).await;
             }
-            let mut left = GROUPS * self.group_size;
-            while left > 0 {
-                left -= self.train_batch(batch, trainer.staleness_bound_versions).await;
+            let mut remaining_samples = GROUPS_PER_STEP * self.group_size;
+            while remaining_samples > 0 {
+                remaining_samples -=
+                    self.train_batch(batch, trainer.staleness_bound_versions).await;
                 batch += 1;
             }
             self.version += 1;
             let path = format!("/versions/{}", self.version);
-            self.until_done(reqwest::Method::PUT, &path, None).await;
+            self.send_until_accepted(reqwest::Method::PUT, &path, None).await;
             println!("         {}: step {step} trained, version {}", self.name, self.version);
         }
     }
@@ -85,8 +86,9 @@
     }
 
     async fn submit(&self, step: u64) {
-        let groups: Vec<Value> =
-            (0..GROUPS).map(|group| json!({ "prompt": self.prompt(step, group) })).collect();
+        let groups: Vec<Value> = (0..GROUPS_PER_STEP)
+            .map(|group| json!({ "prompt": self.prompt(step, group) }))
+            .collect();
         let deadline = catkinmast_model::UnixMs::from_wall_clock().plus(60_000);
         let body = json!({
             "deadline_unix_ms": deadline,
@@ -94,17 +96,17 @@
             "max_tokens": MAX_TOKENS,
             "seed": self.seed * 1_000 + step,
         });
-        self.judge.samples_submitted(u64::from(GROUPS * self.group_size));
-        self.clone_for_send()
-            .until_done(reqwest::Method::PUT, &format!("/steps/{step}"), Some(&body))
+        self.verifier.record_submitted_samples(u64::from(GROUPS_PER_STEP * self.group_size));
+        self.clone_for_submission()
+            .send_until_accepted(reqwest::Method::PUT, &format!("/steps/{step}"), Some(&body))
             .await;
     }
 
-    fn clone_for_send(&self) -> Self {
+    fn clone_for_submission(&self) -> Self {
         Self {
             fleet: Arc::clone(&self.fleet),
             group_size: self.group_size,
-            judge: Arc::clone(&self.judge),
+            verifier: Arc::clone(&self.verifier),
             name: self.name.clone(),
             rng: self.rng.clone(),
             seed: self.seed,
@@ -115,7 +117,7 @@
     /// Fetches, claims and trains on a batch; returns how many samples were trained on, which is
     /// 0 for a batch that is void.
     async fn train_batch(&mut self, batch: u64, bound: u64) -> u32 {
-        let waiting_since = Instant::now();
+        let wait_started_at = Instant::now();
         let samples = loop {
             match self.fetch(batch).await {
                 Fetched::Samples(samples) => {
@@ -130,15 +132,15 @@
                 Fetched::Void => return 0,
                 Fetched::NotYet => {}
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         };
-        self.judge.trainer_waited(waiting_since.elapsed());
+        self.verifier.record_wait(wait_started_at.elapsed());
         let count = samples.len() as u32;
         for sample in samples {
-            self.judge.sample_claimed(sample, self.version, bound);
+            self.verifier.record_claimed_sample(sample, self.version, bound);
         }
-        tokio::time::sleep(TRAIN_BATCH).await;
-        self.judge.trainer_trained(TRAIN_BATCH);
+        tokio::time::sleep(TRAINING_TIME).await;
+        self.verifier.record_training(TRAINING_TIME);
         count
     }
 
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Reads the lines of a batch; one without its last line is not whole.
+    /// Reads the lines of a batch; one without its last line is not complete.
     fn read_samples(&self, text: &str) -> Option<Vec<SampleRecord>> {
         let mut samples = Vec::new();
         for line in text.lines() {
@@ -179,8 +181,8 @@
                     });
                 }
                 "end" => {
-                    let whole = line["samples"].as_u64() == Some(samples.len() as u64);
-                    return whole.then_some(samples);
+                    let complete = line["samples"].as_u64() == Some(samples.len() as u64);
+                    return complete.then_some(samples);
                 }
                 _ => {}
             }
@@ -189,14 +191,19 @@
     }
 
     /// Sends a request again and again until it is done; every trainer's request is idempotent.
-    async fn until_done(&mut self, method: reqwest::Method, path: &str, body: Option<&Value>) {
+    async fn send_until_accepted(
+        &mut self,
+        method: reqwest::Method,
+        path: &str,
+        body: Option<&Value>,
+    ) {
         loop {
             match self.send(method.clone(), path, body).await {
                 Some((status, _)) if (200..300).contains(&status) => return,
                 Some((status, text)) if status == 400 || status == 422 => {
-                    return self.judge.note_broken(format!("{path}: {status}: {text}"));
+                    return self.verifier.record_violation(format!("{path}: {status}: {text}"));
                 }
-                _ => tokio::time::sleep(PAUSE).await,
+                _ => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
--- a/crates/local/src/verifier.rs
+++ b/crates/local/src/verifier.rs
@@ -27,22 +27,22 @@
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CallOutcome {
-    Cut,
+    Corrupted,
     MayHaveRun,
     RefusedNotRun,
-    Whole,
+    Complete,
 }
 
 #[derive(Debug, Default)]
-struct Notes {
-    broken: Vec<String>,
-    broken_connections: Vec<SocketAddr>,
+struct Observations {
+    violations: Vec<String>,
+    disconnections: Vec<SocketAddr>,
     calls_ended: IndexMap<(String, String), (CallOutcome, bool)>,
     calls_sent: u64,
     claimed: Vec<(SampleRecord, u64)>,
     crashed: IndexSet<SocketAddr>,
-    drain_cut: usize,
-    over_bound: u64,
+    interrupted_by_drain: usize,
+    over_staleness_bound: u64,
     samples_submitted: u64,
     trained: Duration,
     waited: Duration,
@@ -50,8 +50,8 @@
 
 /// Collects what callers and trainers saw.
 #[derive(Debug, Default)]
-pub(crate) struct Judge {
-    notes: Mutex<Notes>,
+pub(crate) struct Verifier {
+    observations: Mutex<Observations>,
 }
 
 /// The outcome of a run.
@@ -80,102 +80,108 @@
     broken: Vec<String>,
 }
 
-impl Judge {
-    fn notes(&self) -> MutexGuard<'_, Notes> {
-        self.notes.lock().unwrap_or_else(PoisonError::into_inner)
+impl Verifier {
+    fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn note_broken(&self, message: String) {
-        self.notes().broken.push(message);
+    pub(crate) fn record_violation(&self, message: String) {
+        self.observations().violations.push(message);
     }
 
-    pub(crate) fn samples_submitted(&self, count: u64) {
-        self.notes().samples_submitted += count;
+    pub(crate) fn record_submitted_samples(&self, count: u64) {
+        self.observations().samples_submitted += count;
     }
 
-    pub(crate) fn sample_claimed(&self, sample: SampleRecord, at_version: u64, bound: u64) {
-        let mut notes = self.notes();
+    pub(crate) fn record_claimed_sample(&self, sample: SampleRecord, at_version: u64, bound: u64) {
+        let mut observations = self.observations();
         let age = sample.segments.age_versions(Version(at_version));
-        notes.over_bound += u64::from(age > bound);
-        notes.claimed.push((sample, age));
+        observations.over_staleness_bound += u64::from(age > bound);
+        observations.claimed.push((sample, age));
     }
 
-    pub(crate) fn trainer_waited(&self, waited: Duration) {
-        self.notes().waited += waited;
+    pub(crate) fn record_wait(&self, waited: Duration) {
+        self.observations().waited += waited;
     }
 
-    pub(crate) fn trainer_trained(&self, trained: Duration) {
-        self.notes().trained += trained;
+    pub(crate) fn record_training(&self, trained: Duration) {
+        self.observations().trained += trained;
     }
 
-    pub(crate) fn call_sent(&self) {
-        self.notes().calls_sent += 1;
+    pub(crate) fn record_call(&self) {
+        self.observations().calls_sent += 1;
     }
 
-    pub(crate) fn call_ended(&self, outcome: CallOutcome, call: &Call, body: &str) {
+    pub(crate) fn record_call_outcome(&self, outcome: CallOutcome, call: &Call, body: &str) {
         let key = (call.path.clone(), body.to_owned());
-        self.notes().calls_ended.insert(key, (outcome, call.idempotent));
+        self.observations().calls_ended.insert(key, (outcome, call.idempotent));
     }
 
-    pub(crate) fn connection_broke(&self, address: SocketAddr) {
-        self.notes().broken_connections.push(address);
+    pub(crate) fn record_disconnection(&self, address: SocketAddr) {
+        self.observations().disconnections.push(address);
     }
 
-    pub(crate) fn node_crashed(&self, address: SocketAddr) {
-        self.notes().crashed.insert(address);
+    pub(crate) fn record_node_crash(&self, address: SocketAddr) {
+        self.observations().crashed.insert(address);
     }
 
-    pub(crate) fn node_drained(&self, cut: usize) {
-        self.notes().drain_cut += cut;
+    pub(crate) fn record_node_drain(&self, interrupted: usize) {
+        self.observations().interrupted_by_drain += interrupted;
     }
 
-    pub(crate) fn judge(&self, fleet: &Fleet, seed: u64) -> Summary {
-        let notes = self.notes();
-        let mut runs: IndexMap<(String, String), u32> = IndexMap::new();
+    pub(crate) fn verify(&self, fleet: &Fleet, seed: u64) -> Summary {
+        let observations = self.observations();
+        let mut run_counts: IndexMap<(String, String), u32> = IndexMap::new();
         for service in fleet.services.values() {
             for (call, count) in service.run_counts() {
-                *runs.entry(call).or_default() += count;
+                *run_counts.entry(call).or_default() += count;
             }
         }
         let ended = |wanted: CallOutcome| {
-            notes.calls_ended.values().filter(|(outcome, _)| *outcome == wanted).count() as u64
+            observations.calls_ended.values().filter(|(outcome, _)| *outcome == wanted).count()
+                as u64
         };
-        let run_twice = notes
+        let run_twice = observations
             .calls_ended
             .iter()
-            .filter(|(call, (_, idempotent))| !idempotent && runs.get(*call) > Some(&1))
+            .filter(|(call, (_, idempotent))| !idempotent && run_counts.get(*call) > Some(&1))
             .count() as u64;
-        let false_not_run = notes
+        let ran_despite_refusal = observations
             .calls_ended
             .iter()
             .filter(|(call, (outcome, _))| {
-                *outcome == CallOutcome::RefusedNotRun && runs.contains_key(*call)
+                *outcome == CallOutcome::RefusedNotRun && run_counts.contains_key(*call)
             })
             .count() as u64;
         // A connection to a node that was dropped without warning breaks; any other was cut.
-        let cut = notes.broken_connections.iter().filter(|at| !notes.crashed.contains(*at));
-        let ids = notes.claimed.iter().map(|(s, _)| (&s.trainer, s.step, s.group, s.index));
+        let interrupted =
+            observations.disconnections.iter().filter(|at| !observations.crashed.contains(*at));
+        let ids = observations.claimed.iter().map(|(s, _)| (&s.trainer, s.step, s.group, s.index));
         let distinct: IndexSet<_> = ids.collect();
-        let claimed = notes.claimed.len() as u64;
-        let ages: Vec<u64> = notes.claimed.iter().map(|(_, age)| *age).collect();
-        let in_all = (notes.waited + notes.trained).as_secs_f64();
+        let claimed = observations.claimed.len() as u64;
+        let ages: Vec<u64> = observations.claimed.iter().map(|(_, age)| *age).collect();
+        let total_s = (observations.waited + observations.trained).as_secs_f64();
         let kv_calls_by_kind = fleet.platform.call_counts();
         Summary {
-            samples_submitted: notes.samples_submitted,
+            samples_submitted: observations.samples_submitted,
             samples_claimed: claimed,
-            samples_lost: notes.samples_submitted.saturating_sub(distinct.len() as u64),
+            samples_lost: observations.samples_submitted.saturating_sub(distinct.len() as u64),
             samples_doubled: claimed - distinct.len() as u64,
-            samples_over_staleness_bound: notes.over_bound,
-            samples_misattributed: misattributed(&notes.claimed, fleet),
-            calls_sent: notes.calls_sent,
-            calls_answered_whole: ended(CallOutcome::Whole),
+            samples_over_staleness_bound: observations.over_staleness_bound,
+            samples_misattributed: misattributed(&observations.claimed, fleet),
+            calls_sent: observations.calls_sent,
+            calls_answered_whole: ended(CallOutcome::Complete),
             calls_refused_not_run: ended(CallOutcome::RefusedNotRun),
-            calls_refused_not_run_but_ran: false_not_run,
+            calls_refused_not_run_but_ran: ran_despite_refusal,
             calls_may_have_run: ended(CallOutcome::MayHaveRun),
-            calls_cut: ended(CallOutcome::Cut) + cut.count() as u64 + notes.drain_cut as u64,
+            calls_cut: ended(CallOutcome::Corrupted)
+                + interrupted.count() as u64
+                + observations.interrupted_by_drain as u64,
             calls_doubled: run_twice,
             non_idempotent_run_twice: run_twice,
-            trainer_idle_percent: round(100.0 * notes.waited.as_secs_f64() / in_all.max(1e-9)),
+            trainer_idle_percent: round(
+                100.0 * observations.waited.as_secs_f64() / total_s.max(1e-9),
+            ),
             staleness_mean_versions: round(
                 ages.iter().sum::<u64>() as f64 / ages.len().max(1) as f64,
             ),
@@ -183,7 +189,7 @@
             kv_calls: kv_calls_by_kind.values().sum(),
             seed,
             kv_calls_by_kind,
-            broken: notes.broken.clone(),
+            broken: observations.violations.clone(),
         }
     }
 }
@@ -203,7 +209,7 @@
             let segments = sample.segments.as_slice();
             segments.iter().find(|segment| segment.end > index).map(|segment| segment.version)
         };
-        let tokens_fit = sample.tokens.iter().enumerate().all(|(index, token)| {
+        let tokens_match = sample.tokens.iter().enumerate().all(|(index, token)| {
             version_at(index as u32).is_some_and(|version| {
                 *token == expected_token(&sample.prompt, sample.seed, index as u32, version)
             })
@@ -212,22 +218,22 @@
             "{}/{}/{}/{}/{}",
             sample.trainer, sample.step, sample.group, sample.index, sample.attempt
         );
-        let record_fits = records.get(&id).is_some_and(|record| {
+        let record_matches = records.get(&id).is_some_and(|record| {
             record.finished
-                && record.placed_segments().iter().all(|segment| {
+                && record.absolute_segments().iter().all(|segment| {
                     (segment.start..segment.end)
                         .all(|index| version_at(index) == Some(segment.version))
                 })
         });
-        !(tokens_fit && record_fits)
+        !(tokens_match && record_matches)
     });
     wrong.count() as u64
 }
 
 impl Summary {
     /// Tells whether every promise was kept.
-    pub(crate) fn all_kept(&self) -> bool {
-        let broken = [
+    pub(crate) fn all_guarantees_kept(&self) -> bool {
+        let violation_counts = [
             self.samples_lost,
             self.samples_doubled,
             self.samples_over_staleness_bound,
@@ -243,7 +249,7 @@
             + self.calls_may_have_run
             + self.calls_cut
             >= self.calls_sent;
-        broken.iter().all(|count| *count == 0) && all_ended
+        violation_counts.iter().all(|count| *count == 0) && all_ended
     }
 
     /// Prints the summary for people, then as one line of JSON.
@@ -272,10 +278,10 @@
             self.trainer_idle_percent, self.staleness_mean_versions, self.staleness_max_versions
         );
         println!("platform {} calls: {:?}", self.kv_calls, self.kv_calls_by_kind);
-        for broken in &self.broken {
-            println!("broken   {broken}");
+        for violation in &self.broken {
+            println!("broken   {violation}");
         }
-        println!("promises {}", if self.all_kept() { "all kept" } else { "BROKEN" });
+        println!("promises {}", if self.all_guarantees_kept() { "all kept" } else { "BROKEN" });
         println!("{}", serde_json::to_string(self).unwrap_or_default());
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -26,15 +26,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Size of the vocabulary from which tokens are drawn.
-const VOCABULARY: u64 = 50_000;
+const VOCABULARY_SIZE: u64 = 50_000;
 /// One sequence in this many is a straggler, ten times the usual length.
-const STRAGGLER_EVERY: u64 = 24;
+const STRAGGLER_INTERVAL: u64 = 24;
 /// How many prompt prefixes fit into the cache.
-const CACHE_PREFIXES: usize = 64;
+const CACHED_PREFIXES_MAX: usize = 64;
 /// How many cache events are kept for readers.
-const CACHE_EVENTS: usize = 256;
+const CACHE_EVENTS_MAX: usize = 256;
 /// One cache event in this many is lost, as real engines lose them.
-const CACHE_EVENT_GAP: u64 = 10;
+const CACHE_EVENT_LOSS_INTERVAL: u64 = 10;
 
 /// How an engine's stand-in starts.
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
 
 #[derive(Debug)]
 struct Sequence {
-    cold_ticks: u32,
+    prefill_ticks: u32,
     length: u32,
     next: u32,
     request: GenerateRequest,
@@ -103,7 +103,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Batch {
+struct EngineState {
     cache: VecDeque<u64>,
     /// When it happened, its number, and the digest of the prompt.
     cache_events: VecDeque<(UnixMs, u64, u64)>,
@@ -128,28 +128,28 @@
 
 #[derive(Debug)]
 struct Shared {
-    batch: Mutex<Batch>,
+    state: Mutex<EngineState>,
     settings: EngineSettings,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Batch> {
-        self.batch.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, EngineState> {
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
 /// Returns the token that any engine produces at `index` under `version`.
 pub fn expected_token(prompt: &str, seed: u64, index: u32, version: Version) -> u32 {
     let text = format!("{prompt}\n{seed}\n{index}\n{version}");
-    (xxh3_64(text.as_bytes()) % VOCABULARY) as u32
+    (xxh3_64(text.as_bytes()) % VOCABULARY_SIZE) as u32
 }
 
 /// A sequence's length depends on prompt and seed alone, so it is the same on every engine.
 fn sequence_length(request: &GenerateRequest, median_tokens: u32) -> u32 {
-    let draw = xxh3_64(format!("{}\n{}", request.prompt, request.seed).as_bytes());
-    let spread = median_tokens / 2 + (draw % u64::from(median_tokens.max(1))) as u32;
-    let factor = if (draw >> 32).is_multiple_of(STRAGGLER_EVERY) { 10 } else { 1 };
-    (spread * factor).clamp(1, request.max_tokens.max(1))
+    let hash = xxh3_64(format!("{}\n{}", request.prompt, request.seed).as_bytes());
+    let base_length = median_tokens / 2 + (hash % u64::from(median_tokens.max(1))) as u32;
+    let length_factor = if (hash >> 32).is_multiple_of(STRAGGLER_INTERVAL) { 10 } else { 1 };
+    (base_length * length_factor).clamp(1, request.max_tokens.max(1))
 }
 
 /// A running stand-in of a model engine.
@@ -167,7 +167,7 @@
     /// When the address cannot be bound.
     pub async fn spawn(settings: EngineSettings) -> Result<Self, StandinError> {
         let address = settings.address;
-        let shared = Arc::new(Shared { batch: Mutex::default(), settings });
+        let shared = Arc::new(Shared { state: Mutex::default(), settings });
         let state = Arc::clone(&shared);
         let web = WebServer::bind(address, move |rocket| {
             rocket.manage(state).mount(
@@ -209,10 +209,10 @@
     pub fn crash(&self) {
         self.web.crash();
         self.ticker.abort();
-        let mut batch = self.shared.lock();
-        batch.faults.crashed = true;
-        batch.running.clear();
-        batch.waiting.clear();
+        let mut state = self.shared.lock();
+        state.faults.crashed = true;
+        state.running.clear();
+        state.waiting.clear();
     }
 }
 
@@ -224,20 +224,20 @@
 
 async fn tick_forever(shared: Arc<Shared>) {
     loop {
-        let slow = u64::from(shared.lock().faults.slow_factor.max(1));
-        tokio::time::sleep(Duration::from_millis(shared.settings.tick_ms * slow)).await;
+        let slow_factor = u64::from(shared.lock().faults.slow_factor.max(1));
+        tokio::time::sleep(Duration::from_millis(shared.settings.tick_ms * slow_factor)).await;
         shared.lock().tick(UnixMs::from_wall_clock(), &shared.settings);
     }
 }
 
-impl Batch {
+impl EngineState {
     fn tick(&mut self, now: UnixMs, settings: &EngineSettings) {
         self.ticks += 1;
         self.finish_swap(now);
         self.admit(settings);
-        let share = batch_share(settings, self.running.len());
+        let new_tokens = tokens_per_sequence(settings, self.running.len());
         let mut running = std::mem::take(&mut self.running);
-        running.retain_mut(|sequence| !self.advance(sequence, share));
+        running.retain_mut(|sequence| !self.advance(sequence, new_tokens));
         self.running = running;
         if now.since_ms(self.load.as_of_unix_ms) >= settings.load_lag_ms {
             self.load = LoadReport {
@@ -265,7 +265,7 @@
         self.waiting.sort_by_key(|sequence| std::cmp::Reverse(sequence.request.priority));
         while self.running.len() < settings.max_batch && !self.waiting.is_empty() {
             let mut sequence = self.waiting.remove(0);
-            sequence.cold_ticks = u32::from(!self.touch_prefix(&sequence.request.prompt));
+            sequence.prefill_ticks = u32::from(!self.touch_prefix(&sequence.request.prompt));
             self.running.push(sequence);
         }
     }
@@ -274,34 +274,34 @@
     fn touch_prefix(&mut self, prompt: &str) -> bool {
         let digest = xxh3_64(prompt.as_bytes());
         let found = self.cache.iter().position(|cached| *cached == digest);
-        if let Some(place) = found {
-            self.cache.remove(place);
+        if let Some(position) = found {
+            self.cache.remove(position);
         } else {
             self.cache_sequence += 1;
-            if !self.cache_sequence.is_multiple_of(CACHE_EVENT_GAP) {
+            if !self.cache_sequence.is_multiple_of(CACHE_EVENT_LOSS_INTERVAL) {
                 let now = UnixMs::from_wall_clock();
                 self.cache_events.push_back((now, self.cache_sequence, digest));
-                if self.cache_events.len() > CACHE_EVENTS {
+                if self.cache_events.len() > CACHE_EVENTS_MAX {
                     self.cache_events.pop_front();
                 }
             }
         }
         self.cache.push_back(digest);
-        if self.cache.len() > CACHE_PREFIXES {
+        if self.cache.len() > CACHED_PREFIXES_MAX {
             self.cache.pop_front();
         }
         found.is_some()
     }
 
     /// Advances one sequence and tells whether it is over.
-    fn advance(&mut self, sequence: &mut Sequence, share: u32) -> bool {
-        if sequence.cold_ticks > 0 {
-            sequence.cold_ticks -= 1;
+    fn advance(&mut self, sequence: &mut Sequence, new_tokens: u32) -> bool {
+        if sequence.prefill_ticks > 0 {
+            sequence.prefill_ticks -= 1;
             return sequence.sender.is_closed();
         }
         let request = &sequence.request;
         let version = self.versions.get(&request.model).copied().unwrap_or_default();
-        let end = (sequence.next + share).min(sequence.length);
+        let end = (sequence.next + new_tokens).min(sequence.length);
         let tokens: Vec<u32> = (sequence.next..end)
             .map(|index| expected_token(&request.prompt, request.seed, index, version))
             .collect();
@@ -314,21 +314,21 @@
             version,
         };
         sequence.next = end;
-        let hung_up = sequence.sender.send(chunk).is_err();
+        let is_disconnected = sequence.sender.send(chunk).is_err();
         if end == sequence.length {
             record.finished = true;
             let count = end;
             let request_id = request.request_id.clone();
             drop(sequence.sender.send(EngineLine::End { count, request_id }));
         }
-        hung_up || end == sequence.length
+        is_disconnected || end == sequence.length
     }
 }
 
 /// Tokens that each sequence gains in a tick: a fuller batch is slower for each, faster in all.
-fn batch_share(settings: &EngineSettings, running: usize) -> u32 {
-    let crowding = running * 2 / settings.max_batch.max(1);
-    (settings.tokens_per_tick / (1 + crowding as u32)).max(1)
+fn tokens_per_sequence(settings: &EngineSettings, running: usize) -> u32 {
+    let batch_slowdown = running * 2 / settings.max_batch.max(1);
+    (settings.tokens_per_tick / (1 + batch_slowdown as u32)).max(1)
 }
 
 #[post("/generate", data = "<request>")]
@@ -340,14 +340,14 @@
     let (sender, mut lines) = mpsc::unbounded_channel();
     let length = sequence_length(&request, shared.settings.median_tokens);
     {
-        let mut batch = shared.lock();
-        if batch.faults.crashed {
+        let mut state = shared.lock();
+        if state.faults.crashed {
             return Err(Status::InternalServerError);
         }
-        let record = batch.records.entry(request.request_id.clone()).or_default();
+        let record = state.records.entry(request.request_id.clone()).or_default();
         record.resumed_from = request.resume_from;
         let next = request.resume_from.min(length);
-        batch.waiting.push(Sequence { cold_ticks: 0, length, next, request, sender });
+        state.waiting.push(Sequence { prefill_ticks: 0, length, next, request, sender });
     };
     Ok(TextStream! {
         while let Some(line) = lines.recv().await {
@@ -361,28 +361,28 @@
 
 #[post("/cancel", data = "<request>")]
 fn cancel(request: Json<CancelRequest>, shared: &State<Arc<Shared>>) -> Status {
-    let mut batch = shared.lock();
-    batch.running.retain(|sequence| sequence.request.request_id != request.request_id);
-    batch.waiting.retain(|sequence| sequence.request.request_id != request.request_id);
+    let mut state = shared.lock();
+    state.running.retain(|sequence| sequence.request.request_id != request.request_id);
+    state.waiting.retain(|sequence| sequence.request.request_id != request.request_id);
     Status::NoContent
 }
 
 #[post("/order", data = "<request>")]
 fn order(request: Json<WeightOrder>, shared: &State<Arc<Shared>>) -> Status {
     let request = request.into_inner();
-    let mut batch = shared.lock();
-    if shared.settings.checks_fence && request.fence < batch.fence {
+    let mut state = shared.lock();
+    if shared.settings.checks_fence && request.fence < state.fence {
         return Status::Conflict;
     }
-    batch.fence = batch.fence.max(request.fence);
-    if batch.versions.get(&request.model) == Some(&request.version) {
+    state.fence = state.fence.max(request.fence);
+    if state.versions.get(&request.model) == Some(&request.version) {
         return Status::Ok;
     }
-    let under_way = batch.swap.as_ref().is_some_and(|swap| swap.version == request.version);
-    if !under_way {
+    let in_progress = state.swap.as_ref().is_some_and(|swap| swap.version == request.version);
+    if !in_progress {
         let (model, version) = (request.model, request.version);
         // Not done before the weights are there.
-        batch.swap = Some(Swap { done_at: UnixMs(u64::MAX), model: model.clone(), version });
+        state.swap = Some(Swap { done_at: UnixMs(u64::MAX), model: model.clone(), version });
         tokio::spawn(fetch_weights(Arc::clone(shared.inner()), model, version));
     }
     Status::Accepted
@@ -397,35 +397,35 @@
             reqwest::get(url).await.is_ok_and(|answer| answer.status().is_success())
         }
     };
-    let mut batch = shared.lock();
-    let ours = |swap: &Swap| swap.version == version && swap.model == model;
-    if !batch.swap.as_ref().is_some_and(ours) {
+    let mut state = shared.lock();
+    let is_this_swap = |swap: &Swap| swap.version == version && swap.model == model;
+    if !state.swap.as_ref().is_some_and(is_this_swap) {
         return;
     }
     if fetched {
         let done_at = UnixMs::from_wall_clock().plus(shared.settings.swap_ms);
-        batch.swap = Some(Swap { done_at, model, version });
+        state.swap = Some(Swap { done_at, model, version });
     } else {
-        batch.swap = None;
+        state.swap = None;
     }
 }
 
 #[get("/load")]
 fn load(shared: &State<Arc<Shared>>) -> Result<Json<LoadReport>, Status> {
-    let batch = shared.lock();
-    if batch.faults.crashed {
+    let state = shared.lock();
+    if state.faults.crashed {
         return Err(Status::InternalServerError);
     }
-    Ok(Json(batch.load.clone()))
+    Ok(Json(state.load.clone()))
 }
 
 /// The cache events after a sequence number: as late as load reports, and with gaps.
 #[get("/cache-events?<after>")]
 fn cache_events(after: u64, shared: &State<Arc<Shared>>) -> Json<Vec<(u64, u64)>> {
-    let batch = shared.lock();
+    let state = shared.lock();
     let now = UnixMs::from_wall_clock();
     let lag_ms = shared.settings.load_lag_ms;
-    let visible = batch
+    let visible = state
         .cache_events
         .iter()
         .filter(|(at, number, _)| *number > after && now.since_ms(*at) >= lag_ms);
@@ -446,15 +446,15 @@
 
 #[post("/standin/faults", data = "<request>")]
 fn set_faults(request: Json<FaultRequest>, shared: &State<Arc<Shared>>) -> Status {
-    let mut batch = shared.lock();
-    batch.faults.fail_swaps = request.fail_swaps;
-    batch.faults.slow_factor = request.slow_factor;
+    let mut state = shared.lock();
+    state.faults.fail_swaps = request.fail_swaps;
+    state.faults.slow_factor = request.slow_factor;
     Status::NoContent
 }
 
 impl RunRecord {
     /// Returns the segments with their true token indices.
-    pub fn placed_segments(&self) -> Vec<Segment> {
+    pub fn absolute_segments(&self) -> Vec<Segment> {
         let shift = |segment: &Segment| Segment {
             end: segment.end + self.resumed_from,
             start: segment.start + self.resumed_from,
--- a/crates/standin/src/forwarder.rs
+++ b/crates/standin/src/forwarder.rs
@@ -32,9 +32,9 @@
     /// # Errors
     /// When the address cannot be bound.
     pub async fn spawn(address: SocketAddr, to: SocketAddr) -> Result<Self, StandinError> {
-        let failed = |error: std::io::Error| StandinError { message: error.to_string() };
-        let listener = TcpListener::bind(address).await.map_err(failed)?;
-        let address = listener.local_addr().map_err(failed)?;
+        let start_error = |error: std::io::Error| StandinError { message: error.to_string() };
+        let listener = TcpListener::bind(address).await.map_err(start_error)?;
+        let address = listener.local_addr().map_err(start_error)?;
         let mode = Arc::new(watch::channel(Mode::Pass).0);
         let task = tokio::spawn(accept(listener, to, Arc::clone(&mode)));
         Ok(Self { address, mode, task })
@@ -73,11 +73,11 @@
     }
 }
 
-async fn forward(mut near: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
-    let Ok(mut far) = TcpStream::connect(to).await else { return };
+async fn forward(mut client: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
+    let Ok(mut server) = TcpStream::connect(to).await else { return };
     loop {
-        let now = *mode.borrow_and_update();
-        match now {
+        let current = *mode.borrow_and_update();
+        match current {
             Mode::Cut => return,
             Mode::Hold => {
                 if mode.changed().await.is_err() {
@@ -86,7 +86,7 @@
             }
             Mode::Pass => {
                 tokio::select! {
-                    _ = copy_bidirectional(&mut near, &mut far) => return,
+                    _ = copy_bidirectional(&mut client, &mut server) => return,
                     changed = mode.changed() => if changed.is_err() { return },
                 }
             }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Notify, Semaphore};
 
 /// How many fetches of weights the store serves at once; the others wait for their turn.
-const WEIGHT_FETCHES_AT_ONCE: usize = 2;
+const CONCURRENT_WEIGHT_FETCHES_MAX: usize = 2;
 /// The largest value that the service holds (brief, "Where it will run").
 const VALUE_MAX_BYTES: usize = 1 << 20;
 
@@ -51,8 +51,8 @@
     entries: BTreeMap<String, StoredEntry>,
     faults: PlatformFaults,
     instances: IndexMap<Name, Instance>,
-    instances_log: VecDeque<(UnixMs, Instance)>,
-    leases: IndexMap<u64, LeaseTerm>,
+    pending_instances: VecDeque<(UnixMs, Instance)>,
+    leases: IndexMap<u64, Lease>,
     version: u64,
 }
 
@@ -72,17 +72,17 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LeaseTerm {
+struct Lease {
     expires_at: UnixMs,
     ttl_ms: u64,
 }
 
 #[derive(Debug)]
 struct Shared {
-    changed: Notify,
+    changes: Notify,
     list_lag_ms: u64,
     store: Mutex<Store>,
-    weight_fetches: Semaphore,
+    weight_fetch_permits: Semaphore,
     weights_fetch_ms: u64,
 }
 
@@ -106,10 +106,10 @@
     /// When the address cannot be bound.
     pub async fn spawn(settings: PlatformSettings) -> Result<Self, StandinError> {
         let shared = Arc::new(Shared {
-            changed: Notify::new(),
+            changes: Notify::new(),
             list_lag_ms: settings.list_lag_ms,
             store: Mutex::default(),
-            weight_fetches: Semaphore::new(WEIGHT_FETCHES_AT_ONCE),
+            weight_fetch_permits: Semaphore::new(CONCURRENT_WEIGHT_FETCHES_MAX),
             weights_fetch_ms: settings.weights_fetch_ms,
         });
         let state = Arc::clone(&shared);
@@ -147,8 +147,8 @@
     }
 
     /// Adds or changes an instance; readers of the list see it after the lag.
-    pub fn list_instance(&self, instance: Instance) {
-        self.shared.lock().instances_log.push_back((UnixMs::from_wall_clock(), instance));
+    pub fn set_instance(&self, instance: Instance) {
+        self.shared.lock().pending_instances.push_back((UnixMs::from_wall_clock(), instance));
     }
 
     /// Returns how often each kind of call was made.
@@ -184,7 +184,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct LeaseTerms {
+struct LeaseRequest {
     ttl_ms: u64,
 }
 
@@ -197,17 +197,17 @@
 
 impl Store {
     fn expire(&mut self, now: UnixMs) {
-        let over = self.leases.iter().filter(|(_, term)| term.expires_at <= now);
-        let lapsed: Vec<u64> = over.map(|(lease, _)| *lease).collect();
-        for lease in lapsed {
+        let expired = self.leases.iter().filter(|(_, lease_record)| lease_record.expires_at <= now);
+        let expired_ids: Vec<u64> = expired.map(|(lease, _)| *lease).collect();
+        for lease in expired_ids {
             self.end_lease(lease);
         }
     }
 
     fn end_lease(&mut self, lease: u64) {
         self.leases.shift_remove(&lease);
-        let hanging = self.entries.iter().filter(|(_, entry)| entry.lease == lease);
-        let keys: Vec<String> = hanging.map(|(key, _)| key.clone()).collect();
+        let attached = self.entries.iter().filter(|(_, entry)| entry.lease == lease);
+        let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.version += 1;
             self.delete(&key);
@@ -225,42 +225,42 @@
     }
 
     /// Does all of a transaction or nothing.
-    fn transact(&mut self, wanted: Transaction) -> Answer {
-        let holds = |row: &ExpectedRow| self.revision(&row.key) == row.revision;
-        if !wanted.expected.iter().all(holds) {
+    fn transact(&mut self, transaction: Transaction) -> Answer {
+        let is_current = |row: &ExpectedRow| self.revision(&row.key) == row.revision;
+        if !transaction.expected.iter().all(is_current) {
             let current = |row: &ExpectedRow| match self.entries.get(&row.key) {
                 Some(entry) => entry.as_json(&row.key),
                 None => json!({ "key": row.key, "revision": 0 }),
             };
-            let items: Vec<Value> = wanted.expected.iter().map(current).collect();
+            let items: Vec<Value> = transaction.expected.iter().map(current).collect();
             return Err(status(Status::PreconditionFailed, json!({ "items": items })));
         }
-        let lives = |put: &PutRow| put.lease == 0 || self.leases.contains_key(&put.lease);
-        if !wanted.puts.iter().all(lives) {
+        let lease_exists = |put: &PutRow| put.lease == 0 || self.leases.contains_key(&put.lease);
+        if !transaction.puts.iter().all(lease_exists) {
             return Err(status(Status::NotFound, json!({})));
         }
         let fits = |put: &PutRow| put.value.len() <= VALUE_MAX_BYTES / 3 * 4;
-        if !wanted.puts.iter().all(fits) {
+        if !transaction.puts.iter().all(fits) {
             return Err(status(Status::PayloadTooLarge, json!({})));
         }
         self.version += 1;
-        for PutRow { key, lease, value } in wanted.puts {
+        for PutRow { key, lease, value } in transaction.puts {
             self.deleted.remove(&key);
             self.entries.insert(key, StoredEntry { lease, revision: self.version, value });
         }
-        for key in &wanted.deletes {
+        for key in &transaction.deletes {
             self.delete(key);
         }
         Ok(Json(json!({ "revision": self.version })))
     }
 
-    fn changed_after(&self, prefix: &str, after: u64) -> Vec<Value> {
+    fn events_after(&self, prefix: &str, after: u64) -> Vec<Value> {
         let written = self.entries.iter().map(|(key, entry)| (entry.revision, entry.as_json(key)));
-        let gone = |(key, revision): (&String, &u64)| {
+        let deletion_event = |(key, revision): (&String, &u64)| {
             (*revision, json!({ "key": key, "revision": revision, "deleted": true }))
         };
         let mut events: Vec<(u64, Value)> = written
-            .chain(self.deleted.iter().map(gone))
+            .chain(self.deleted.iter().map(deletion_event))
             .filter(|(revision, event)| {
                 let key = event["key"].as_str().unwrap_or_default();
                 *revision > after && key.starts_with(prefix)
@@ -272,7 +272,7 @@
 }
 
 /// Counts a call and lets the faults act on it; an error is the answer.
-async fn admit(shared: &Shared, name: &'static str) -> Result<(), (Status, Json<Value>)> {
+async fn begin_call(shared: &Shared, name: &'static str) -> Result<(), (Status, Json<Value>)> {
     let faults = {
         let mut store = shared.lock();
         *store.calls.entry(name).or_default() += 1;
@@ -289,22 +289,22 @@
 }
 
 /// Makes a change; its reply may be lost.
-async fn change(
+async fn write(
     shared: &Shared,
     name: &'static str,
-    act: impl FnOnce(&mut Store, UnixMs) -> Answer,
+    operation: impl FnOnce(&mut Store, UnixMs) -> Answer,
 ) -> Answer {
-    admit(shared, name).await?;
-    let (answer, lost) = {
+    begin_call(shared, name).await?;
+    let (answer, is_reply_lost) = {
         let mut store = shared.lock();
-        let answer = act(&mut store, UnixMs::from_wall_clock());
-        let may_be_lost = matches!(name, "put" | "renew");
-        let lost = may_be_lost && store.faults.lose_write_replies > 0;
-        store.faults.lose_write_replies -= u32::from(lost);
-        (answer, lost)
+        let answer = operation(&mut store, UnixMs::from_wall_clock());
+        let can_lose_reply = matches!(name, "put" | "renew");
+        let is_reply_lost = can_lose_reply && store.faults.lose_write_replies > 0;
+        store.faults.lose_write_replies -= u32::from(is_reply_lost);
+        (answer, is_reply_lost)
     };
-    shared.changed.notify_waiters();
-    if lost {
+    shared.changes.notify_waiters();
+    if is_reply_lost {
         // The write stands, its reply does not come: the caller's deadline passes first.
         tokio::time::sleep(Duration::from_secs(30)).await;
     }
@@ -313,7 +313,7 @@
 
 #[get("/-/kv-key?<key>")]
 async fn kv_key(key: &str, shared: &State<Arc<Shared>>) -> Answer {
-    admit(shared, "get").await?;
+    begin_call(shared, "get").await?;
     let store = shared.lock();
     match store.entries.get(key) {
         Some(entry) => Ok(Json(entry.as_json(key))),
@@ -323,49 +323,49 @@
 
 #[get("/-/kv-range?<prefix>&<after>")]
 async fn kv_range(prefix: &str, after: Option<&str>, shared: &State<Arc<Shared>>) -> Answer {
-    admit(shared, "list").await?;
+    begin_call(shared, "list").await?;
     let store = shared.lock();
-    let under = store.entries.iter().filter(|(key, _)| {
+    let matching = store.entries.iter().filter(|(key, _)| {
         key.starts_with(prefix) && after.is_none_or(|after| key.as_str() > after)
     });
-    let items: Vec<Value> = under.map(|(key, entry)| entry.as_json(key)).collect();
+    let items: Vec<Value> = matching.map(|(key, entry)| entry.as_json(key)).collect();
     Ok(Json(json!({ "asOf": store.version, "items": items, "truncated": false })))
 }
 
 #[get("/-/kv-watch?<prefix>&<after>&<waitMs>")]
 #[expect(non_snake_case, reason = "the name of the query's field")]
 async fn kv_watch(prefix: &str, after: u64, waitMs: u64, shared: &State<Arc<Shared>>) -> Answer {
-    admit(shared, "watch").await?;
-    let ends_at = UnixMs::from_wall_clock().plus(waitMs);
+    begin_call(shared, "watch").await?;
+    let deadline = UnixMs::from_wall_clock().plus(waitMs);
     loop {
-        let changed = shared.changed.notified();
+        let changes = shared.changes.notified();
         let now = UnixMs::from_wall_clock();
         let (as_of, events, outage) = {
             let mut store = shared.lock();
             store.expire(now);
-            (store.version, store.changed_after(prefix, after), store.faults.outage)
+            (store.version, store.events_after(prefix, after), store.faults.outage)
         };
-        if !events.is_empty() || now >= ends_at || outage {
+        if !events.is_empty() || now >= deadline || outage {
             return Ok(Json(json!({ "asOf": as_of, "events": events })));
         }
         // Leases lapse without a call, so the wait looks again now and then.
-        let pause = Duration::from_millis(ends_at.since_ms(now).min(200));
-        drop(tokio::time::timeout(pause, changed).await);
+        let pause = Duration::from_millis(deadline.since_ms(now).min(200));
+        drop(tokio::time::timeout(pause, changes).await);
     }
 }
 
-#[post("/-/kv-txn", data = "<wanted>")]
-async fn kv_txn(wanted: Json<Transaction>, shared: &State<Arc<Shared>>) -> Answer {
-    change(shared, "put", |store, _| store.transact(wanted.into_inner())).await
+#[post("/-/kv-txn", data = "<transaction>")]
+async fn kv_txn(transaction: Json<Transaction>, shared: &State<Arc<Shared>>) -> Answer {
+    write(shared, "put", |store, _| store.transact(transaction.into_inner())).await
 }
 
-#[post("/-/kv-lease", data = "<terms>")]
-async fn kv_lease(terms: Json<LeaseTerms>, shared: &State<Arc<Shared>>) -> Answer {
-    change(shared, "grant", |store, now| {
-        let ttl_ms = terms.ttl_ms;
+#[post("/-/kv-lease", data = "<request>")]
+async fn kv_lease(request: Json<LeaseRequest>, shared: &State<Arc<Shared>>) -> Answer {
+    write(shared, "grant", |store, now| {
+        let ttl_ms = request.ttl_ms;
         store.version += 1;
         let lease = store.version;
-        store.leases.insert(lease, LeaseTerm { expires_at: now.plus(ttl_ms), ttl_ms });
+        store.leases.insert(lease, Lease { expires_at: now.plus(ttl_ms), ttl_ms });
         Ok(Json(json!({ "lease": lease, "ttlMs": ttl_ms })))
     })
     .await
@@ -373,10 +373,10 @@
 
 #[post("/-/kv-keep/<lease>")]
 async fn kv_keep(lease: u64, shared: &State<Arc<Shared>>) -> Answer {
-    change(shared, "renew", |store, now| match store.leases.get_mut(&lease) {
-        Some(term) => {
-            term.expires_at = now.plus(term.ttl_ms);
-            Ok(Json(json!({ "ttlMs": term.ttl_ms })))
+    write(shared, "renew", |store, now| match store.leases.get_mut(&lease) {
+        Some(lease_record) => {
+            lease_record.expires_at = now.plus(lease_record.ttl_ms);
+            Ok(Json(json!({ "ttlMs": lease_record.ttl_ms })))
         }
         None => Err(status(Status::NotFound, json!({}))),
     })
@@ -385,7 +385,7 @@
 
 #[delete("/-/kv-lease-end/<lease>")]
 async fn kv_lease_end(lease: u64, shared: &State<Arc<Shared>>) -> Answer {
-    change(shared, "revoke", |store, _| {
+    write(shared, "revoke", |store, _| {
         store.end_lease(lease);
         Ok(Json(json!({})))
     })
@@ -400,8 +400,8 @@
         return Err(Status::ServiceUnavailable);
     }
     let visible_until = UnixMs(UnixMs::from_wall_clock().0.saturating_sub(shared.list_lag_ms));
-    while store.instances_log.front().is_some_and(|(at, _)| *at <= visible_until) {
-        if let Some((_, instance)) = store.instances_log.pop_front() {
+    while store.pending_instances.front().is_some_and(|(at, _)| *at <= visible_until) {
+        if let Some((_, instance)) = store.pending_instances.pop_front() {
             if instance.state == InstanceState::Gone {
                 store.instances.shift_remove(&instance.name);
             } else {
@@ -414,12 +414,12 @@
 
 #[post("/instances", data = "<instance>")]
 fn put_instance(instance: Json<Instance>, shared: &State<Arc<Shared>>) {
-    shared.lock().instances_log.push_back((UnixMs::from_wall_clock(), instance.into_inner()));
+    shared.lock().pending_instances.push_back((UnixMs::from_wall_clock(), instance.into_inner()));
 }
 
-#[post("/faults", data = "<wanted>")]
-fn faults(wanted: Json<PlatformFaults>, shared: &State<Arc<Shared>>) {
-    shared.lock().faults = wanted.into_inner();
+#[post("/faults", data = "<request>")]
+fn faults(request: Json<PlatformFaults>, shared: &State<Arc<Shared>>) {
+    shared.lock().faults = request.into_inner();
 }
 
 /// The weight store: its rate is limited by how many fetch at once.
@@ -432,8 +432,8 @@
     if shared.lock().faults.outage {
         return Err(Status::ServiceUnavailable);
     }
-    let turn = shared.weight_fetches.acquire().await;
-    let _held = turn.map_err(|_closed| Status::ServiceUnavailable)?;
+    let permit = shared.weight_fetch_permits.acquire().await;
+    let _permit = permit.map_err(|_closed| Status::ServiceUnavailable)?;
     tokio::time::sleep(Duration::from_millis(shared.weights_fetch_ms)).await;
     Ok("weights")
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -50,7 +50,7 @@
         self.runs.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn is_leaving(&self) -> bool {
+    fn refuses_calls(&self) -> bool {
         *self.leaving.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
@@ -107,21 +107,21 @@
 /// A refusal before anything ran: the header is how a target says so.
 #[derive(rocket::Responder)]
 #[response(status = 503)]
-struct Leaving {
+struct LeavingRefusal {
     inner: &'static str,
     verdict: rocket::http::Header<'static>,
 }
 
-fn leaving_answer() -> Leaving {
-    Leaving {
+fn leaving_refusal() -> LeavingRefusal {
+    LeavingRefusal {
         inner: "leaving",
         verdict: rocket::http::Header::new("Catkinmast-Verdict", "not_run; leaving"),
     }
 }
 
-async fn run(shared: &Shared, path: PathBuf, body: String) -> Result<String, Leaving> {
-    if shared.is_leaving() {
-        return Err(leaving_answer());
+async fn run(shared: &Shared, path: PathBuf, body: String) -> Result<String, LeavingRefusal> {
+    if shared.refuses_calls() {
+        return Err(leaving_refusal());
     }
     let path = format!("/{}", path.display());
     let answer = answer_of(&path, &body);
@@ -138,15 +138,15 @@
     path: PathBuf,
     body: Data<'_>,
     shared: &State<Arc<Shared>>,
-) -> Result<Result<String, Leaving>, Status> {
+) -> Result<Result<String, LeavingRefusal>, Status> {
     let read = body.open(BODY_MAX_MIB.mebibytes()).into_string().await;
     // A body that was cut is no request, as for any server that keeps to HTTP.
-    let whole = read.ok().filter(rocket::data::Capped::is_complete).ok_or(Status::BadRequest)?;
-    Ok(run(shared, path, whole.into_inner()).await)
+    let complete = read.ok().filter(rocket::data::Capped::is_complete).ok_or(Status::BadRequest)?;
+    Ok(run(shared, path, complete.into_inner()).await)
 }
 
 #[get("/<path..>", rank = 5)]
-async fn run_get(path: PathBuf, shared: &State<Arc<Shared>>) -> Result<String, Leaving> {
+async fn run_get(path: PathBuf, shared: &State<Arc<Shared>>) -> Result<String, LeavingRefusal> {
     run(shared, path, String::new()).await
 }
 
--- a/crates/standin/src/web.rs
+++ b/crates/standin/src/web.rs
@@ -41,17 +41,17 @@
             .merge(("shutdown.mercy", 0));
         let (ready, bound) = oneshot::channel();
         let ready = std::sync::Mutex::new(Some(ready));
-        let announce = AdHoc::on_liftoff("announce", move |rocket| {
+        let report_address = AdHoc::on_liftoff("announce", move |rocket| {
             let address = SocketAddr::new(rocket.config().address, rocket.config().port);
             let sender = ready.lock().ok().and_then(|mut sender| sender.take());
             Box::pin(async move {
                 if let Some(sender) = sender {
                     // Nobody waits any more when the start was given up; that is no fault.
-                    let _unheard = sender.send(address);
+                    let _closed = sender.send(address);
                 }
             })
         });
-        let rocket = mount(rocket::custom(figment)).attach(announce);
+        let rocket = mount(rocket::custom(figment)).attach(report_address);
         let task = tokio::spawn(async move {
             if let Err(error) = rocket.launch().await {
                 log::error!("stand-in stopped: {}", error.pretty_print());
