--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -1,4 +1,6 @@
-//! Application callers: they ask for addresses, keep the answer until it expires, and call.
+//! Application callers, which make calls to services through the entry nodes.
+//!
+//! A caller requests the addresses of nodes and caches them until they expire.
 
 use crate::Run;
 use crate::fleet::Fleet;
@@ -12,11 +14,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Callers that share the calls.
+/// Number of callers among which the call rate is divided.
 const CALLER_COUNT: u64 = 6;
-/// Most sendings of one call.
+/// Maximum attempts for one call.
 const ATTEMPTS_MAX: u32 = 8;
-/// Pause before a call is sent again.
+/// Pause between two attempts, and before addresses are requested again.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 struct Caller {
@@ -28,13 +30,14 @@
     rng: Pcg64Mcg,
 }
 
-/// What one sending of a call came to.
+/// The result of one attempt of a call.
 enum AttemptOutcome {
     Answered(String),
     Disconnected(SocketAddr),
     Refused { may_have_run: bool },
 }
 
+/// Starts all callers; their tasks end after the duration of the run.
 pub(crate) fn spawn_all(
     fleet: &Arc<Fleet>,
     verifier: &Arc<Verifier>,
@@ -88,8 +91,10 @@
         }
     }
 
-    /// Makes one call; each ticket has a number of its own. It is sent again after a truthful `not_run`, and an idempotent one, or one
-    /// with a ticket, after any other failure as well.
+    /// Makes one call, with several attempts if needed.
+    ///
+    /// Every non-idempotent call carries a ticket, and every ticket is unique. So the call may be
+    /// repeated after any failure, not only after the verdict `not_run`.
     async fn call(&mut self, service: &str, call: &Call, body: &str) {
         self.verifier.record_call();
         let mut ticket = None;
@@ -116,8 +121,8 @@
                 }
             }
             if !may_have_run {
-                // No sending got through, so the call can have another ticket: the node of this
-                // one may be gone, and nobody could tell then whether it ran.
+                // No attempt may have run, so a new ticket is safe. It is also needed: the node
+                // that keeps the record of the old ticket may be gone.
                 ticket = None;
             }
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -142,7 +147,7 @@
         }
         let response = match request.send().await {
             Ok(response) => response,
-            // Nothing was sent on a connection that never came about.
+            // Without a connection no request was sent.
             Err(error) if error.is_connect() => {
                 return AttemptOutcome::Refused { may_have_run: false };
             }
@@ -159,7 +164,7 @@
         }
     }
 
-    /// Returns an address to use, asking anew when the last answer has expired.
+    /// Returns a node's address and ticket prefix, after a refresh if the cached ones expired.
     async fn address(&mut self) -> Option<(SocketAddr, String)> {
         if self.addresses.is_empty() || now_ms() >= self.expires_at {
             self.refresh_addresses().await;
--- a/crates/local/src/cost.rs
+++ b/crates/local/src/cost.rs
@@ -1,7 +1,7 @@
-//! What a call through a node costs beside a direct call to the same target.
+//! Measures the overhead of a call through a node compared with a direct call to the same target.
 //!
-//! Direct and indirect calls are taken in turn in one run, so that whatever else the machine does
-//! strikes both. Only the ratios mean something on another machine.
+//! Rounds of direct and of forwarded calls alternate within one run, so that other load on the
+//! machine affects both alike. Only the ratios can be compared between machines.
 
 use crate::fleet::Fleet;
 use argh::FromArgs;
@@ -9,20 +9,21 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The document of this measurement: one service with one target.
+/// The configuration of the measurement: one service with one target.
 const CONFIGURATION: &str = include_str!("cost.toml");
-/// Calls in a round.
+/// Calls of each kind in a round.
 const CALLS_PER_ROUND: u32 = 500;
 
-/// measures a call through a node beside a direct call to the same target
+/// compare a call through a node with a direct call to the same target
 #[derive(Clone, Debug, FromArgs)]
 #[argh(subcommand, name = "cost")]
 pub(crate) struct Cost {
-    /// rounds of 500 calls each way (default 10)
+    /// rounds of 500 calls of each kind (default 10)
     #[argh(option, default = "10")]
     rounds: u32,
 }
 
+/// The latencies of one kind of call.
 #[derive(Debug, Default)]
 struct Measurement {
     elapsed: Duration,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Runs the measurement.
+/// Runs the subcommand and prints the comparison.
 pub(crate) fn main(cost: &Cost) -> ExitCode {
     if let Err(exit) = crate::start_log() {
         return exit;
@@ -63,7 +64,8 @@
     let fleet = Fleet::start(&document, 1, 0).await?;
     fleet.apply(CONFIGURATION).await?;
     fleet.wait_until_ready().await?;
-    let target = fleet.services.values().next().ok_or("no target")?.address();
+    let target =
+        fleet.services.values().next().ok_or("the configuration has no service target")?.address();
     let node = fleet.any_address(&mut rand_pcg::Pcg64Mcg::new(1));
     let urls = [
         format!("http://{target}/progress"),
@@ -71,7 +73,7 @@
         format!("http://{node}/v1/call/badges/award"),
     ];
     let mut measurements = [Measurement::default(), Measurement::default(), Measurement::default()];
-    // The first round warms connections and is not counted.
+    // The first round opens the connections and is not counted.
     for round in 0..=cost.rounds {
         for (measurement, url) in measurements.iter_mut().zip(&urls) {
             let (elapsed, latencies) = call_sequentially(&fleet, url).await?;
@@ -86,6 +88,7 @@
     Ok(())
 }
 
+/// Makes one round of calls, one after another; returns its duration and each latency.
 async fn call_sequentially(fleet: &Fleet, url: &str) -> Result<(Duration, Vec<Duration>), String> {
     let started_at = Instant::now();
     let mut latencies = Vec::new();
--- a/crates/local/src/faults.rs
+++ b/crates/local/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in the middle of a run, one thing after the other.
+//! Injects faults into a run, one after another.
 
 use crate::fleet::Fleet;
 use crate::verifier::Verifier;
@@ -7,11 +7,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pause between two faults, in which the system should get over the last one.
+/// Pause between two faults, in which the system should recover from the previous one.
 const FAULT_INTERVAL: Duration = Duration::from_secs(2);
-/// How long the platform's outage lasts: shorter than a lease.
+/// Duration of the platform's outage, which is shorter than a lease.
 const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 
+/// Injects all faults and reports each on standard output.
 pub(crate) async fn inject(
     fleet: Arc<Fleet>,
     verifier: Arc<Verifier>,
@@ -41,7 +42,7 @@
     }
 
     if let Some((name, service)) = fleet.services.first() {
-        report("a service instance leaves");
+        report("a service instance refuses new calls and is listed as leaving");
         service.leave();
         fleet.set_instance_state(name, InstanceState::Leaving);
     }
@@ -53,7 +54,7 @@
     });
     let owner = fleet.owner_of(trainer.as_deref().unwrap_or_default()).await;
     if let Some(owner) = owner.clone() {
-        report(&format!("{owner}, which owns the trainer's steps, is dropped without warning"));
+        report(&format!("{owner}, the owner of the trainer's steps, crashes"));
         if let Some(address) = fleet.crash_node(&owner) {
             verifier.record_node_crash(address);
         }
@@ -62,15 +63,15 @@
 
     let draining_node = fleet.node_names().into_iter().next_back();
     if let Some(draining_node) = draining_node {
-        report(&format!("{draining_node} leaves"));
+        report(&format!("{draining_node} starts to drain"));
         let interrupted = fleet.drain_node(&draining_node).await.unwrap_or(0);
         verifier.record_node_drain(interrupted);
-        report(&format!("{draining_node} has left; {interrupted} requests cut"));
+        report(&format!("{draining_node} has drained; {interrupted} requests interrupted"));
     }
 
-    report("the platform is out for three seconds");
+    report("the platform has an outage of three seconds");
     fleet.platform.set_faults(PlatformFaults { outage: true, ..PlatformFaults::default() });
     tokio::time::sleep(OUTAGE_DURATION).await;
     fleet.platform.set_faults(PlatformFaults::default());
-    report("the platform is back");
+    report("the platform has recovered");
 }
--- a/crates/local/src/fleet.rs
+++ b/crates/local/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a deployment: entry nodes, and stand-ins for everything else.
+//! Starts and stops the parts of a deployment: entry nodes, and stand-ins for all other systems.
 
 use catkinmast_config::{Document, Workers};
 use catkinmast_model::{Incarnation, Instance, InstanceKind, InstanceState, Name};
@@ -16,21 +16,21 @@
 
 /// The secret that the nodes of a local run share.
 const SHARED_KEY: &str = "only for a run on loopback";
-/// How far the stand-in's list of instances lags.
+/// Lag of the platform's list of instances.
 const LIST_LAG_MS: u64 = 500;
-/// How long the stand-in's weight store takes for one of the two fetches that it serves at once.
+/// Duration of one fetch from the weight store, which serves two at a time.
 const WEIGHTS_FETCH_MS: u64 = 60;
-/// How long the nodes may take to become ready.
+/// Time within which all nodes must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A node on a runtime of its own, so that it can be dropped like a process.
+/// A node with its own runtime, so that it can be stopped abruptly like a crashed process.
 #[derive(Debug)]
 struct NodeProcess {
     node: Node,
     runtime: Runtime,
 }
 
-/// Everything that runs.
+/// The running nodes and stand-ins.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub client: reqwest::Client,
@@ -51,8 +51,9 @@
 }
 
 impl Fleet {
-    /// Starts `nodes` entry nodes and the document's workers, whose services take
-    /// `answer_after_ms` for each call.
+    /// Starts `nodes` entry nodes and the document's workers.
+    ///
+    /// Each plain service answers a call after `answer_after_ms`.
     pub(crate) async fn start(
         document: &Document,
         nodes: u32,
@@ -166,13 +167,13 @@
         Ok(())
     }
 
-    /// Returns the address of some node that a caller may have been told when it started.
+    /// Returns the address of a random running node, or an unusable one if there is none.
     pub(crate) fn any_address(&self, rng: &mut impl rand::Rng) -> SocketAddr {
         let addresses = lock(&self.addresses);
         addresses.choose(rng).copied().unwrap_or_else(loopback)
     }
 
-    /// Puts a configuration in force through the first node.
+    /// Applies a configuration through the first node.
     pub(crate) async fn apply(&self, text: &str) -> Result<(), String> {
         let address = lock(&self.addresses)[0];
         let url = format!("http://{address}/v1/config");
@@ -196,6 +197,7 @@
         sent.json().await.map_err(|error| error.to_string())
     }
 
+    /// Waits until every node is ready and knows all targets and nodes.
     pub(crate) async fn wait_until_ready(&self) -> Result<(), String> {
         let started_at = Instant::now();
         let addresses = lock(&self.addresses).clone();
@@ -218,7 +220,7 @@
         Ok(())
     }
 
-    /// Lets a node leave and returns how many requests it cut.
+    /// Drains and stops a node; returns how many requests it interrupted.
     pub(crate) async fn drain_node(&self, name: &str) -> Option<usize> {
         let process = lock(&self.nodes).shift_remove(name)?;
         let address = process.node.http_address();
@@ -228,7 +230,7 @@
         Some(report.cut)
     }
 
-    /// Drops a node without warning, and returns its address.
+    /// Stops a node abruptly, as a crash would, and returns its address.
     pub(crate) fn crash_node(&self, name: &str) -> Option<SocketAddr> {
         let process = lock(&self.nodes).shift_remove(name)?;
         let address = process.node.http_address();
@@ -238,7 +240,7 @@
         Some(address)
     }
 
-    /// Lets the platform list an instance as leaving or gone.
+    /// Changes the state of an instance in the platform's list.
     pub(crate) fn set_instance_state(&self, name: &Name, state: InstanceState) {
         let instance = lock(&self.instances).get(name).cloned();
         if let Some(instance) = instance {
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Returns the node that owns a trainer's steps, as some node sees it.
+    /// Returns the owner of a trainer's steps according to the node that started last.
     pub(crate) async fn owner_of(&self, trainer: &str) -> Option<String> {
         let address = lock(&self.addresses).last().copied()?;
         let status = self.get(&format!("http://{address}/v1/status")).await.ok()?;
@@ -259,6 +261,7 @@
         lock(&self.nodes).keys().cloned().collect()
     }
 
+    /// Stops all nodes without draining them.
     pub(crate) fn stop(&self) {
         for (_, process) in lock(&self.nodes).drain(..) {
             process.runtime.shutdown_background();
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,10 +1,10 @@
-//! A whole deployment on loopback, in one process.
+//! Runs a complete deployment on loopback in one process and verifies its guarantees.
 //!
-//! Entry nodes and stand-ins are started by the same library calls as their binaries use. Trainer
-//! steps and application calls run beside each other while weights are swapped, a node leaves, a
-//! node is dropped, an engine crashes and the platform loses replies and has an outage. At the
-//! end the stand-ins' own records are compared with what callers and trainers received: a node's
-//! counters are never asked whether a promise held.
+//! Entry nodes and stand-ins are started by the library calls that their binaries use. Trainer
+//! steps and application calls run concurrently while weights are swapped, one node drains,
+//! another one crashes, an engine crashes, and the platform loses replies and has an outage. At
+//! the end the stand-ins' records are compared with what callers and trainers received. The
+//! nodes' own counters are not used as evidence.
 
 mod caller;
 mod cost;
@@ -21,12 +21,12 @@
 use std::time::{Duration, Instant};
 use verifier::Summary;
 
-/// How long the stand-ins of plain services take for a call.
+/// Time that a plain service takes for each call.
 const SERVICE_LATENCY_MS: u64 = 3;
-/// The longest that a run may take in all.
+/// Time limit for a complete run.
 const RUN_TIMEOUT: Duration = Duration::from_secs(57);
 
-/// catkinmast-local: runs a whole deployment in one process on loopback.
+/// catkinmast-local: runs a complete deployment in one process on loopback.
 #[derive(Clone, Debug, FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -40,34 +40,34 @@
     Run(Run),
 }
 
-/// drives trainer steps and application calls through a deployment and judges the outcome
+/// send trainer steps and application calls through a deployment and verify the results
 #[derive(Clone, Debug, FromArgs)]
 #[argh(subcommand, name = "run")]
 pub(crate) struct Run {
-    /// the operators' configuration
+    /// path of the operators' configuration (TOML)
     #[argh(positional)]
     file: String,
-    /// seed of the callers' and trainers' choices (default 1)
+    /// seed for the random choices of callers and trainers (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// steps of each trainer (default 10)
+    /// number of steps of each trainer (default 10)
     #[argh(option, default = "10")]
     steps: u64,
-    /// entry nodes (default 7)
+    /// number of entry nodes (default 7)
     #[argh(option, default = "7")]
     nodes: u32,
-    /// application calls a second, over all callers (default 60)
+    /// application calls per second, over all callers (default 60)
     #[argh(option, default = "60")]
     calls_per_second: u64,
-    /// how long application calls go on (default 25)
+    /// duration of the application calls, in seconds (default 25)
     #[argh(option, default = "25")]
     duration_s: u64,
-    /// let nothing fail
+    /// do not inject faults
     #[argh(switch)]
     no_faults: bool,
 }
 
-/// Runs the command line of this process.
+/// Parses the command line and runs the subcommand.
 pub fn main() -> ExitCode {
     let run = match argh::from_env::<Arguments>().command {
         Command::Cost(cost) => return cost::main(&cost),
@@ -88,7 +88,7 @@
         }
     };
     if run.nodes == 0 {
-        eprintln!("--nodes: is 0; at least 1 is needed");
+        eprintln!("--nodes must be at least 1, got 0");
         return ExitCode::from(2);
     }
     if let Err(exit) = start_log() {
@@ -97,7 +97,7 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start: {error}");
+            eprintln!("cannot start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -115,14 +115,14 @@
     }
 }
 
-/// Starts the log at the level of the environment; off when it says nothing.
+/// Starts the log at the level in `CATKINMAST_LOG_LEVEL`, which defaults to off.
 fn start_log() -> Result<(), ExitCode> {
-    // Without a log of our own, the web framework would start one that prints to standard output.
+    // If no logger is installed, the web framework installs one that prints to standard output.
     let level = std::env::var("CATKINMAST_LOG_LEVEL").unwrap_or_else(|_unset| "off".to_owned());
     let level = match level.parse() {
         Ok(level) => level,
         Err(error) => {
-            eprintln!("CATKINMAST_LOG_LEVEL: '{level}' cannot be read: {error}");
+            eprintln!("invalid CATKINMAST_LOG_LEVEL '{level}': {error}");
             return Err(ExitCode::from(2));
         }
     };
--- a/crates/local/src/trainer.rs
+++ b/crates/local/src/trainer.rs
@@ -1,4 +1,5 @@
-//! Trainers: they submit steps ahead, fetch and claim batches, train, and publish versions.
+//! Simulated trainers, which submit steps in advance, fetch and claim batches, and publish weight
+//! versions.
 
 use crate::Run;
 use crate::fleet::Fleet;
@@ -10,15 +11,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Groups in each step.
 const GROUPS_PER_STEP: u32 = 16;
-/// Most tokens of a sample.
+/// Maximum length of a sample.
 const MAX_TOKENS: u32 = 600;
-/// How long a trainer trains on a batch.
+/// Simulated training time for one batch.
 const TRAINING_TIME: Duration = Duration::from_millis(200);
-/// How many steps are submitted before the first of them is trained on.
+/// Number of steps that are submitted before the current one is trained.
 const STEPS_AHEAD: u64 = 2;
-/// Pause before a request is sent again.
+/// Pause before a request is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 struct Driver {
@@ -31,6 +31,7 @@
     version: u64,
 }
 
+/// Starts all trainers of the document; each task ends after the last step.
 pub(crate) fn spawn_all(
     fleet: &Arc<Fleet>,
     verifier: &Arc<Verifier>,
@@ -114,8 +115,9 @@
         }
     }
 
-    /// Fetches, claims and trains on a batch; returns how many samples were trained on, which is
-    /// 0 for a batch that is void.
+    /// Fetches, claims and trains on a batch.
+    ///
+    /// Returns the number of samples, which is 0 if the batch is void.
     async fn train_batch(&mut self, batch: u64, bound: u64) -> u32 {
         let wait_started_at = Instant::now();
         let samples = loop {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Reads the lines of a batch; one without its last line is not complete.
+    /// Parses the lines of a batch; returns `None` if its end line is missing or does not match.
     fn read_samples(&self, text: &str) -> Option<Vec<SampleRecord>> {
         let mut samples = Vec::new();
         for line in text.lines() {
@@ -190,7 +192,9 @@
         None
     }
 
-    /// Sends a request again and again until it is done; every trainer's request is idempotent.
+    /// Repeats a request until it succeeds or is rejected as invalid.
+    ///
+    /// Repeating is safe because all requests of trainers are idempotent.
     async fn send_until_accepted(
         &mut self,
         method: reqwest::Method,
--- a/crates/local/src/verifier.rs
+++ b/crates/local/src/verifier.rs
@@ -1,4 +1,4 @@
-//! The judge: compares what was received with what the stand-ins recorded.
+//! Verifies a run: compares what callers and trainers received with the stand-ins' records.
 
 use crate::fleet::Fleet;
 use catkinmast_config::Call;
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A sample as a trainer received it.
+/// A sample as received by a trainer.
 #[derive(Clone, Debug)]
 pub(crate) struct SampleRecord {
     pub attempt: String,
@@ -24,9 +24,10 @@
     pub trainer: String,
 }
 
-/// How a call ended for its caller.
+/// The result of a call for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CallOutcome {
+    /// The answer differs from the service's answer to this request.
     Corrupted,
     MayHaveRun,
     RefusedNotRun,
@@ -48,13 +49,13 @@
     waited: Duration,
 }
 
-/// Collects what callers and trainers saw.
+/// Collects what callers and trainers observe.
 #[derive(Debug, Default)]
 pub(crate) struct Verifier {
     observations: Mutex<Observations>,
 }
 
-/// The outcome of a run.
+/// The results of a run. The field names are the keys of the printed JSON.
 #[derive(Debug, Serialize)]
 pub(crate) struct Summary {
     samples_submitted: u64,
@@ -77,6 +78,7 @@
     kv_calls: u64,
     seed: u64,
     kv_calls_by_kind: IndexMap<&'static str, u64>,
+    /// Violations that no counter covers.
     broken: Vec<String>,
 }
 
@@ -85,6 +87,7 @@
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Records a violation that no counter covers.
     pub(crate) fn record_violation(&self, message: String) {
         self.observations().violations.push(message);
     }
@@ -93,6 +96,7 @@
         self.observations().samples_submitted += count;
     }
 
+    /// Records a claimed sample and its age relative to `at_version`, the trainer's version.
     pub(crate) fn record_claimed_sample(&self, sample: SampleRecord, at_version: u64, bound: u64) {
         let mut observations = self.observations();
         let age = sample.segments.age_versions(Version(at_version));
@@ -129,6 +133,7 @@
         self.observations().interrupted_by_drain += interrupted;
     }
 
+    /// Compares the observations with the records of the fleet's stand-ins.
     pub(crate) fn verify(&self, fleet: &Fleet, seed: u64) -> Summary {
         let observations = self.observations();
         let mut run_counts: IndexMap<(String, String), u32> = IndexMap::new();
@@ -153,7 +158,7 @@
                 *outcome == CallOutcome::RefusedNotRun && run_counts.contains_key(*call)
             })
             .count() as u64;
-        // A connection to a node that was dropped without warning breaks; any other was cut.
+        // Connections to a crashed node are expected to fail; all other failures are violations.
         let interrupted =
             observations.disconnections.iter().filter(|at| !observations.crashed.contains(*at));
         let ids = observations.claimed.iter().map(|(s, _)| (&s.trainer, s.step, s.group, s.index));
@@ -198,7 +203,7 @@
     (value * 100.0).round() / 100.0
 }
 
-/// Counts samples whose segments disagree with the tokens, or with the engine's own record.
+/// Counts samples whose segments do not match their tokens or the engine's record.
 fn misattributed(claimed: &[(SampleRecord, u64)], fleet: &Fleet) -> u64 {
     let mut records = IndexMap::new();
     for engine in fleet.engines.values() {
@@ -231,7 +236,7 @@
 }
 
 impl Summary {
-    /// Tells whether every promise was kept.
+    /// Returns whether every guarantee was kept and every call ended.
     pub(crate) fn all_guarantees_kept(&self) -> bool {
         let violation_counts = [
             self.samples_lost,
@@ -252,7 +257,7 @@
         violation_counts.iter().all(|count| *count == 0) && all_ended
     }
 
-    /// Prints the summary for people, then as one line of JSON.
+    /// Prints the summary as text, then as one line of JSON.
     pub(crate) fn print(&self) {
         println!(
             "\nsamples  {} submitted, {} claimed, {} lost, {} doubled, {} over the bound, {} \
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as separate processes.
+//! The command line that runs a stand-in as a separate process.
 
 use crate::{
     Engine, EngineSettings, Forwarder, PlainService, Platform, PlatformSettings, ServiceSettings,
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// catkinmast-standin: small stand-ins of the systems that catkinmast meets. Prints its address
-/// as the first line of standard output.
+/// catkinmast-standin: runs a stand-in for an external system. Prints its address as the first
+/// line of standard output.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -28,58 +28,58 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineArguments {
-    /// where it listens (default 127.0.0.1:0)
+    /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "loopback()")]
     address: SocketAddr,
-    /// accept orders with an old fencing number
+    /// accept weight orders with an outdated fencing number
     #[argh(switch)]
     ignores_fence: bool,
-    /// length of a usual sequence, in tokens (default 48)
+    /// median length of a sequence, in tokens (default 48)
     #[argh(option, default = "48")]
     median_tokens: u32,
-    /// time between two ticks of the batch (default 10)
+    /// time between two ticks of the batch, in milliseconds (default 10)
     #[argh(option, default = "10")]
     tick_ms: u64,
-    /// where weights are fetched from before a swap (default: none, no time)
+    /// address of the weight store (default: none; weights are available at once)
     #[argh(option)]
     weight_store: Option<SocketAddr>,
 }
 
-/// a forwarder that cuts and holds up connections
+/// a TCP forwarder that can close and stall connections
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "forward")]
 struct ForwardArguments {
-    /// where it listens (default 127.0.0.1:0)
+    /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "loopback()")]
     address: SocketAddr,
-    /// where connections are passed on to
+    /// address to which connections are forwarded
     #[argh(option)]
     to: SocketAddr,
 }
 
-/// the platform: key-value service and list of instances
+/// the platform: key-value service, list of instances and weight store
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformArguments {
-    /// where it listens (default 127.0.0.1:0)
+    /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "loopback()")]
     address: SocketAddr,
-    /// how far the list of instances lags behind (default 500)
+    /// lag of the list of instances, in milliseconds (default 500)
     #[argh(option, default = "500")]
     list_lag_ms: u64,
-    /// how long one fetch of weights takes (default 50)
+    /// duration of one fetch of weights, in milliseconds (default 50)
     #[argh(option, default = "50")]
     weights_fetch_ms: u64,
 }
 
-/// a plain service, which can score samples as well
+/// a plain service, which can also score samples
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "service")]
 struct ServiceArguments {
-    /// where it listens (default 127.0.0.1:0)
+    /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "loopback()")]
     address: SocketAddr,
-    /// how long each call takes (default 2)
+    /// duration of each call, in milliseconds (default 2)
     #[argh(option, default = "2")]
     answer_after_ms: u64,
 }
@@ -88,17 +88,17 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Runs the command line of this process until it is killed.
+/// Parses the command line and runs the stand-in until the process is killed.
 pub fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    // Without a log of our own, the web framework would start one that prints to standard output.
+    // If no logger is installed, the web framework installs one that prints to standard output.
     if let Err(error) = fern::Dispatch::new().level(log::LevelFilter::Off).apply() {
-        eprintln!("the log cannot be silenced: {error}");
+        eprintln!("cannot install the silent logger: {error}");
     }
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start: {error}");
+            eprintln!("cannot start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/standin/src/forwarder.rs
+++ b/crates/standin/src/forwarder.rs
@@ -1,7 +1,7 @@
-//! A forwarder between two processes that cuts and holds up connections.
+//! A TCP forwarder that simulates network faults between two processes.
 //!
-//! It stands in for the network: [`Forwarder::cut`] closes what is open and refuses what is new,
-//! [`Forwarder::hold`] lets connections stand half open with no byte passing.
+//! [`Forwarder::cut`] closes all connections, including new ones. [`Forwarder::hold`] keeps
+//! connections open but forwards no bytes.
 
 use crate::web::StandinError;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the forwarder does with connections.
+/// How the forwarder treats connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Mode {
     Cut,
@@ -27,10 +27,10 @@
 }
 
 impl Forwarder {
-    /// Starts to forward from `address` to `to`.
+    /// Starts to forward connections from `address` to `to`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if `address` cannot be bound.
     pub async fn spawn(address: SocketAddr, to: SocketAddr) -> Result<Self, StandinError> {
         let start_error = |error: std::io::Error| StandinError { message: error.to_string() };
         let listener = TcpListener::bind(address).await.map_err(start_error)?;
@@ -40,22 +40,22 @@
         Ok(Self { address, mode, task })
     }
 
-    /// Returns where it listens.
+    /// Returns the bound address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Passes connections on.
+    /// Forwards connections in both directions; the initial mode.
     pub fn pass(&self) {
         self.mode.send_replace(Mode::Pass);
     }
 
-    /// Closes all connections, and closes new ones at once.
+    /// Closes all open connections, and new ones as soon as they are accepted.
     pub fn cut(&self) {
         self.mode.send_replace(Mode::Cut);
     }
 
-    /// Lets connections stand, with no byte passing.
+    /// Keeps connections open without forwarding any bytes.
     pub fn hold(&self) {
         self.mode.send_replace(Mode::Hold);
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,8 @@
-//! Small stand-ins for the systems that catkinmast meets.
+//! Stand-ins for the external systems that catkinmast depends on, for tests and local runs.
 //!
-//! Each is a server on loopback with the protocol that the real system would be met through, the
-//! faults that the brief names, and a record of what it did. `catkinmast-local` and the tests
-//! compare those records with what callers and trainers received; a node's own counters are never
-//! asked whether a promise held.
+//! Each one is a server on loopback that speaks the protocol of the real system, can reproduce
+//! its faults, and records what it did. `catkinmast-local` and the tests compare these records
+//! with what callers and trainers received, and do not rely on the nodes' own counters.
 
 mod command;
 mod engine;
--- a/crates/standin/src/web.rs
+++ b/crates/standin/src/web.rs
@@ -1,4 +1,4 @@
-//! How every stand-in serves HTTP.
+//! The HTTP server that all stand-ins share.
 
 use displaydoc::Display;
 use rocket::fairing::AdHoc;
@@ -9,13 +9,13 @@
 /// A stand-in could not be started: {message}
 #[derive(Clone, Debug, Display)]
 pub struct StandinError {
-    /// What went wrong.
+    /// The cause of the failure.
     pub message: String,
 }
 
 impl std::error::Error for StandinError {}
 
-/// A running HTTP server of a stand-in.
+/// The running HTTP server of a stand-in.
 #[derive(Debug)]
 pub struct WebServer {
     address: SocketAddr,
@@ -23,10 +23,10 @@
 }
 
 impl WebServer {
-    /// Serves what `mount` adds at `address`; port 0 takes a free one.
+    /// Serves the routes that `mount` adds at `address`; port 0 selects a free port.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub async fn bind(
         address: SocketAddr,
         mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
@@ -46,7 +46,7 @@
             let sender = ready.lock().ok().and_then(|mut sender| sender.take());
             Box::pin(async move {
                 if let Some(sender) = sender {
-                    // Nobody waits any more when the start was given up; that is no fault.
+                    // The receiver is gone if the caller stopped waiting for the start.
                     let _closed = sender.send(address);
                 }
             })
@@ -54,7 +54,7 @@
         let rocket = mount(rocket::custom(figment)).attach(report_address);
         let task = tokio::spawn(async move {
             if let Err(error) = rocket.launch().await {
-                log::error!("stand-in stopped: {}", error.pretty_print());
+                log::error!("web server of a stand-in stopped: {}", error.pretty_print());
             }
         });
         let address = bound
@@ -68,7 +68,7 @@
         self.address
     }
 
-    /// Stops serving without a goodbye, as a crash would.
+    /// Stops serving abruptly, as a crash would.
     pub fn crash(&self) {
         self.task.abort();
     }
