--- a/crates/local/src/trainer.rs
+++ b/crates/local/src/trainer.rs
@@ -16,7 +16,7 @@
 const MAX_TOKENS: u32 = 600;
 /// Simulated training time for one batch.
 const TRAINING_TIME: Duration = Duration::from_millis(200);
-/// Number of steps that are submitted before the current one is trained.
+/// Number of steps submitted beyond the one being trained.
 const STEPS_AHEAD: u64 = 2;
 /// Pause before a request is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
