--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -112,7 +112,7 @@
                     return self.verifier.record_call_outcome(outcome, call, body);
                 }
                 AttemptOutcome::Refused { may_have_run: attempt_may_have_run } => {
-                    may_have_run |= attempt_may_have_run
+                    may_have_run |= attempt_may_have_run;
                 }
                 AttemptOutcome::Disconnected(address) => {
                     self.verifier.record_disconnection(address);
