--- a/crates/standin/src/forwarder.rs
+++ b/crates/standin/src/forwarder.rs
@@ -1,7 +1,7 @@
-//! A forwarder between two processes that cuts and holds up connections.
+//! A TCP forwarder that simulates network faults between two processes.
 //!
-//! It stands in for the network: [`Forwarder::cut`] closes what is open and refuses what is new,
-//! [`Forwarder::hold`] lets connections stand half open with no byte passing.
+//! [`Forwarder::cut`] closes all connections, including new ones. [`Forwarder::hold`] keeps
+//! connections open but forwards no bytes.
 
 use crate::web::StandinError;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the forwarder does with connections.
+/// How the forwarder treats connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Mode {
     Cut,
@@ -27,35 +27,35 @@
 }
 
 impl Forwarder {
-    /// Starts to forward from `address` to `to`.
+    /// Starts to forward connections from `address` to `to`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if `address` cannot be bound.
     pub async fn spawn(address: SocketAddr, to: SocketAddr) -> Result<Self, StandinError> {
-        let failed = |error: std::io::Error| StandinError { message: error.to_string() };
-        let listener = TcpListener::bind(address).await.map_err(failed)?;
-        let address = listener.local_addr().map_err(failed)?;
+        let start_error = |error: std::io::Error| StandinError { message: error.to_string() };
+        let listener = TcpListener::bind(address).await.map_err(start_error)?;
+        let address = listener.local_addr().map_err(start_error)?;
         let mode = Arc::new(watch::channel(Mode::Pass).0);
         let task = tokio::spawn(accept(listener, to, Arc::clone(&mode)));
         Ok(Self { address, mode, task })
     }
 
-    /// Returns where it listens.
+    /// Returns the bound address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Passes connections on.
+    /// Forwards connections in both directions; the initial mode.
     pub fn pass(&self) {
         self.mode.send_replace(Mode::Pass);
     }
 
-    /// Closes all connections, and closes new ones at once.
+    /// Closes all open connections, and new ones as soon as they are accepted.
     pub fn cut(&self) {
         self.mode.send_replace(Mode::Cut);
     }
 
-    /// Lets connections stand, with no byte passing.
+    /// Keeps connections open without forwarding any bytes.
     pub fn hold(&self) {
         self.mode.send_replace(Mode::Hold);
     }
@@ -73,11 +73,11 @@
     }
 }
 
-async fn forward(mut near: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
-    let Ok(mut far) = TcpStream::connect(to).await else { return };
+async fn forward(mut client: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
+    let Ok(mut server) = TcpStream::connect(to).await else { return };
     loop {
-        let now = *mode.borrow_and_update();
-        match now {
+        let current = *mode.borrow_and_update();
+        match current {
             Mode::Cut => return,
             Mode::Hold => {
                 if mode.changed().await.is_err() {
@@ -86,7 +86,7 @@
             }
             Mode::Pass => {
                 tokio::select! {
-                    _ = copy_bidirectional(&mut near, &mut far) => return,
+                    _ = copy_bidirectional(&mut client, &mut server) => return,
                     changed = mode.changed() => if changed.is_err() { return },
                 }
             }
