--- a/crates/bench/src/engines.rs
+++ b/crates/bench/src/engines.rs
@@ -109,6 +109,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct EngineSim {
     alive: bool,
+    /// Prompts in the prefix cache, by step and group, least recently used first.
     cached: Vec<(u64, u32)>,
     fail_next_swap: bool,
     generated: u64,
@@ -307,8 +308,8 @@
         }
     }
 
-    /// Returns the thousandths of a token that each sequence generates in a tick: at a full batch each
-    /// sequence runs at half the speed of a single one.
+    /// Returns the thousandths of a token that each sequence generates in a tick: at a full batch
+    /// each sequence runs at half the speed of a single one.
     fn tokens_per_tick_millis(&self, tick_ms: u64) -> u64 {
         let batch_slowdown_millis =
             1_000 + 1_000 * self.running.len() as u64 / u64::from(self.model.max_batch);
