--- a/crates/node/src/log_setup.rs
+++ b/crates/node/src/log_setup.rs
@@ -14,7 +14,8 @@
 
 /// Sets up logging for this process.
 ///
-/// Other crates log at most warnings.
+/// This crate, `catkinmast-rollout` and `catkinmast-platform` log at `level`; all other crates log
+/// at most warnings.
 ///
 /// # Errors
 ///
--- a/tests/all/processes/rollouts.rs
+++ b/tests/all/processes/rollouts.rs
@@ -313,8 +313,7 @@
 }
 
 /// Guards against repeated changes of the owner while the key-value service is slow. Each call
-/// takes most of a second for a whole step, which time limits made for a fast service take for an
-/// outage.
+/// takes most of a second for a whole step, which must not be taken for an outage.
 #[tokio::test]
 async fn a_slow_key_value_service_causes_no_change_of_owner() {
     // Arrange
