--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -23,7 +23,7 @@
 
 /// Time to live of a lease in the key-value service.
 pub const TTL_MS: u64 = 6_000;
-/// How long before the lease expires the holder stops acting.
+/// The holder stops acting this long before the lease expires.
 pub const MARGIN_MS: u64 = 1_000;
 /// Interval between renewals.
 pub const RENEW_EVERY_MS: u64 = 2_000;
@@ -35,7 +35,7 @@
 /// The timing of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// How long before the lease expires the holder stops acting. Default: [`MARGIN_MS`].
+    /// The holder stops acting this long before the lease expires. Default: [`MARGIN_MS`].
     pub margin_ms: u64,
     /// How long the orders of a new holder are held back. Default: [`ORDER_FLIGHT_MS`].
     pub order_flight_ms: u64,
@@ -110,7 +110,7 @@
 pub enum Change {
     /// The lease is held, with this fencing number.
     Gained(Fence),
-    /// The lease is no longer certain to be held: writes and orders must stop.
+    /// The lease was released or is no longer certain to be held: writes and orders must stop.
     Lapsed,
 }
 
@@ -171,7 +171,8 @@
             return (None, lapsed);
         }
         if matches!(self.phase, Phase::Held { .. }) && !wanted {
-            // Release at once, not at the next renewal: no other node can take over before.
+            // Release at once instead of waiting for the next renewal, since no other node can take
+            // over before the release.
             self.phase = Phase::Free;
             self.next_at = now.plus(self.settings.retry_every_ms);
             return (Some(Action::Release), Some(Change::Lapsed));
@@ -207,6 +208,7 @@
             Report::TakenFromSelf(fence) => {
                 let change = self.gain(now, *fence);
                 if let Phase::Held { since, .. } = &mut self.phase {
+                    // As if held for the whole flight time, so that orders need not wait.
                     *since = UnixMs(now.0.saturating_sub(self.settings.order_flight_ms));
                 }
                 change
@@ -255,8 +257,8 @@
         }
     }
 
-    /// Gives the lease up when it expires by this node's own clock, even if the service is
-    /// unreachable.
+    /// Gives the lease up at `safe_until`, the margin before it expires by this node's own clock,
+    /// even if the service is unreachable.
     fn check_lapse(&mut self, now: UnixMs) -> Option<Change> {
         match self.phase {
             Phase::Held { safe_until, .. } if now >= safe_until => self.lose(),
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -14,7 +14,7 @@
 struct End {
     /// When it was first observed, by the wall clock of the observing node.
     at: UnixMs,
-    /// Whether a target has answered the same request since, so that this end must have had another
+    /// Whether a target has answered the same request since, which means that this end had another
     /// cause.
     refuted: bool,
 }
@@ -22,9 +22,9 @@
 /// The target incarnations that ended while a request was in flight.
 ///
 /// Nodes observe different ends under the same request and exchange them in any order and more than
-/// once. [`Self::merge`] is commutative, associative and idempotent: an end is never removed, only
-/// refuted, and a refutation is never removed either. The map is ordered, so that nodes with equal
-/// evidence serialise to equal bytes.
+/// once. [`Self::merge`] is commutative, associative and idempotent: an end is never removed except
+/// by `trim`, which keeps the same ones at every node, and a refutation of a kept end is never
+/// removed. The map is ordered, so that nodes with equal evidence serialise to equal bytes.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Evidence {
     ends: BTreeMap<TargetIncarnation, End>,
@@ -39,8 +39,8 @@
         is_new
     }
 
-    /// Records that a target has answered the request, so that all earlier ends had another cause.
-    /// Returns whether any end counted until now.
+    /// Records that a target has answered the request, which means that all earlier ends had
+    /// another cause. Returns whether any end counted until now.
     pub fn refute(&mut self) -> bool {
         let changed = self.unrefuted_count() > 0;
         self.ends.values_mut().for_each(|end| end.refuted = true);
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -17,7 +17,8 @@
     pub fn of(method: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
-            // The length prefix keeps bytes from shifting between adjacent parts unnoticed.
+            // Without the length, moving bytes from the end of one part to the start of the next
+            // would give the same digest.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/quarantine/src/interrupted.rs
+++ b/crates/quarantine/src/interrupted.rs
@@ -53,9 +53,9 @@
 pub struct InterruptedRequests(Vec<Interrupted>);
 
 impl InterruptedRequests {
-    /// Records a request whose connection broke. Returns whether it is the first one at this
-    /// incarnation of its target, in which case the caller should check whether the target is still
-    /// up.
+    /// Records a request whose connection broke. Returns whether no other request waits for
+    /// this incarnation of its target, in which case the caller should check whether the target is
+    /// still up.
     pub fn record(
         &mut self,
         now: UnixMs,
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -10,7 +10,8 @@
 //! - [`Quarantine`]: decides which requests may be sent to a target.
 //!
 //! This crate does no I/O and reads no clock. Times are wall-clock times because nodes share the
-//! evidence; all intervals are minutes, so clock differences of seconds do no harm.
+//! evidence. Intervals compared between nodes are minutes, so clock differences of seconds do no
+//! harm; the one shorter interval, `OUTCOME_WAIT_MS`, is measured within one node.
 
 mod evidence;
 mod fingerprint;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -8,15 +8,16 @@
 //!   incarnations have ended while it was in flight.
 //! - *A harmless request is blocked with it.* Every other request in flight at a target is
 //!   interrupted too, is retried elsewhere at the same moment, and meets the crashing request there
-//!   again: of eleven requests that one crash interrupted, four had been interrupted by the crash
-//!   before. So an end does not count against a request if it is better explained by another one
-//!   that was in flight at the same incarnation and under which more incarnations have ended. If
+//!   again. In one crash, eleven requests were interrupted; four of them had already been
+//!   interrupted by the previous crash. So an end does not count against a request if it is better
+//!   explained by another one that was in flight at the same incarnation and under which more incarnations have ended. If
 //!   two requests have equal evidence, a single node tries each of them once, and the next end
 //!   tells them apart. An answer from any target clears a request: the earlier ends had another
 //!   cause.
 //! - *A request stays blocked although it no longer does harm*, because the targets' software was
 //!   fixed or the request never was the cause. So it is tried again after [`TRIAL_DELAY_MS`], by
-//!   one node for the whole fleet, and the delay doubles each time a trial ends a target.
+//!   one node for the whole fleet, and the delay doubles with each further end, up to 128-fold
+//!   (about 21 hours).
 
 use crate::{Evidence, Fingerprint, TargetIncarnation};
 use catkinmast_model::UnixMs;
@@ -27,8 +28,9 @@
 /// by chance while the request is retried; a request that crashes every target reaches three within
 /// a second.
 pub const BLOCK_THRESHOLD: usize = 3;
-/// With this many ends a request is blocked even if other requests explain some of them: two trials
-/// suffice to tell two requests apart, unless both meet at the same targets each time.
+/// With this many ends a request is blocked even if other requests explain some of them. Two trials
+/// (ends four and five) tell two requests apart, unless both are in flight at the same targets each
+/// time.
 const CERTAIN_THRESHOLD: usize = 5;
 /// How long a blocked request waits for its first trial: longer than a target takes to restart and
 /// serve, shorter than a fix of its software takes.
@@ -36,8 +38,8 @@
 /// How long evidence that does not block its request is kept after the latest end. Callers retry
 /// within minutes.
 const RETENTION_MS: u64 = 600_000;
-/// How long evidence that blocks its request is kept after the latest end. After a day without an
-/// end the request is no longer being sent.
+/// How long evidence that blocks its request is kept after the latest end. It is longer than
+/// the longest trial delay, so a request that is still sent has had a trial.
 const BLOCKED_RETENTION_MS: u64 = 86_400_000;
 /// How long this node waits for the result of a trial it requested before it requests it again.
 const TRIAL_RETRY_MS: u64 = 60_000;
@@ -49,7 +51,7 @@
 pub enum RequestStatus {
     /// It may not be sent until a trial is due.
     Blocked {
-        /// When the trial is due.
+        /// When a trial is due, or may be requested again.
         until: UnixMs,
     },
     /// It may be sent.
@@ -135,7 +137,8 @@
     /// Counts the requests that may not be sent freely at `now`: blocked ones and those due for a
     /// trial.
     pub fn count_blocked(&self, now: UnixMs) -> usize {
-        let is_allowed = |of: &Fingerprint| self.status(now, *of) == RequestStatus::Allowed;
+        let is_allowed =
+            |fingerprint: &Fingerprint| self.status(now, *fingerprint) == RequestStatus::Allowed;
         self.evidence.keys().filter(|fingerprint| !is_allowed(fingerprint)).count()
     }
 
@@ -183,10 +186,10 @@
         let mut attribution = Attribution::default();
         for incarnation in evidence.unrefuted() {
             let others = self.evidence.iter().filter(|(other, _)| **other != fingerprint);
-            let most = others
-                .filter(|(_, held)| held.is_unrefuted(incarnation))
-                .map(|(_, held)| held.unrefuted_count());
-            match most.max().unwrap_or(0).cmp(&own) {
+            let other_counts = others
+                .filter(|(_, evidence)| evidence.is_unrefuted(incarnation))
+                .map(|(_, evidence)| evidence.unrefuted_count());
+            match other_counts.max().unwrap_or(0).cmp(&own) {
                 Ordering::Less => attribution.alone += 1,
                 Ordering::Equal => {}
                 Ordering::Greater => attribution.explained += 1,
@@ -196,10 +199,10 @@
     }
 }
 
-/// How many of the ends under a request it explains best itself, and how many another one does.
+/// How many of a request's ends are attributed to it, and how many to another request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Attribution {
-    /// No other request in flight at the incarnation has as many ends.
+    /// Number of ends at incarnations where no other request has as many ends.
     alone: usize,
     /// Another request in flight at the incarnation has more ends.
     explained: usize,
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Removes the oldest settled records, which no retry after a lost reply can refer to any more.
+    /// Removes the oldest done steps and settled batches, which no retry after a lost reply can
+    /// refer to any more, and the sample lists of all but the last two settled batches.
     fn trim(&mut self) {
         let done: Vec<u64> =
             self.steps.iter().filter(|(_, s)| s.is_done()).map(|(number, _)| *number).collect();
--- a/crates/rollout/src/orders.rs
+++ b/crates/rollout/src/orders.rs
@@ -119,7 +119,8 @@
         is_other && !backs_off && !self.open.contains_key(name)
     }
 
-    /// Closes orders that are done, superseded by another version, or timed out.
+    /// Closes orders that are done, superseded by another version, timed out, or addressed to an
+    /// engine that is gone.
     fn settle(&mut self, now: UnixMs, wanted: Version, engines: &[(Name, Option<Version>)]) {
         let backoff_until = now.plus(self.settings.backoff_ms);
         let backoffs = &mut self.backoffs;
--- a/crates/rollout/src/recovery.rs
+++ b/crates/rollout/src/recovery.rs
@@ -61,7 +61,8 @@
         self.take_over(ledger, version);
     }
 
-    /// Repeats the pending write, since nobody else has written the ledger.
+    /// Repeats the pending write, since nobody else has written the ledger; without one, writes
+    /// only the fencing number.
     fn resume_writes(&mut self) {
         let Some(fence) = self.fence else { return };
         match &mut self.writer.pending {
--- a/crates/rollout/src/runs.rs
+++ b/crates/rollout/src/runs.rs
@@ -294,7 +294,8 @@
     }
 }
 
-/// Returns how many versions an engine is behind; one that has not reported may have any version.
+/// Returns how many versions an engine is behind; one that has not reported counts as at
+/// version 0.
 fn versions_behind(engine: &EngineView, trainer: Version) -> u64 {
     engine.version.map_or(trainer.0, |version| trainer.0.saturating_sub(version.0))
 }
--- a/crates/rollout/src/sample.rs
+++ b/crates/rollout/src/sample.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifies one attempt at a sample: the owner's fencing number, and a count.
+/// Identifies one attempt at a sample: the owner's fencing number, and the number of the
+/// attempt.
 ///
 /// The fencing number keeps attempts of different owners apart: a new owner does not know the
 /// attempts of the old one, and with equal identifiers the tokens of one attempt could be delivered
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -1,8 +1,8 @@
 //! Scheduling policy: which sample runs next, and on which engine.
 //!
 //! - *Run-ahead.* A sample of a later step is started only if its expected staleness when it is
-//!   claimed fits the trainer's bound. The operators' weight determines how much of the bound may
-//!   be used to keep the trainer busy ([`RunAhead`]).
+//!   claimed fits the trainer's bound. The trainer's idle weight determines how much of the bound
+//!   may be used to keep the trainer busy ([`RunAhead`]).
 //! - *Order.* Samples with the longest expected output start first. The output length is unknown at
 //!   first, but other samples of the same group predict it, so one sample of each group starts
 //!   first as a probe.
@@ -11,9 +11,9 @@
 //! - *Tail.* When no sample is queued and engines are idle, a sample that gains tokens much more
 //!   slowly than others did is duplicated on an idle engine, resuming from the tokens already
 //!   generated; the first complete result wins. The number of duplicates is limited, so that the
-//!   tail of one step does not delay the next. Only slow samples are duplicated: duplicating *long*
-//!   ones wasted 11.7 % of all tokens for steps 0.3 % shorter, since at the end of a step their
-//!   engines are nearly idle anyway.
+//!   tail of one step does not delay the next. Only slow samples are duplicated. Duplicating *long*
+//!   samples instead wasted 11.7 % of all tokens and shortened steps by only 0.3 %, since at the
+//!   end of a step their engines are nearly idle anyway.
 
 use crate::sample::{Sample, SampleState};
 use catkinmast_model::{Name, SampleId, UnixMs, Version};
@@ -88,8 +88,8 @@
     pub resume_partials: bool,
     /// Whether an engine with the prompt in its prefix cache is preferred. Default: true.
     pub prefix_affinity: bool,
-    /// Whether engines are chosen round-robin instead of by load; the baseline of the benchmark.
-    /// Default: false.
+    /// Whether engines are chosen by the sample's number instead of by load; the baseline of the
+    /// benchmark. Default: false.
     pub round_robin: bool,
 }
 
--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -4,9 +4,9 @@
 //! then is its command answered. One write is in flight at a time; changes that arrive meanwhile
 //! are batched into the next one, so the rate of writes does not grow with the rate of commands.
 //!
-//! If the reply to a write is lost, the ledger is read. This writer's own `write_id` in it means
-//! that the write took effect; the expected version means that it did not and can be repeated;
-//! anything else means that another owner has written and this node no longer owns the steps.
+//! If the reply to a write is lost, the ledger is read. If it holds the `write_id` of the pending
+//! write, the write took effect; if its key is still at the expected version, it did not and is repeated;
+//! otherwise another owner has written and this node no longer owns the steps.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample, ClaimedSet, Ledger, StepRecord};
--- a/crates/trail/src/lib.rs
+++ b/crates/trail/src/lib.rs
@@ -58,7 +58,7 @@
 }
 
 /// Formats an entry for a terminal: the time since `first_unix_ms`, the node, the event and all
-/// other fields that are not null.
+/// other fields except times and nulls.
 pub fn format_entry(entry: &HistoryEntry, first_unix_ms: u64) -> String {
     let after_ms = entry.at_unix_ms.saturating_sub(first_unix_ms);
     let mut text = format!(
@@ -66,9 +66,10 @@
         entry.line["node"].as_str().unwrap_or("?"),
         entry.line["event"].as_str().unwrap_or("?"),
     );
-    let shown = ["at_ms", "at_unix_ms", "node", "event"];
+    let excluded = ["at_ms", "at_unix_ms", "node", "event"];
     let fields = entry.line.as_object().into_iter().flatten();
-    let others = fields.filter(|(name, value)| !shown.contains(&name.as_str()) && !value.is_null());
+    let others =
+        fields.filter(|(name, value)| !excluded.contains(&name.as_str()) && !value.is_null());
     let parts: Vec<String> = others.map(|(name, value)| format!("  {name}={value}")).collect();
     text.push_str(&parts.concat());
     text
--- a/crates/trail/src/steps.rs
+++ b/crates/trail/src/steps.rs
@@ -14,7 +14,7 @@
 pub struct StepBreakdown {
     /// Id of the batch.
     pub batch: String,
-    /// Number of events of the item that ended the step.
+    /// Number of the last event in the output of the item that ended the step.
     pub events: u64,
     /// Id of the item that ended the step.
     pub item: String,
@@ -26,9 +26,9 @@
     pub owners: usize,
     /// From the listing until the trainer ended the step.
     pub read_ms: u64,
-    /// Total duration of the item's runs.
+    /// Total duration of those of the item's runs that generated events.
     pub running_ms: u64,
-    /// Number of the item's runs.
+    /// Number of the item's runs that generated events.
     pub runs: usize,
     /// Between the item's runs; printed as `standing`.
     pub between_runs_ms: u64,
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -24,7 +24,7 @@
     assert!(with.tokens_wasted_percent <= 3.0, "{with:?}");
 }
 
-/// Guards against a run-ahead that ignores the operators' weight, so that different weights give
+/// Guards against a run-ahead that ignores the idle weight, so that different weights give
 /// the same idle time and staleness.
 #[test]
 fn the_weight_trades_idle_time_for_staleness() {
--- a/tests/all/site/harness.rs
+++ b/tests/all/site/harness.rs
@@ -511,7 +511,8 @@
         request.send().await.map_or(0, |answer| answer.status().as_u16())
     }
 
-    /// Waits until a node has logged that it owns a batch, and returns the node's index.
+    /// Waits until a node has logged that it owns a batch. Returns the lowest index of the nodes
+    /// that have logged it, which need not be the owner after a takeover.
     pub(crate) async fn owner_of(&self, id: &str) -> usize {
         let owns = |node: &Node| node.lines("batch_owned").iter().any(|line| line["request"] == id);
         until("an owner", || async { self.nodes.iter().position(owns) }).await
--- a/tests/all/site/provider.rs
+++ b/tests/all/site/provider.rs
@@ -108,7 +108,8 @@
     }
 
     /// Checks that no window was reported with different counts, that the fencing number grows with
-    /// each change of holder, and that the duty did not go to another holder and back within
+    /// each change of holder, that the next holder calls at least [`HANDOVER`] after the last, and
+    /// that the duty did not go to another holder and back within
     /// [`LEASE`].
     pub(crate) fn check(&self) {
         let mut reports: BTreeMap<u64, Value> = BTreeMap::new();
--- a/tests/all/site/proxy.rs
+++ b/tests/all/site/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback TCP proxy that delays or resets connections, or blocks one or both directions.
+//! A loopback TCP proxy that delays bytes, closes connections, or blocks one or both directions.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,7 +13,7 @@
     Delays(Duration),
     /// Forwards at once.
     Open,
-    /// Closes a connection as soon as bytes arrive.
+    /// Closes the direction of a connection in which bytes arrive, without a TCP reset.
     Resets,
     /// Forwards nothing in the given directions: from the target (`answers`) or to it (`requests`).
     Silent { answers: bool, requests: bool },
--- a/tests/all/site/worker.rs
+++ b/tests/all/site/worker.rs
@@ -19,8 +19,8 @@
 
 /// A request whose body starts with this text crashes each worker that starts to run it.
 pub(crate) const CRASHING_BODY: &str = "crash";
-/// A stream whose body starts with this text crashes the worker after [`LATE_CRASH_DELAY`]: the
-/// response begins at once but has no event before the crash, as if the request had been queued at
+/// A stream whose body starts with this text crashes the worker after [`LATE_CRASH_DELAY`]. The
+/// response headers are sent at once and no event follows, like a request that is still queued at
 /// the worker.
 pub(crate) const CRASHING_LATE_BODY: &str = "late crash";
 /// Delay of a late crash.
@@ -113,8 +113,8 @@
     store: Store,
 }
 
-/// Counts a run as abandoned if it is dropped before it is complete, i.e. if its caller
-/// disconnected.
+/// Counts a run as abandoned if it is dropped before it is complete, because its caller
+/// disconnected or the worker crashed.
 struct AbandonGuard {
     state: Arc<Mutex<State>>,
     complete: bool,
@@ -241,7 +241,8 @@
         self.lock().orders_seen.clone()
     }
 
-    /// Returns how many runs were abandoned by their caller.
+    /// Returns how many runs were dropped before they were complete, because their caller
+    /// disconnected or the worker crashed.
     pub(crate) fn abandoned(&self) -> u64 {
         self.lock().abandoned
     }
@@ -267,7 +268,8 @@
         drop(server);
     }
 
-    /// Returns the runs of this worker.
+    /// Returns the runs of this worker under its first id, i.e. those before the first crash by a
+    /// request.
     pub(crate) fn ran(&self) -> Vec<Run> {
         self.context.runs.all().into_iter().filter(|run| run.worker == self.id).collect()
     }
