--- a/crates/serve/src/feed/state.rs
+++ b/crates/serve/src/feed/state.rs
@@ -1,6 +1,6 @@
 //! The state of a feed at one node, and the messages that carry its changes between nodes.
 
-use crate::metrics::Reason;
+use crate::metrics::Label;
 use crate::store::{StoreEvent, StoredItem};
 use catkinmast_dispatch::Freshness;
 use catkinmast_model::UnixMs;
@@ -26,10 +26,10 @@
 
 impl Subject {
     /// Returns the metrics label of this subject.
-    pub(super) const fn reason(self) -> Reason {
+    pub(super) const fn reason(self) -> Label {
         match self {
-            Self::Operators => Reason { reason: "operators" },
-            Self::Targets => Reason { reason: "targets" },
+            Self::Operators => Label { reason: "operators" },
+            Self::Targets => Label { reason: "targets" },
         }
     }
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -163,13 +163,13 @@
 
 impl<P: Platform> InFlight<P> {
     pub(crate) fn begin(node: &Rc<Node<P>>, id: &str) -> Self {
-        node.load.borrow_mut().call_sent(id);
+        node.balancer.borrow_mut().call_sent(id);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: None }
     }
 
     /// Counts a run of an item that is expected to end at about `end`.
     pub(crate) fn begin_run(node: &Rc<Node<P>>, id: &str, end: UnixMs) -> Self {
-        let run = node.load.borrow_mut().run_started(id, end);
+        let run = node.balancer.borrow_mut().run_started(id, end);
         Self { ended: false, id: id.to_owned(), node: Rc::clone(node), run: Some(run) }
     }
 
@@ -181,9 +181,9 @@
     fn finish(&self, outcome: CallOutcome) {
         let slots = self.node.targets.borrow().entry(&self.id).map_or(1, |entry| entry.slots);
         if let Some(run) = self.run {
-            self.node.load.borrow_mut().run_ended(&self.id, run);
+            self.node.balancer.borrow_mut().run_ended(&self.id, run);
         }
-        self.node.load.borrow_mut().call_ended(clock::now(), &self.id, slots, outcome);
+        self.node.balancer.borrow_mut().call_ended(clock::now(), &self.id, slots, outcome);
     }
 }
 
--- a/crates/serve/src/metrics.rs
+++ b/crates/serve/src/metrics.rs
@@ -14,31 +14,31 @@
 
 /// A metrics label with few values.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub(crate) struct Reason {
+pub(crate) struct Label {
     pub reason: &'static str,
 }
 
 /// The counters, gauges and histograms of the process.
 #[derive(Debug)]
 pub(crate) struct Metrics {
-    pub answers: Family<Reason, Counter>,
-    pub attempts: Family<Reason, Counter>,
+    pub answers: Family<Label, Counter>,
+    pub attempts: Family<Label, Counter>,
     pub batches_open: Gauge,
     pub connections_opened: Counter,
     pub document_version: Gauge,
-    pub feed_age_ms: Family<Reason, Gauge>,
-    pub item_runs: Family<Reason, Counter>,
+    pub feed_age_ms: Family<Label, Gauge>,
+    pub item_runs: Family<Label, Counter>,
     pub item_seconds: Histogram,
     /// Load orders to engines.
-    pub orders: Family<Reason, Counter>,
+    pub orders: Family<Label, Counter>,
     pub request_seconds: Histogram,
     pub requests_barred: Gauge,
-    pub store_calls: Family<Reason, Counter>,
-    pub store_failures: Family<Reason, Counter>,
+    pub store_calls: Family<Label, Counter>,
+    pub store_failures: Family<Label, Counter>,
     /// Orders to the platform for a number of targets.
-    pub target_orders: Family<Reason, Counter>,
-    pub targets_ended: Family<Reason, Counter>,
-    pub usage_reports: Family<Reason, Counter>,
+    pub target_orders: Family<Label, Counter>,
+    pub targets_ended: Family<Label, Counter>,
+    pub usage_reports: Family<Label, Counter>,
     registry: Registry,
 }
 
@@ -127,7 +127,7 @@
     /// Returns the number of calls of the store so far, by kind.
     pub(crate) fn store_calls_so_far(&self) -> serde_json::Value {
         let kinds = ["get", "get_old", "lease", "renew", "range_old", "range", "write", "watch"];
-        let count = |reason| self.store_calls.get_or_create(&Reason { reason }).get();
+        let count = |reason| self.store_calls.get_or_create(&Label { reason }).get();
         kinds
             .iter()
             .map(|kind| ((*kind).to_owned(), count(*kind).into()))
@@ -145,6 +145,6 @@
 }
 
 /// Increments the counter of a reason.
-pub(crate) fn count(family: &Family<Reason, Counter>, reason: &'static str) {
-    family.get_or_create(&Reason { reason }).inc();
+pub(crate) fn count(family: &Family<Label, Counter>, reason: &'static str) {
+    family.get_or_create(&Label { reason }).inc();
 }
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -72,10 +72,12 @@
     pub in_flight: Cell<usize>,
     /// When this node joined the fleet; none before.
     pub joined_at: Cell<Option<UnixMs>>,
-    pub key: SharedKey,
+    /// Authenticates the datagrams between nodes.
+    pub datagram_key: SharedKey,
+    /// Whether a planned stop has begun.
     pub leaving: Cell<bool>,
     pub run_times: RefCell<RunTimeEstimator>,
-    pub load: RefCell<LoadBalancer>,
+    pub balancer: RefCell<LoadBalancer>,
     pub members: RefCell<Option<Membership>>,
     pub metrics: Metrics,
     /// When the last batch was opened, by model.
@@ -84,6 +86,7 @@
     pub pool: Pool,
     /// The requests during which targets have ended, and the evidence against each.
     pub quarantine: RefCell<Quarantine>,
+    /// Whether the node has joined the fleet and has received a configuration.
     pub ready: Cell<bool>,
     /// The incarnations of the nodes that were registered when this one started.
     pub registered: RefCell<IndexMap<Name, Incarnation>>,
@@ -124,10 +127,10 @@
             joined_at: Cell::new(None),
             // The platform provides no shared secret. With this fixed key the tag of a datagram
             // still rejects data that is not a frame.
-            key: SharedKey::derive(""),
+            datagram_key: SharedKey::derive(""),
             leaving: Cell::new(false),
             run_times: RefCell::new(RunTimeEstimator::default()),
-            load: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
+            balancer: RefCell::new(LoadBalancer::open(LoadBalancerSettings::default())),
             members: RefCell::new(None),
             metrics,
             batch_opened_at: RefCell::new(IndexMap::new()),
@@ -224,7 +227,7 @@
         }
         crashes::target_changed(self, change, &entry);
         if matches!(change, TargetChange::Restarted(_)) {
-            self.load.borrow_mut().target_restarted(id);
+            self.balancer.borrow_mut().target_restarted(id);
             // Connections of the ended incarnation may hang without an error; stopping the runs
             // lets their generated output continue on other targets at once.
             self.batches.stop_runs_at(id);
@@ -253,7 +256,7 @@
                 slots: entry.slots,
             })
             .collect();
-        let id = choose(&self.load.borrow(), now, &picks)?;
+        let id = choose(&self.balancer.borrow(), now, &picks)?;
         targets.entry(&id).map(|entry| (id.clone(), entry.address))
     }
 
--- a/crates/serve/src/peers/messages.rs
+++ b/crates/serve/src/peers/messages.rs
@@ -81,7 +81,7 @@
     StoreReturned,
     /// The incarnation of a target that started at `started_at_unix_ms` loads weights for about
     /// `for_ms` from now on.
-    TargetLoads { started_at_unix_ms: Option<u64>, for_ms: u64, target: String },
+    TargetLoading { started_at_unix_ms: Option<u64>, for_ms: u64, target: String },
 }
 
 /// An incarnation of a node, as the owner of batches or a candidate for a duty.
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -150,7 +150,7 @@
 }
 
 fn receive<P: Platform>(node: &Rc<Node<P>>, frame: &[u8], from: SocketAddr) {
-    match wire::open::<Datagram>(&node.key, frame, wire::DATAGRAM_MAX_BYTES) {
+    match wire::open::<Datagram>(&node.datagram_key, frame, wire::DATAGRAM_MAX_BYTES) {
         Ok(Datagram::Member { message, wall }) => {
             node.usage.record_clock(from, wall);
             with_members(node, |members, now| members.receive(now, from, message));
@@ -167,7 +167,7 @@
             batches::on_owner_reported(node, &batch, owner);
         }
         Ok(Datagram::StoreReturned) => outage::receive_store_returned(node),
-        Ok(Datagram::TargetLoads { started_at_unix_ms, for_ms, target }) => {
+        Ok(Datagram::TargetLoading { started_at_unix_ms, for_ms, target }) => {
             let (is_current, change) =
                 node.targets.borrow_mut().apply_start_time(&target, started_at_unix_ms);
             node.target_changed(&change, "a peer");
@@ -231,7 +231,7 @@
 
 /// Sends a datagram without waiting. A lost one is made up for by later messages.
 pub(crate) fn send<P: Platform>(node: &Node<P>, datagram: &Datagram, to: SocketAddr) {
-    match wire::seal(&node.key, datagram, wire::DATAGRAM_MAX_BYTES) {
+    match wire::seal(&node.datagram_key, datagram, wire::DATAGRAM_MAX_BYTES) {
         Ok(frame) => {
             if let Err(error) = node.datagrams.try_send_to(&frame, to) {
                 let buffer_is_full = error.kind() == std::io::ErrorKind::WouldBlock;
@@ -263,14 +263,15 @@
     set_target_loading(node, target, for_ms);
     let started_at_unix_ms =
         node.targets.borrow().entry(target).and_then(|entry| entry.started_at_unix_ms);
-    let datagram = Datagram::TargetLoads { started_at_unix_ms, for_ms, target: target.to_owned() };
+    let datagram =
+        Datagram::TargetLoading { started_at_unix_ms, for_ms, target: target.to_owned() };
     for owner in node.batches.owner_addresses() {
         send(node, &datagram, owner);
     }
 }
 
 fn set_target_loading<P: Platform>(node: &Node<P>, target: &str, for_ms: u64) {
-    node.load.borrow_mut().loading_until(target, clock::now().plus(for_ms));
+    node.balancer.borrow_mut().loading_until(target, clock::now().plus(for_ms));
 }
 
 /// Returns this incarnation of this node; none before it has joined.
--- a/crates/serve/src/peers/ranks.rs
+++ b/crates/serve/src/peers/ranks.rs
@@ -83,6 +83,7 @@
     let members = node.members.borrow();
     let members = members.as_ref()?;
     let fact = members.facts().iter().find_map(|fact| match fact {
+        // The holder of a duty is announced like the owner of a trainer, with the duty's name.
         Fact::Owner(owner) if owner.trainer == *duty => Some(owner.clone()),
         _ => None,
     })?;
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -127,14 +127,14 @@
 ) -> Option<ChosenTarget> {
     // Most runs are on targets of normal speed; a free target is searched only for the others.
     let (current_ms, fastest_ms) = {
-        let load = node.load.borrow();
+        let load = node.balancer.borrow();
         (load.latency_ms(target), model_targets.fastest_ms(&load))
     };
     if current_ms * 10 < fastest_ms * MOVE_MIN_RATIO_TENTHS {
         return None;
     }
     let (id, address) = pick_free(node, local, index, MOVED_RUN_EXPECTED_MS, model_targets)?;
-    let candidate_ms = node.load.borrow().latency_ms(&id);
+    let candidate_ms = node.balancer.borrow().latency_ms(&id);
     (candidate_ms > 0 && current_ms * 10 >= candidate_ms * MOVE_MIN_RATIO_TENTHS)
         .then_some(ChosenTarget { address, id })
 }
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -323,7 +323,7 @@
             if !first {
                 let gap_ms = now.since_ms(last_at);
                 self.longest_gap_ms = self.longest_gap_ms.max(gap_ms);
-                node.load.borrow_mut().record_latency(&chosen.id, gap_ms);
+                node.balancer.borrow_mut().record_latency(&chosen.id, gap_ms);
             }
             first = false;
             last_at = now;
--- a/tests/all/site/soak_keys.rs
+++ b/tests/all/site/soak_keys.rs
@@ -160,6 +160,7 @@
 }
 
 async fn end_faults(site: &mut Site) {
+    // Longer than any fault.
     sleep(Duration::from_secs(4)).await;
     for node in &mut site.nodes {
         node.store_link.set(Link::Open);
