--- a/tests/all/dispatch/load.rs
+++ b/tests/all/dispatch/load.rs
@@ -59,12 +59,12 @@
     balancer.call_sent("a");
     balancer.call_ended(UnixMs(1_000), "a", 4, CallOutcome::Failed);
 
-    assert!(balancer.is_backing_off(UnixMs(1_399), "a"));
-    assert!(!balancer.is_backing_off(UnixMs(1_400), "a"));
+    assert!(balancer.is_unavailable(UnixMs(1_399), "a"));
+    assert!(!balancer.is_unavailable(UnixMs(1_400), "a"));
     balancer.call_sent("a");
     balancer.call_ended(UnixMs(2_000), "a", 4, CallOutcome::Failed);
-    assert!(balancer.is_backing_off(UnixMs(2_799), "a"));
-    assert!(!balancer.is_backing_off(UnixMs(2_800), "a"));
+    assert!(balancer.is_unavailable(UnixMs(2_799), "a"));
+    assert!(!balancer.is_unavailable(UnixMs(2_800), "a"));
 }
 
 #[test]
@@ -92,8 +92,8 @@
     }
     full.call_ended(UnixMs(0), "a", 4, CallOutcome::Overloaded);
 
-    assert!(loading.is_backing_off(UnixMs(249), "a"));
-    assert!(!full.is_backing_off(UnixMs(60), "a"));
+    assert!(loading.is_unavailable(UnixMs(249), "a"));
+    assert!(!full.is_unavailable(UnixMs(60), "a"));
 }
 
 #[test]
@@ -126,16 +126,16 @@
 }
 
 // Guards against a step's longest items starting 1.1 s late. Targets start to load as a step is
-// submitted. Its longest items go to the emptiest targets, which are those that load, are refused,
-// and find the others filled with shorter items, if only the node that ordered the load knows of
-// it.
+// submitted. If only the node that ordered a load knows of it, the step's longest items go to the
+// emptiest targets, which are those that load; they are refused and find the others filled with
+// shorter items.
 #[test]
 fn a_loading_target_gets_no_item_until_its_load_is_expected_to_end() {
     let mut balancer = LoadBalancer::open(LoadBalancerSettings::default());
     for id in ["b", "c"] {
         balancer.call_sent(id);
     }
-    balancer.loading_until("a", UnixMs(900));
+    balancer.record_loading_until("a", UnixMs(900));
 
     let meanwhile = balancer
         .choose_with_free_slot(UnixMs(899), &candidates(), Some("a"), 1_000, 0)
