--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -10,8 +10,8 @@
 //!   interrupted too, is retried elsewhere at the same moment, and meets the crashing request there
 //!   again. In one crash, eleven requests were interrupted; four of them had already been
 //!   interrupted by the previous crash. So an end does not count against a request if it is better
-//!   explained by another one that was in flight at the same incarnation and under which more incarnations have ended. If
-//!   two requests have equal evidence, a single node tries each of them once, and the next end
+//!   explained by another one that was in flight at the same incarnation and under
+//!   which more incarnations have ended. If two requests have equal evidence, a single node tries each of them once, and the next end
 //!   tells them apart. An answer from any target clears a request: the earlier ends had another
 //!   cause.
 //! - *A request stays blocked although it no longer does harm*, because the targets' software was
--- a/crates/rollout/src/spec.rs
+++ b/crates/rollout/src/spec.rs
@@ -191,8 +191,8 @@
     pub steps_late: u64,
     /// Number of steps with unclaimed samples.
     pub steps_open: u64,
-    /// Number of discarded tokens: of cancelled and failed runs, and of samples that start over, e.g.
-    /// because they became stale.
+    /// Number of discarded tokens: of cancelled and failed runs, and of samples that start over,
+    /// e.g. because they became stale.
     pub tokens_wasted: u64,
     /// The last published weight version.
     pub trainer_version: Version,
--- a/crates/rollout/src/writer.rs
+++ b/crates/rollout/src/writer.rs
@@ -5,8 +5,8 @@
 //! are batched into the next one, so the rate of writes does not grow with the rate of commands.
 //!
 //! If the reply to a write is lost, the ledger is read. If it holds the `write_id` of the pending
-//! write, the write took effect; if its key is still at the expected version, it did not and is repeated;
-//! otherwise another owner has written and this node no longer owns the steps.
+//! write, the write took effect; if its key is still at the expected version, it did not and
+//! is repeated; otherwise another owner has written and this node no longer owns the steps.
 
 use crate::event::Effect;
 use crate::ledger::{BatchRecord, BatchState, BoundSample, ClaimedSet, Ledger, StepRecord};
