--- a/crates/serve/src/batches/accept.rs
+++ b/crates/serve/src/batches/accept.rs
@@ -22,8 +22,8 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Attempts at a write whose outcome is unknown. With the store's slowest answers they take less
-/// time than a trainer waits.
+/// How often a write to the store is attempted at most. With the store's slowest answers they take
+/// less time than a trainer waits.
 pub(super) const STORE_ATTEMPTS: u32 = 3;
 
 /// How long the node that owns a model's batches may take to accept one before this node accepts it
@@ -37,7 +37,8 @@
     Accepted,
     /// Its id belongs to a batch of another workspace.
     IdConflict,
-    /// The store could not be reached; the verdict says whether it may have been stored.
+    /// It was not confirmed, by the store or by this node itself; the verdict says whether it may
+    /// have been stored.
     Unknown(StoreRefusal),
 }
 
@@ -45,7 +46,7 @@
 /// are given up.
 pub(super) fn policy(
     route: &Route,
-    reward_attempts: u32,
+    scoring_attempts: u32,
     accepted_at: UnixMs,
     slack_ms: u64,
 ) -> BatchPolicy {
@@ -54,10 +55,11 @@
     // An item that is not done after half of the time is a long one: the mean item takes a tenth
     // of it.
     const LONG_ITEM_DIVISOR: u64 = 2;
+    // `run_target_ms` is the operator's goal for the duration of a batch.
     let due_ms = route.run_target_ms.unwrap_or(UNBOUNDED_MS);
     let give_up_ms = route.give_up_ms.unwrap_or(UNBOUNDED_MS);
     BatchPolicy {
-        attempts: route.attempts.max(reward_attempts).max(1),
+        attempts: route.attempts.max(scoring_attempts).max(1),
         due_at: accepted_at.plus(due_ms),
         give_up_at: accepted_at.plus(give_up_ms + slack_ms),
         rerun_from: accepted_at.plus(due_ms / LONG_ITEM_DIVISOR),
@@ -65,7 +67,8 @@
     }
 }
 
-pub(super) fn reward_attempts<P: Platform>(node: &Node<P>, submission: &Submission) -> u32 {
+/// Returns the attempts that the route of the first scoring call allows; 0 if no item is scored.
+pub(super) fn scoring_attempts<P: Platform>(node: &Node<P>, submission: &Submission) -> u32 {
     let document = node.document();
     let reward = submission.items.iter().find_map(|item| item.reward.as_ref());
     let route = document.as_ref().zip(reward).and_then(|(document, reward)| {
@@ -85,6 +88,7 @@
     submission: Submission,
 ) -> Acceptance {
     let duty = model_duty(submission.model.as_deref().unwrap_or(&origin.path));
+    // None if this node ranks first.
     let owner = peers::first_for(node, &duty);
     let Some(owner) = owner.filter(|_| node.batches.get(id).is_none()) else {
         return accept(node, id, origin, submission).await;
@@ -93,6 +97,7 @@
     let answer = node.ask_peer(owner, &call, PEER_SUBMIT_TIMEOUT).await;
     match answer {
         Ok(PeerAnswer::Accepted) => return Acceptance::Accepted,
+        // The id belongs to a batch of another workspace.
         Ok(PeerAnswer::NoBatch) => return Acceptance::IdConflict,
         _ => {}
     }
@@ -143,7 +148,7 @@
         ended: false,
         origin,
         owner,
-        total: submission.items.len(),
+        item_count: submission.items.len(),
     };
     let call = match creation_transaction(node, id, &record, &submission) {
         Ok(call) => call,
@@ -281,7 +286,7 @@
         node.note("batch_without_route", json!({ "request": id, "host": host }));
         return;
     };
-    let policy = policy(&route, reward_attempts(node, submission), accepted_at, slack_ms);
+    let policy = policy(&route, scoring_attempts(node, submission), accepted_at, slack_ms);
     let mut line = json!({
         "request": id, "items": submission.items.len(), "model": submission.model,
         "step": submission.step, "oldest_version": submission.oldest_version,
@@ -289,6 +294,7 @@
         "record_revision": record_revision, "route": route.name,
     });
     let (mut local, resumed) = build_local_batch(node, id, source, accepted_at, policy, chunks);
+    // Only a batch that is taken over has a slack.
     local.taken_over = slack_ms > 0;
     line["resumed"] = json!(resumed);
     node.note("batch_owned", line);
@@ -324,7 +330,7 @@
 ) -> (LocalBatch, usize) {
     let BatchSource { record, record_revision, results, submission, outputs } = source;
     let workspace = record.origin.workspace.as_deref();
-    let (mut batch, resumed) = restore_batch(node, workspace, submission, policy, chunks, outputs);
+    let (mut batch, resumed) = open_batch(node, workspace, submission, policy, chunks, outputs);
     for result in results {
         batch.record_result(clock::now(), result);
     }
@@ -333,7 +339,7 @@
         batch,
         changed: Rc::new(Notify::new()),
         unverified: false,
-        finished: Rc::new(Notify::new()),
+        results_pending: Rc::new(Notify::new()),
         group_targets: IndexMap::new(),
         record,
         record_revision,
@@ -348,7 +354,7 @@
 
 /// Opens a batch with its stored results, and with output that a former owner, a second run or an
 /// earlier batch left of its items; returns with it how many of these fit.
-pub(super) fn restore_batch<P: Platform>(
+pub(super) fn open_batch<P: Platform>(
     node: &Node<P>,
     workspace: Option<&str>,
     submission: Submission,
@@ -359,10 +365,11 @@
     let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
     let now = clock::now();
     reusable_outputs.by_item.retain(|_, left| now.since_ms(left.ended_at) < REUSABLE_OUTPUT_TTL_MS);
-    reusable_outputs.groups.retain(|_, at| now.since_ms(*at) < REUSABLE_OUTPUT_TTL_MS);
+    reusable_outputs.unconsumed_groups.retain(|_, at| now.since_ms(*at) < REUSABLE_OUTPUT_TTL_MS);
     let ids: Vec<String> = submission.items.iter().map(|item| item.id.clone()).collect();
-    let mut batch =
-        Batch::open(submission, policy, |group| reusable_outputs.groups.contains_key(group));
+    let mut batch = Batch::open(submission, policy, |group| {
+        reusable_outputs.unconsumed_groups.contains_key(group)
+    });
     for chunk in chunks {
         batch.merge(chunk);
     }
@@ -394,6 +401,8 @@
     (batch, resumed)
 }
 
+/// Returns the duty by which nodes are ranked as owner of a model's batches, or of a path's if they
+/// name no model.
 pub(super) fn model_duty(model: &str) -> String {
     format!("batches/{model}")
 }
--- a/crates/serve/src/batches/end.rs
+++ b/crates/serve/src/batches/end.rs
@@ -25,7 +25,7 @@
 /// Pause between two broadcasts of the same end.
 pub(super) const END_NOTICE_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How long a settled batch stays readable.
+/// How long a batch stays readable in the store after it was settled.
 pub(super) const SETTLED_RETENTION_MS: u64 = 180_000;
 
 /// Ends a batch that this node owns: stops its runs, then writes the end to the store, and only
@@ -159,6 +159,8 @@
     }
 }
 
+/// Deletes a batch from the store: its record last, so that a deletion that fails halfway is
+/// repeated.
 pub(super) async fn delete_batch<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
     let (id, chunks) = (local.borrow().id.clone(), local.borrow().batch.next_chunk());
     let parts = encode(local.borrow().batch.submission())
--- a/crates/serve/src/batches/keys.rs
+++ b/crates/serve/src/batches/keys.rs
@@ -13,13 +13,15 @@
 /// Prefix of the records' keys; the batch's id follows.
 pub(super) const RECORD_PREFIX: &str = "cm/h/";
 
-/// Prefix of the keys of submissions, results and partial output; the batch's id follows.
+/// Prefix of the keys of submissions (`p`, in parts), partial output (`t`) and chunks of results
+/// (`c`); the batch's id and the letter follow. A chunk holds the results of one write; chunks are
+/// numbered from 0.
 pub(super) const DATA_PREFIX: &str = "cm/d/";
 
 /// The part of a value's allowed size that is used; the rest is left for its framing.
 pub(super) const VALUE_FILL_PERCENT: usize = 70;
 
-/// The most keys that one transaction may change.
+/// The most keys that one transaction changes, within the store's limit of 32.
 pub(super) const TRANSACTION_MAX_KEYS: usize = 30;
 
 /// The request that submitted a batch, and its workspace.
@@ -27,16 +29,16 @@
 pub(crate) struct Origin {
     pub host: String,
     pub path: String,
-    /// The workspace; none where the configuration required no key.
+    /// The workspace; none if it was submitted without an API key.
     pub workspace: Option<String>,
 }
 
 /// The batches that a call may access.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Scope {
-    /// All batches: the configuration requires no keys.
+    /// All batches: the configuration requires no API keys.
     All,
-    /// Batches that were submitted without a key.
+    /// Batches that were submitted without an API key.
     Public,
     /// The same, and the batches of a workspace.
     Workspace(String),
@@ -61,7 +63,7 @@
     pub(super) ended: bool,
     pub(super) origin: Origin,
     pub(super) owner: Owner,
-    pub(super) total: usize,
+    pub(super) item_count: usize,
 }
 
 pub(super) fn record_key(batch: &str) -> String {
--- a/crates/serve/src/batches/mod.rs
+++ b/crates/serve/src/batches/mod.rs
@@ -4,8 +4,9 @@
 //! serves reads. State that must survive all processes is written to the store before it is
 //! acknowledged: the submission before it is accepted, results before a reader sees them, the end
 //! before it is confirmed. A result that is stored has a fixed position among the batch's results;
-//! such results are called listed. The batch's record names its owner, and every write of the owner
-//! expects the record's revision, so a former owner learns of its replacement from a conflict.
+//! such results are called listed. A batch is settled once nothing of it is left to run or to
+//! write. The batch's record names its owner, and every write of the owner expects the record's
+//! revision, so a former owner learns of its replacement from a conflict.
 
 mod accept;
 mod end;
@@ -55,8 +56,8 @@
     pub batch: Batch,
     /// Wakes readers that wait for results.
     pub changed: Rc<Notify>,
-    /// Wakes the task that writes results.
-    pub finished: Rc<Notify>,
+    /// Wakes the task that writes results: an item has a result, or the batch is ended.
+    pub results_pending: Rc<Notify>,
     /// The target on which an item of each group ran last.
     pub group_targets: IndexMap<String, String>,
     record: Record,
@@ -69,6 +70,7 @@
     pub owned: bool,
     /// The runs in progress, by the item's index.
     pub runs: IndexMap<usize, Run>,
+    /// When its writer found it settled.
     settled_at: Option<UnixMs>,
     /// Whether it had another owner before, which may still be alive.
     taken_over: bool,
@@ -81,7 +83,7 @@
     }
 
     /// Returns whether this node owns it and it has items left to run.
-    fn is_running(&self) -> bool {
+    fn is_open(&self) -> bool {
         self.owned && !self.batch.is_ended() && !self.batch.is_settled()
     }
 
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Stops one run; its item waits again, with its output so far.
+    /// Stops one run; its item waits again, with its output so far, and may run at once.
     pub(crate) fn stop_run(&mut self, index: usize) {
         let Some(run) = self.runs.swap_remove(&index) else { return };
         run.task.abort();
@@ -134,7 +136,8 @@
 /// Generated output of ended batches, which a later batch with the same items goes on from.
 #[derive(Debug, Default)]
 struct ReusableOutputs {
-    groups: IndexMap<String, UnixMs>,
+    /// Groups whose results the trainer did not use, and when their batch ended.
+    unconsumed_groups: IndexMap<String, UnixMs>,
     by_item: IndexMap<String, ReusableOutput>,
 }
 
@@ -172,12 +175,14 @@
     pub lookahead: RefCell<Lookahead>,
     owned: RefCell<IndexMap<String, Rc<RefCell<LocalBatch>>>>,
     owners: RefCell<IndexMap<String, ReportedOwner>>,
-    /// Runs of items ahead of the batch in which they are expected again.
+    /// Speculative runs of items for a later batch, see [`SecondRuns`].
     pub second_runs: SecondRuns,
     pub standby: Standby,
+    /// The batches whose takeover is in progress.
     takeovers: RefCell<IndexSet<String>>,
     /// Wakes the search for orphaned batches.
     pub orphaned: Notify,
+    /// When this node started to search for orphaned batches, see `UNKNOWN_OWNER_GRACE_MS`.
     started_at: Cell<UnixMs>,
     /// Whether the last search could not read the store. It is repeated as soon as the store is
     /// available again; otherwise batches of a node that died meanwhile would wait for the next
@@ -195,7 +200,8 @@
         owners.insert(batch.to_owned(), ReportedOwner { owner, reported_at });
     }
 
-    /// Records that a batch is ended, so that no node has to run it.
+    /// Records that a batch is ended, so that this node does not take it over; without effect if no
+    /// owner of it was reported to this node.
     fn note_ended(&self, batch: &str) {
         if let Some(reported) = self.owners.borrow_mut().get_mut(batch) {
             reported.reported_at = None;
@@ -242,13 +248,14 @@
         let open = self.open();
         let steps = open.iter().filter_map(|local| {
             let local = local.borrow();
-            let open = local.batch.submission();
-            open.step.filter(|_| open.model.as_ref() == Some(model))
+            let other = local.batch.submission();
+            other.step.filter(|_| other.model.as_ref() == Some(model))
         });
         self.lookahead.borrow_mut().batch_opened(model, step, steps);
     }
 
-    /// Stops all runs on a target; their items continue elsewhere from their output so far.
+    /// Stops all runs on a target except those that are being scored; their items continue
+    /// elsewhere from their output so far. Second runs there are dropped with their output.
     pub(crate) fn stop_runs_at(&self, target: &str) {
         let owned: Vec<Rc<RefCell<LocalBatch>>> = self.owned.borrow().values().cloned().collect();
         for local in owned.into_iter().chain(self.standby.interim()) {
--- a/crates/serve/src/batches/ownership.rs
+++ b/crates/serve/src/batches/ownership.rs
@@ -13,13 +13,14 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Retains the output of an ended batch for a later batch that contains the same items.
+/// Retains the output of an ended batch for a later batch that contains the same items, and stops
+/// second runs of items whose groups the trainer consumed.
 pub(super) fn retain_reusable_outputs<P: Platform>(node: &Node<P>, local: &mut LocalBatch) {
     let now = clock::now();
     let mut reusable_outputs = node.batches.reusable_outputs.borrow_mut();
     let unconsumed = local.batch.unconsumed_groups();
     for group in &unconsumed {
-        reusable_outputs.groups.insert((*group).to_owned(), now);
+        reusable_outputs.unconsumed_groups.insert((*group).to_owned(), now);
     }
     let is_unconsumed =
         |id: &str| local.batch.item(id).is_some_and(|item| unconsumed.contains(group_of(item)));
@@ -87,7 +88,7 @@
     local.batch.end();
     local.stop_runs();
     retain_reusable_outputs(node, local);
-    local.finished.notify_one();
+    local.results_pending.notify_one();
     local.changed.notify_waiters();
 }
 
@@ -101,7 +102,8 @@
     }
 }
 
-/// Reads a batch's record in a task, and repeats until the store answers.
+/// Verifies with the store, in a task, that this node still owns a batch; repeats until the store
+/// answers. Until then no reads are answered from memory.
 pub(super) fn verify_ownership<P: Platform>(node: &Rc<Node<P>>, local: &Rc<RefCell<LocalBatch>>) {
     if std::mem::replace(&mut local.borrow_mut().unverified, true) {
         return;
@@ -116,6 +118,7 @@
                     local.borrow_mut().unverified = false;
                     return;
                 }
+                // The batch was deleted: reads go on to the store, which does not have it.
                 Ok(None) => return,
                 Err(_) => sleep(RETRY_PAUSE).await,
             }
--- a/crates/serve/src/batches/read.rs
+++ b/crates/serve/src/batches/read.rs
@@ -93,11 +93,13 @@
         OwnerReply::Unavailable(why) => return Lookup::Unavailable(why),
     };
     match feed::read_all(node, &chunk_prefix(batch)).await {
-        Ok((items, _)) => Lookup::Found((record.total, page_of_chunks(node, &items, after))),
+        Ok((items, _)) => Lookup::Found((record.item_count, page_of_chunks(node, &items, after))),
         Err(refusal) => Lookup::Unavailable(refusal.message),
     }
 }
 
+/// Returns a page of the results in stored chunks, from position `after`; of several results of an
+/// item only the first counts.
 pub(super) fn page_of_chunks<P: Platform>(
     node: &Node<P>,
     items: &[StoredItem],
--- a/crates/serve/src/batches/standby.rs
+++ b/crates/serve/src/batches/standby.rs
@@ -2,17 +2,18 @@
 //!
 //! Copies keep steps going when an owner dies while the store is unavailable. Ownership and results
 //! need the store's acknowledgement, so without copies all items of the batch would wait for the
-//! store to return (10.3 s of a step's 12.4 s). Runs need no owner, though. The owner sends the
-//! submission to the node that is first in rank to succeed it, which holds it in memory. If the
-//! store does not answer when that node takes the batch over, it runs the items in the interim, and
-//! their output is used as soon as the batch has an owner. The owner also sends updates of the
-//! output of runs in progress: without them, a step whose longest output was 3 s old ended 2 s
-//! later.
+//! store to return (in a measured outage, for 10.3 s of a step of 12.4 s). Runs need no owner,
+//! though. The owner sends the submission to the node that is first in rank to succeed it, which
+//! holds it in memory. If the store does not answer when that node takes the batch over, it runs
+//! the items in the interim, and their output is used as soon as the batch has an owner. The owner
+//! also sends updates of the output of runs in progress: without them, a step whose longest run had
+//! lasted 3 s ended 2 s later.
 //!
-//! A copy is soft state: losing it does no harm, and none of its results are listed or shown. The
-//! interim runs stop when the owner proves to be alive, the batch is ended or it has another owner.
+//! A copy is soft state: losing it does no harm, and no result of an interim run is listed or shown
+//! before the batch has an owner. The interim runs stop when the owner proves to be alive, the
+//! batch is ended or it has another owner.
 
-use super::accept::{BatchSource, build_local_batch, policy, reward_attempts};
+use super::accept::{BatchSource, build_local_batch, policy, scoring_attempts};
 use super::keys::Record;
 use super::takeover::SKEW_MAX_MS;
 use super::write::SAVE_MIN_RUN_AGE_MS;
@@ -33,8 +34,9 @@
 
 /// How long the other node may take to accept a copy, which has some hundred KB.
 const COPY_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often new output is sent. Each byte is sent once, so an output loses at most this time with
-/// its owner, at the price of a call every 0.6 s for each open batch.
+/// How often new output is sent, at the price of a call every 0.6 s for each open batch. Each byte
+/// is sent once. A run older than [`SAVE_MIN_RUN_AGE_MS`] loses about this time with its owner;
+/// younger runs are not sent.
 const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
 /// A submission, and the batch's record.
@@ -107,13 +109,13 @@
 }
 
 /// Sends a copy of a batch to the node that would succeed this one as its owner, and then its new
-/// output for as long as it is open.
+/// output for as long as it is open. Ends for good as soon as there is no other node.
 pub(super) async fn send_copies<P: Platform>(node: Rc<Node<P>>, local: Rc<RefCell<LocalBatch>>) {
     let id = local.borrow().id.clone();
     let mut sent = SentTexts::default();
     let mut sent_to = None;
     loop {
-        if !local.borrow().is_running() {
+        if !local.borrow().is_open() {
             return;
         }
         let Some(successor) = peers::successor_for(&node, &id) else { return };
@@ -174,7 +176,7 @@
     }
 }
 
-/// Stores the copy that an owner sent, unless the batch is known to be ended.
+/// Holds in memory the copy that an owner sent, unless the batch is known to be ended.
 pub(crate) fn accept_copy<P: Platform>(node: &Node<P>, batch: String, copy: BatchCopy) {
     if node.batches.is_ended(&batch) {
         return;
@@ -214,8 +216,9 @@
     let Some(route) = route else { return };
     let age_ms = UnixMs::from_wall_clock().since_ms(UnixMs(record.accepted_at_unix_ms));
     let accepted_at = UnixMs(clock::now().0.saturating_sub(age_ms));
-    let policy = policy(route, reward_attempts(node, &submission), accepted_at, SKEW_MAX_MS);
+    let policy = policy(route, scoring_attempts(node, &submission), accepted_at, SKEW_MAX_MS);
     let outputs = outputs.into_texts();
+    // This node does not own the batch, so the record's revision is not needed: it writes nothing.
     let source =
         BatchSource { record, record_revision: 0, results: Vec::new(), submission, outputs };
     let (mut local, resumed) = build_local_batch(node, batch, source, accepted_at, policy, &[]);
--- a/crates/serve/src/batches/takeover.rs
+++ b/crates/serve/src/batches/takeover.rs
@@ -50,11 +50,13 @@
 /// How long after this node's start an owner unknown to it is assumed to be alive.
 pub(super) const UNKNOWN_OWNER_GRACE_MS: u64 = 3_000;
 
-/// How much later than the operator's limit an owner that did not accept the batch itself gives up
-/// an item: the time of acceptance was read from another machine's wall clock.
+/// The largest assumed difference between two machines' wall clocks. An owner that did not accept
+/// the batch itself gives up items this much later than the operator's limit, because it knows the
+/// time of acceptance from another machine's clock.
 pub(super) const SKEW_MAX_MS: u64 = 6_000;
 
-/// Searches for orphaned batches, and takes over those for which this node is responsible.
+/// Searches for orphaned batches, and takes over those for which this node is responsible; also
+/// deletes expired batches.
 ///
 /// Batches of this node's earlier incarnations are taken over at once: those incarnations have
 /// certainly ended, whereas the death of another node is known only after some probes. After a
@@ -67,28 +69,28 @@
     node.batches.started_at.set(clock::now());
     sweep(&node, Search::FormerIncarnation).await;
     sleep(Duration::from_millis(peers::SETTLE_MS)).await;
-    let mut at_once = true;
+    let mut after_death = true;
     loop {
         if !node.leaving.get() {
             take_over_known(&node);
-            search(&node, at_once).await;
+            search(&node, after_death).await;
         }
         delete_expired(&node).await;
-        at_once = timeout(SWEEP_INTERVAL, node.batches.orphaned.notified()).await.is_ok();
+        after_death = timeout(SWEEP_INTERVAL, node.batches.orphaned.notified()).await.is_ok();
     }
 }
 
 /// Searches the store, if this is one of the searching nodes.
-async fn search<P: Platform>(node: &Rc<Node<P>>, at_once: bool) {
+async fn search<P: Platform>(node: &Rc<Node<P>>, after_death: bool) {
     let is_searcher = peers::rank_for(node, SEARCH_DUTY).is_some_and(|rank| rank < SEARCHER_COUNT);
     if !is_searcher {
         return;
     }
-    if at_once {
+    if after_death {
         sleep(COALESCE_DEATHS).await;
     }
     node.batches.search_failed.set(false);
-    if !sweep(node, Search::Orphans { may_be_old: !at_once }).await {
+    if !sweep(node, Search::Orphans { may_be_old: !after_death }).await {
         node.batches.search_failed.set(true);
     }
 }
@@ -145,8 +147,8 @@
 
 /// Examines all records; returns false if they could not be read.
 pub(super) async fn sweep<P: Platform>(node: &Rc<Node<P>>, search: Search) -> bool {
-    // Every node reads all records when it starts, and a record is read again before it is
-    // changed, so an old copy only delays what the searching nodes find.
+    // Every node reads all records when it starts, so stale reads, which cost the store less, are
+    // preferred. They can only delay a takeover: a record is read again before it is changed.
     let may_be_old = !matches!(search, Search::Orphans { may_be_old: false });
     let mut after = String::new();
     loop {
@@ -182,8 +184,8 @@
         return start_takeover(node, id);
     }
     // A node that has just started knows no other nodes, and would rank first for every batch.
-    let may_be_dead = matches!(search, Search::Orphans { .. });
-    if !may_be_dead || !is_dead(node, &record.owner) {
+    let covers_dead_owners = matches!(search, Search::Orphans { .. });
+    if !covers_dead_owners || !is_dead(node, &record.owner) {
         return;
     }
     match peers::first_for(node, id) {
@@ -212,7 +214,7 @@
     });
 }
 
-/// Takes over a batch; runs its items in the interim if the store does not answer within
+/// Takes over a batch; runs its items in the interim if that fails or takes longer than
 /// [`INTERIM_AFTER`].
 async fn take_over_or_run_interim<P: Platform>(
     node: &Rc<Node<P>>,
@@ -229,7 +231,8 @@
     takeover.await
 }
 
-/// Returns whether the owner is this incarnation of the node or an earlier one.
+/// Returns whether the owner is this incarnation of the node or an earlier one. This incarnation
+/// counts, because a takeover that fails after its record was written is repeated.
 fn is_own_incarnation(me: &Owner, owner: &Owner) -> bool {
     me.node == owner.node && me.incarnation >= owner.incarnation
 }
@@ -268,6 +271,7 @@
     let record = Record { owner: me, ..record };
     let revision = match write_record(node, id, &record, revision).await? {
         RecordWrite::Done(revision) => revision,
+        // This node's own write, whose answer was lost.
         RecordWrite::Changed(found, revision) if found == record => revision,
         RecordWrite::Changed(found, _) => {
             node.batches.note_owner(id, found.owner);
@@ -333,7 +337,8 @@
             apply_record(node, local, record, revision);
             node.note("batch_handed_over", json!({ "request": id, "to": successor.node }));
             let call = PeerCall::Adopt { batch: id, texts: outputs };
-            // If this call is lost, the successor finds the batch by its own search.
+            // If this call is lost, the successor takes the batch over when it is submitted again,
+            // when the successor restarts, or when it searches the store as a searching node.
             drop(node.ask_peer(successor.address, &call, OWNER_CALL_SLACK).await);
         }
         Err(refusal) => {
--- a/crates/serve/src/batches/write.rs
+++ b/crates/serve/src/batches/write.rs
@@ -30,7 +30,8 @@
 /// by about this interval instead. The cost of a save is a thousandth of the value of a step.
 pub(super) const SAVE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Output is saved only of runs at least this old; younger ones are repeated as quickly.
+/// Output is saved only of runs at least this old; to repeat a younger one takes no longer than to
+/// restore it.
 pub(super) const SAVE_MIN_RUN_AGE_MS: u64 = 1_000;
 
 /// Saves the output of runs in progress at intervals, for a later owner.
@@ -39,25 +40,28 @@
 /// its batch ended, without being notified: datagrams get lost, or it has no processor time to read
 /// them. It would then send items to targets long after the end was confirmed, until it writes its
 /// next result. The conflict on this write stops it within about [`SAVE_INTERVAL`].
+///
+/// Output that does not fit into one value of the store is not saved.
 pub(super) async fn save_partial_outputs<P: Platform>(
     node: Rc<Node<P>>,
     local: Rc<RefCell<LocalBatch>>,
 ) {
-    let mut saved = 0;
+    // The size of the output at the last save: output of the same size is taken as unchanged.
+    let mut saved_bytes = 0;
     loop {
         sleep(SAVE_INTERVAL).await;
         let (id, outputs) = {
             let local = local.borrow();
-            if !local.is_running() {
+            if !local.is_open() {
                 return;
             }
             (local.id.clone(), local.partial_outputs(SAVE_MIN_RUN_AGE_MS))
         };
         let size_bytes: usize = outputs.iter().map(|(_, progress)| progress.text.len()).sum();
-        if size_bytes == saved {
+        if size_bytes == saved_bytes {
             continue;
         }
-        saved = size_bytes;
+        saved_bytes = size_bytes;
         let expected = {
             let revision = local.borrow().record_revision;
             vec![Expectation { key: record_key(&id), revision }]
@@ -80,7 +84,7 @@
 
 /// Writes the results of a batch as they finish, until it is settled or has another owner.
 pub(super) async fn write_results<P: Platform>(node: Rc<Node<P>>, local: Rc<RefCell<LocalBatch>>) {
-    let finished = Rc::clone(&local.borrow().finished);
+    let results_pending = Rc::clone(&local.borrow().results_pending);
     loop {
         if !local.borrow().owned {
             return;
@@ -96,17 +100,17 @@
             let listing_at = local.borrow().batch.next_listing_at();
             if let Some(listing_at) = listing_at {
                 let left = Duration::from_millis(listing_at.since_ms(now));
-                if timeout(left, finished.notified()).await.is_err() {
+                if timeout(left, results_pending.notified()).await.is_err() {
                     continue;
                 }
             } else {
-                finished.notified().await;
+                results_pending.notified().await;
             }
-            coalesce(&local, &finished).await;
+            coalesce(&local, &results_pending).await;
             continue;
         }
         if write_chunk(&node, &local).await {
-            coalesce(&local, &finished).await;
+            coalesce(&local, &results_pending).await;
         } else {
             sleep(RETRY_PAUSE).await;
         }
@@ -115,7 +119,7 @@
 
 /// Waits up to [`COALESCE_MS`] for more results to write with the first; returns at once if the
 /// results at hand complete the batch or no item is left to run.
-async fn coalesce(local: &RefCell<LocalBatch>, finished: &Notify) {
+async fn coalesce(local: &RefCell<LocalBatch>, results_pending: &Notify) {
     let until = clock::now().plus(COALESCE_MS);
     loop {
         let left_ms = until.since_ms(clock::now());
@@ -124,7 +128,7 @@
             return;
         }
         // After a time-out too, the batch is checked again.
-        drop(timeout(Duration::from_millis(left_ms), finished.notified()).await);
+        drop(timeout(Duration::from_millis(left_ms), results_pending.notified()).await);
     }
 }
 
@@ -201,6 +205,7 @@
     items: &[StoredItem],
 ) {
     for item in items {
+        // The key does not exist.
         if item.revision == 0 {
             continue;
         }
--- a/crates/serve/src/caller.rs
+++ b/crates/serve/src/caller.rs
@@ -33,8 +33,8 @@
 /// An answer to a caller.
 pub(crate) type Answer<P> = Response<AnswerBody<P>>;
 
-/// Retry-After of a refusal because this node has no configuration or the store does not answer:
-/// about the time in which either is available after a restart.
+/// Retry-After of a refusal because this node has no configuration yet or the store does not
+/// answer: after a restart both are available after about this time.
 pub(crate) const RETRY_AFTER_MS: u64 = 500;
 /// Retry-After of a refusal because all targets are overloaded: about the time of one usual
 /// request.
@@ -244,7 +244,7 @@
     }
 }
 
-/// Records the failure of a request's last attempt in the trail, and builds its answer.
+/// Records the failure of a request's last attempt in the audit trail, and builds its answer.
 pub(crate) fn end_with_failure<P: Platform>(
     node: &Node<P>,
     id: Option<&str>,
@@ -365,7 +365,7 @@
             if is_overloaded {
                 let workspace = outgoing.workspace.as_deref();
                 let place =
-                    QueuePlace::wait(node, service, started_at, workspace, outgoing.priority);
+                    QueuePlace::enqueue(node, service, started_at, workspace, outgoing.priority);
                 while !place.is_due() && clock::now() <= refuse_at {
                     sleep(RETRY_ROUND_PAUSE).await;
                 }
@@ -374,8 +374,8 @@
     }
 }
 
-/// Returns when a request is refused for which all targets are overloaded: a later refusal would
-/// leave the caller no time to try elsewhere.
+/// Returns the time from which a request is refused if all targets are overloaded: a later refusal
+/// would leave the caller no time to try elsewhere.
 const fn refuse_at(deadline_at: UnixMs, budget_ms: u64) -> UnixMs {
     UnixMs(deadline_at.0.saturating_sub(budget_ms * REFUSE_WITH_LEFT_PERCENT / 100))
 }
--- a/crates/serve/src/crashes/detection.rs
+++ b/crates/serve/src/crashes/detection.rs
@@ -25,7 +25,7 @@
 const PROBE_AGAIN_AFTER: Duration = Duration::from_millis(200);
 /// A stream that has delivered events for this long is taken as survived by its target. An engine
 /// that crashes interrupts all its streams, which last for seconds; if each crash counted against
-/// all of them, every stream would soon reach three.
+/// all of them, every stream would soon have the three ends that block a request.
 const SURVIVED_AFTER_MS: u64 = 1_000;
 
 /// A stream in flight on a target.
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Records that its connection broke.
+    /// Records that its connection broke. Counts as an answer if it has delivered events for
+    /// [`SURVIVED_AFTER_MS`].
     pub(crate) fn connection_broke<P: Platform>(&self, node: &Rc<Node<P>>) {
         let ran_ms = self.first_event_at.get().map_or(0, |first| clock::now().since_ms(first));
         if ran_ms < SURVIVED_AFTER_MS {
@@ -101,7 +102,8 @@
     }
 }
 
-/// Handles a change of a target's entry, as reported by the registry or by the target itself.
+/// Handles a change of a target's entry, as reported by the registry, by the target itself or by
+/// another target at its address; the audit trail names the registry in all cases.
 pub(crate) fn target_changed<P: Platform>(
     node: &Node<P>,
     change: &TargetChange,
--- a/crates/serve/src/crashes/mod.rs
+++ b/crates/serve/src/crashes/mod.rs
@@ -3,8 +3,11 @@
 //! [`Quarantine`](catkinmast_quarantine::Quarantine) decides what may be sent. `detection` finds
 //! out whether a target ended with requests of this node in flight. `records` keeps the evidence in
 //! the store, and reads it after all nodes have restarted. Nodes share evidence as membership
-//! facts: it reaches all of them at once, also while the store is unavailable, and within seconds a
-//! node that missed it or has just started.
+//! facts: it reaches all of them at once, also while the store is unavailable, and a node that
+//! missed it or has just started gets it within seconds.
+//!
+//! A trial is one further run of a request under suspicion, by one node only, to find out whether
+//! it is the cause of the crashes.
 
 mod detection;
 mod records;
@@ -65,6 +68,8 @@
     node.quarantine.borrow().status(UnixMs::from_wall_clock(), outgoing.fingerprint())
 }
 
+/// Admits a request as a trial, if this node gets the right to it. `number` is the count of ends at
+/// which the trial is due.
 async fn admit_to_trial<P: Platform>(
     node: &Rc<Node<P>>,
     outgoing: &OutgoingRequest,
@@ -112,7 +117,7 @@
     let was_allowed = is_allowed(node, fingerprint);
     let now = UnixMs::from_wall_clock();
     if node.quarantine.borrow_mut().record_end(now, fingerprint, incarnation) {
-        note_if_blocked(node, fingerprint, was_allowed, "seen here");
+        note_if_no_longer_allowed(node, fingerprint, was_allowed, "seen here");
         share_evidence(node, fingerprint);
     }
 }
@@ -132,7 +137,7 @@
     let was_allowed = is_allowed(node, fingerprint);
     let is_new = node.quarantine.borrow_mut().merge(fingerprint, evidence);
     if is_new {
-        note_if_blocked(node, fingerprint, was_allowed, by);
+        note_if_no_longer_allowed(node, fingerprint, was_allowed, by);
     }
     is_new
 }
@@ -151,7 +156,7 @@
     peers::with_members(node, |members, now| members.observe(now, fact));
 }
 
-fn note_if_blocked<P: Platform>(
+fn note_if_no_longer_allowed<P: Platform>(
     node: &Node<P>,
     fingerprint: Fingerprint,
     was_allowed: bool,
--- a/crates/serve/src/crashes/records.rs
+++ b/crates/serve/src/crashes/records.rs
@@ -36,8 +36,8 @@
 const COALESCE: Duration = Duration::from_millis(20);
 /// Most records written with one call, within the store's limit of 32 keys.
 const RECORDS_PER_CALL: usize = 30;
-/// The duty by whose ranks one node is chosen to read the records: one that watches the store
-/// anyway.
+/// The duty whose first-ranked node reads and deletes the records: that of watching the store, as
+/// this node does so anyway.
 const DUTY: &str = "feeds";
 
 /// The value of a record.
@@ -59,6 +59,7 @@
         if timeout(CHECK_INTERVAL, node.crashes_changed.notified()).await.is_ok() {
             sleep(COALESCE).await;
         }
+        // Only once this node knows the others: before that it ranks first for every duty.
         let is_first =
             peers::settles_after_ms(&node) == Some(0) && peers::is_first_for(&node, DUTY);
         if is_first && !has_loaded {
@@ -148,7 +149,7 @@
     }
 }
 
-/// Claims the right to send a blocked request once as a trial; only one node gets it.
+/// Claims the right to send a request under suspicion once, as a trial; only one node gets it.
 pub(super) async fn claim_trial<P: Platform>(
     node: &Rc<Node<P>>,
     fingerprint: Fingerprint,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -21,8 +21,9 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Answers up to this size are read completely before any part is passed on, so that the request
-/// can be repeated if the answer is cut off. Usual answers have a thousandth of this size.
+/// Largest answer that is passed on outside streams. It is read completely before any part is
+/// passed on, so that the request can be repeated if the answer is cut off; a larger one fails.
+/// Usual answers have a thousandth of this size.
 pub(crate) const BUFFERED_ANSWER_MAX_BYTES: usize = 1 << 20;
 
 /// Hop-by-hop headers, which concern one connection only.
@@ -75,8 +76,8 @@
         Fingerprint::of(method, host.unwrap_or_default(), &self.path, &self.body)
     }
 
-    /// Returns the fingerprint for the trail, if the attempt may have run; other attempts are no
-    /// evidence against the request.
+    /// Returns the fingerprint for the audit trail, if the attempt may have run; other attempts are
+    /// no evidence against the request.
     pub(crate) fn fingerprint_if(&self, verdict: Verdict) -> Option<String> {
         verdict.may_have_run().then(|| self.fingerprint().to_string())
     }
@@ -323,8 +324,8 @@
     if let Some(refusal) = refusal(head.status, &metadata) {
         return Err(refusal);
     }
-    // An answer without a signature is not the target's own: the target is failing, and the answer
-    // is not passed on.
+    // A success without a signature or request id, or with an encoded body, is not the target's own
+    // answer: the target is failing, and the answer is not passed on. Errors are.
     let unsigned = metadata.signature.is_none() || metadata.request_id.is_none();
     let encoded = head.headers.contains_key(http::header::CONTENT_ENCODING);
     if head.status.is_success() && (unsigned || encoded) {
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -1,4 +1,5 @@
-//! Listeners for callers, peers, operators and metrics, and the connections that they accept.
+//! Listeners for callers, peers, readiness checks with address lookups, and metrics, and the
+//! connections that they accept.
 
 use crate::caller::{self, Answer};
 use crate::node::Node;
@@ -23,7 +24,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Limits of connections of which the configuration sets none, or before one is known.
+/// Limits of callers' connections before a configuration is known, and of all other connections.
 const HEADER_MAX_BYTES: usize = 16 << 10;
 const IDLE_MAX_MS: u64 = 15_000;
 /// The smallest read buffer that hyper accepts.
@@ -103,9 +104,12 @@
 }
 
 /// Serves the platform's readiness checks and callers' requests for addresses.
-pub(crate) async fn serve_operators<P: Platform>(node: Rc<Node<P>>, stream: TcpStream) {
+pub(crate) async fn serve_readiness_and_addresses<P: Platform>(
+    node: Rc<Node<P>>,
+    stream: TcpStream,
+) {
     let handle = service_fn(move |request: Request<Incoming>| {
-        let answer: Answer<P> = answer_operators(&node, &request.into_parts().0);
+        let answer: Answer<P> = answer_readiness_or_addresses(&node, &request.into_parts().0);
         async move { Ok::<_, Infallible>(answer) }
     });
     drop(
@@ -113,7 +117,7 @@
     );
 }
 
-fn answer_operators<P: Platform>(node: &Node<P>, head: &Parts) -> Answer<P> {
+fn answer_readiness_or_addresses<P: Platform>(node: &Node<P>, head: &Parts) -> Answer<P> {
     let ready = node.ready.get() && !node.leaving.get();
     if P::is_readiness_probe(head) {
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
--- a/crates/serve/src/node.rs
+++ b/crates/serve/src/node.rs
@@ -108,7 +108,7 @@
 impl<P: Platform> Node<P> {
     pub(crate) fn open(settings: Settings, datagrams: UdpSocket, trail: Trail) -> Self {
         let metrics = Metrics::open();
-        let pool = Pool::open(metrics.connections_opened.clone());
+        let pool = Pool::new(metrics.connections_opened.clone());
         Self {
             batches: Batches::default(),
             interrupted: RefCell::new(InterruptedRequests::default()),
--- a/crates/serve/src/pool.rs
+++ b/crates/serve/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to targets, peers and the store.
 //!
 //! A connection carries one request at a time. It is reused only after the complete answer was read
-//! and nothing else arrived. When a caller disconnects, its connection is dropped, which closes it
-//! at once so that the target stops working on the request.
+//! and nothing else arrived. When a caller disconnects, the connection that carries its request to
+//! the target is dropped, which closes it at once so that the target stops working on the request.
 
 use crate::clock;
 use bytes::Bytes;
@@ -25,10 +25,10 @@
 use tokio::time::timeout;
 
 /// Time-out for opening a connection. Within a region a round trip takes 1 ms; a lost SYN packet is
-/// retransmitted after 1 s, which is too late for a lookup.
+/// retransmitted after 1 s, which is too late for a short request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long sent bytes may stay unacknowledged: longer than any pause of a target's machine that a
-/// request could still survive.
+/// How long sent bytes may stay unacknowledged: longer than a target's machine can pause without
+/// its requests failing anyway.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval of keepalive probes. A connection may go silent without a reset; probes detect it after
 /// about 2 s.
@@ -38,8 +38,9 @@
 const IDLE_MAX_MS: u64 = 8_000;
 /// Most idle connections kept for one address.
 const IDLE_PER_ADDRESS_MAX: usize = 24;
-/// A released connection is ready within one iteration of the event loop, unless it is still
-/// sending a body that its target did not read.
+/// How long to wait until an idle connection accepts a request. A released connection does so
+/// within one iteration of the event loop, unless it is still sending a body that its target did
+/// not read.
 const READY_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// the call failed ({verdict}): {message}
@@ -87,12 +88,12 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     idle: RefCell<IndexMap<SocketAddr, Vec<Idle>>>,
-    opened: Counter,
+    connections_opened: Counter,
 }
 
 impl Pool {
-    pub(crate) fn open(opened: Counter) -> Self {
-        Self { idle: RefCell::new(IndexMap::new()), opened }
+    pub(crate) fn new(connections_opened: Counter) -> Self {
+        Self { connections_opened, idle: RefCell::new(IndexMap::new()) }
     }
 
     /// Sends a request and returns the head of its answer.
@@ -167,14 +168,14 @@
     /// Returns whether an address refuses connections, which shows that the process listening there
     /// has ended. An address that does not answer may only be cut off, and counts as not refusing.
     pub(crate) async fn refuses_connections(&self, address: SocketAddr) -> bool {
-        self.opened.inc();
+        self.connections_opened.inc();
         let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
         matches!(opened, Ok(Err(error)) if refused(&error))
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection, CallError> {
-        self.opened.inc();
+        self.connections_opened.inc();
         let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(CallError::not_run(error.to_string())),
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -147,7 +147,11 @@
     }
     for address in [settings.ready, settings.directory].into_iter().flatten() {
         let operators = bind(address).await?;
-        spawn_local(listener::accept(Rc::clone(node), operators, listener::serve_operators));
+        spawn_local(listener::accept(
+            Rc::clone(node),
+            operators,
+            listener::serve_readiness_and_addresses,
+        ));
     }
     if let Some(port) = metrics_port {
         let metrics = bind(SocketAddr::new(settings.peer.ip(), port)).await?;
--- a/crates/serve/src/relay.rs
+++ b/crates/serve/src/relay.rs
@@ -103,11 +103,11 @@
     loop {
         let service = route.service(node.random_u64()).unwrap_or_default();
         let Some(chosen) = caller::choose(node, service, &tried) else {
-            let failure = not_run(format!("service {service} has no target"));
+            let failure = overloaded(format!("service {service} has no target"));
             return caller::end_with_failure(node, id.as_deref(), route, &failure);
         };
         if tried.contains(&chosen.id) {
-            let failure = not_run(format!("all {} targets of {service} refused", tried.len()));
+            let failure = overloaded(format!("all {} targets of {service} refused", tried.len()));
             return caller::end_with_failure(node, id.as_deref(), route, &failure);
         }
         tried.push(chosen.id.clone());
@@ -119,7 +119,7 @@
     }
 }
 
-fn not_run(message: String) -> AttemptFailure {
+fn overloaded(message: String) -> AttemptFailure {
     AttemptFailure::not_run(Cause::Overloaded, message)
 }
 
--- a/crates/serve/src/runs/mod.rs
+++ b/crates/serve/src/runs/mod.rs
@@ -58,7 +58,7 @@
     if given_up > 0 {
         let local = local.borrow();
         node.note("items_given_up", json!({ "request": local.id, "items": given_up }));
-        local.finished.notify_one();
+        local.results_pending.notify_one();
     }
     loop {
         let Some(next) = local.borrow_mut().batch.next_item(now) else { return };
@@ -106,5 +106,5 @@
     let ms = now.since_ms(local.accepted_at);
     node.metrics.item_seconds.observe(ms as f64 / 1_000.0);
     local.batch.record_result(now, result);
-    local.finished.notify_one();
+    local.results_pending.notify_one();
 }
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -16,13 +16,13 @@
 
 /// The age from which a run may move: by then the latency of its target is known.
 const MOVE_MIN_AGE_MS: u64 = 300;
-/// A run moves if the latency of its target is at least this many tenths of that of the free one; a
-/// move costs about as much time as one event.
+/// A run moves if the latency of its target is at least this many tenths of that of the free one: a
+/// move costs about as much time as one event, so a smaller difference does not make up for it.
 const MOVE_MIN_RATIO_TENTHS: u64 = 18;
-/// The time that a moved run is expected to take; runs that are worth a move take this long.
+/// The assumed remaining time of a run that is considered for a move.
 const MOVED_RUN_EXPECTED_MS: u64 = 2_000;
-/// Most runs moved in one pass. This drains a target of eight slots that becomes slow in one pass,
-/// and the moves do not delay other work on a small machine for longer than an event takes.
+/// Most runs moved in one pass: enough to move all runs from a target of eight slots that becomes
+/// slow, and few enough not to delay other work on a small machine for longer than an event takes.
 const MOVES_PER_PASS: usize = 12;
 
 /// The targets assigned to a batch's model, by service. They are computed once in each pass over a
@@ -125,7 +125,8 @@
     target: &str,
     model_targets: &mut ModelTargets,
 ) -> Option<ChosenTarget> {
-    // Most runs are on targets of normal speed; a free target is searched only for the others.
+    // Most runs are on targets of normal speed; a free target is searched only for the others, and
+    // for the first run of a pass, when no latencies are known yet.
     let (current_ms, fastest_ms) = {
         let load = node.load.borrow();
         (load.latency_ms(target), model_targets.fastest_ms(&load))
--- a/crates/serve/src/runs/score.rs
+++ b/crates/serve/src/runs/score.rs
@@ -78,8 +78,9 @@
     finish(node, local, result);
 }
 
-/// Repeats a scoring call under the same id until it is answered; returns none if it has failed as
-/// often as the batch's policy allows.
+/// Repeats a scoring call under the same id until it is answered with success; returns none after
+/// as many answers with status 500 as the batch's policy allows attempts. Other failures are
+/// repeated without a limit.
 async fn score<P: Platform>(
     node: &Rc<Node<P>>,
     local: &RefCell<LocalBatch>,
@@ -97,6 +98,7 @@
         });
         if let Some(chosen) = chosen {
             match forward::attempt(node, &chosen, &score_request(reward)).await {
+                // The target's signature of its answer is the score.
                 Ok(answer) if answer.status.is_success() => return answer.metadata.signature,
                 Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => {
                     failures += 1;
@@ -115,7 +117,7 @@
                     // The output is complete: it waits for its score until its batch ends.
                     pause_ms = SCORE_BLOCKED_PAUSE_MS;
                 }
-                // The attempt writes its own line to the trail.
+                // The attempt writes its own line to the audit trail.
                 Err(_) => {}
             }
             tried = vec![chosen.id];
--- a/crates/serve/src/runs/second.rs
+++ b/crates/serve/src/runs/second.rs
@@ -22,12 +22,12 @@
 
 /// How long a second run may take and its output is kept: two steps of a trainer.
 const SECOND_RUN_MAX_MS: u64 = 16_000;
-/// Most concurrent second runs for all batches of this node: an eighth of two steps of a hundred
-/// items. Each slows the other runs on its target by a hundredth.
+/// Most concurrent second runs for all batches of this node: an eighth of the 200 items of
+/// two steps. Each slows the other runs on its target by a hundredth.
 const SECOND_RUNS_MAX: usize = 24;
 
 /// The percentage of a target's slots that may be in use when a second run starts there. The rest
-/// is reserved for items that trainers wait for now, of which a quarter of a step starts on each
+/// is reserved for items that trainers wait for now: a quarter of a step's items start on each
 /// target.
 const SECOND_RUN_SLOTS_PERCENT: u32 = 75;
 
@@ -47,7 +47,7 @@
     workspace: Option<String>,
 }
 
-/// All second runs of this node, by item.
+/// All second runs of this node, in progress or finished, by item.
 #[derive(Debug, Default)]
 pub(crate) struct SecondRuns(RefCell<IndexMap<String, SecondRun>>);
 
@@ -92,7 +92,8 @@
     }
 }
 
-/// Starts second runs of open batches' items on targets with spare capacity.
+/// Stops second runs that are overdue or whose groups were consumed, and starts new ones of open
+/// batches' items on targets with spare capacity.
 pub(super) fn start_second_runs<P: Platform>(node: &Rc<Node<P>>) {
     let now = clock::now();
     let open = node.batches.open();
@@ -112,7 +113,7 @@
         let Some(model) = model else { continue };
         let oldest = local.borrow().batch.submission().oldest_version;
         let next_oldest = node.batches.lookahead.borrow().next_oldest_version(&model, oldest);
-        for index in items_worth_rerunning(&local.borrow(), now, next_oldest) {
+        for index in second_run_candidates(&local.borrow(), now, next_oldest) {
             if node.batches.second_runs.running_count() >= SECOND_RUNS_MAX {
                 return;
             }
@@ -121,7 +122,7 @@
     }
 }
 
-fn items_worth_rerunning(local: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
+fn second_run_candidates(local: &LocalBatch, now: UnixMs, next_oldest: u64) -> Vec<usize> {
     let output_version = |index: usize| {
         let run = local.runs.get(&index)?;
         run.progress.borrow().versions.first().copied()
@@ -178,6 +179,7 @@
         let end = run(&task_node, &spec, &item, &task_progress, &chosen, &longest_gap_ms).await;
         let (outcome, why) = match &end {
             RunEnd::Broken { outcome, why } => (*outcome, why.as_str()),
+            // No failure of the target; the latency of its events is counted as they arrive.
             _ => (CallOutcome::Cancelled, ""),
         };
         in_flight.end(outcome);
--- a/crates/serve/src/runs/stream.rs
+++ b/crates/serve/src/runs/stream.rs
@@ -22,13 +22,14 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time-out for a run's first event: reading a prompt takes some milliseconds, and a target that is
-/// loading weights refuses at once.
+/// Time-out for the head of a run's answer, and again for the first part of its body: reading a
+/// prompt takes some milliseconds, and a target that is loading weights refuses at once.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time-out between two events. Over a day of 3,000 runs, some on targets four times slower, the
 /// longest gap of a live target was 266 ms. A false time-out costs reading the prompt again.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(700);
-/// The longest time that a run may take, also if its batch allows more.
+/// The longest deadline that is announced to a target for a run, also if its batch allows more.
+/// Nothing at this node stops a run after it.
 const RUN_MAX_MS: u64 = 30_000;
 /// How often a blocked item is checked again: it may have to be given up, or may be allowed again
 /// because an engine has survived it.
@@ -63,7 +64,7 @@
 /// The outcome of a run.
 #[derive(Debug)]
 pub(super) enum RunEnd {
-    /// It was not sent: the item is blocked because engines have crashed while running it.
+    /// It was not stream_run: the item is blocked because engines have crashed while running it.
     Blocked { why: String },
     /// The target answered that the item failed.
     Failed,
@@ -91,6 +92,7 @@
     let end = run(&node, &spec, &item, &progress, &chosen, &longest_gap_ms).await;
     let output = progress.borrow().clone();
     let outcome = match &end {
+        // No failure of the target; the latency of its events is counted in `TokenStream::read`.
         RunEnd::Blocked { .. } | RunEnd::Complete | RunEnd::Failed | RunEnd::Unprocessable => {
             CallOutcome::Cancelled
         }
@@ -186,6 +188,7 @@
     }
 }
 
+/// Sends an item's request to a target and reads its events into `progress`.
 pub(super) async fn run<P: Platform>(
     node: &Rc<Node<P>>,
     spec: &RunSpec,
@@ -199,7 +202,7 @@
     if node.document().is_some_and(|document| document.workspaces.is_some()) {
         request.headers.remove(AUTHORIZATION);
     }
-    let sent = StreamRun::begin(chosen.clone(), request.clone());
+    let stream_run = StreamRun::begin(chosen.clone(), request.clone());
     let broken = |why: &str, outcome| RunEnd::Broken { outcome, why: why.to_owned() };
     let opened = match timeout(FIRST_EVENT_TIMEOUT, forward::open(node, chosen, &request)).await {
         Ok(Ok(opened)) => opened,
@@ -207,7 +210,10 @@
             return RunEnd::Blocked { why: failure.message };
         }
         Ok(Err(failure)) => return broken(&failure.message, CallOutcome::Failed),
-        Err(_) => return broken("no response head before the time-out", CallOutcome::Failed),
+        Err(_) => {
+            let limit_ms = FIRST_EVENT_TIMEOUT.as_millis();
+            return broken(&format!("no response head within {limit_ms} ms"), CallOutcome::Failed);
+        }
     };
     let (response, connection, metadata) = opened;
     let (parts, body) = response.into_parts();
@@ -235,7 +241,7 @@
         _ => {}
     }
     if metadata.signature.is_none() || metadata.request_id.is_none() {
-        return broken("an answer without a target's signature", CallOutcome::Failed);
+        return broken("an answer without a target's signature or request id", CallOutcome::Failed);
     }
     let progress = Rc::clone(progress);
     let mut stream = TokenStream {
@@ -246,17 +252,17 @@
         progress,
         version: metadata.version,
     };
-    let read = stream.read(node, chosen, &sent).await;
+    let read = stream.read(node, chosen, &stream_run).await;
     longest_gap_ms.set(stream.longest_gap_ms);
     match read {
         Ok(()) => {
             node.pool.release(connection, &parts.headers);
             stream.progress.borrow_mut().complete = true;
-            sent.completed(node);
+            stream_run.completed(node);
             RunEnd::Complete
         }
         Err(ReadError::Disconnected(why)) => {
-            sent.connection_broke(node);
+            stream_run.connection_broke(node);
             broken(&why, CallOutcome::Failed)
         }
         Err(ReadError::Other(why)) => broken(&why, CallOutcome::Failed),
@@ -292,7 +298,7 @@
         &mut self,
         node: &Node<P>,
         chosen: &ChosenTarget,
-        sent: &StreamRun,
+        stream_run: &StreamRun,
     ) -> Result<(), ReadError> {
         let mut events = EventReader::default();
         let mut event_timeout = FIRST_EVENT_TIMEOUT;
@@ -315,7 +321,7 @@
                 }
             };
             let Some(data) = frame.data_ref() else { continue };
-            sent.received();
+            stream_run.received();
             for event in events.read(data) {
                 self.apply_event::<P>(node, chosen, &event).map_err(ReadError::Other)?;
             }
--- a/crates/serve/src/wait_queue.rs
+++ b/crates/serve/src/wait_queue.rs
@@ -18,7 +18,7 @@
 
 impl<P: Platform> QueuePlace<P> {
     /// Adds a request that arrived at `since` to the wait queue.
-    pub(crate) fn wait(
+    pub(crate) fn enqueue(
         node: &Rc<Node<P>>,
         service: &str,
         since: UnixMs,
--- a/tests/all/site/batches.rs
+++ b/tests/all/site/batches.rs
@@ -19,7 +19,7 @@
 }
 
 fn assert_complete(results: &[Value], events: u64) {
-    assert_eq!(ids(results).len(), results.len(), "no item is listed twice");
+    assert_eq!(ids(results).len(), results.len(), "an item is listed twice: {results:?}");
     for result in results {
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["state"], "completed", "{result}");
@@ -56,12 +56,12 @@
     let endpoint = site.nodes[0].store_endpoint;
     site.store.set_mode(endpoint, StoreMode::LosesWriteAnswers);
     let batch = submission("b1", ITEMS, 3, 1);
-    let opened = async {
+    let store_returns = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
         site.store.set_mode(endpoint, StoreMode::Normal);
     };
 
-    let (status, ()) = tokio::join!(site.submit(&site.nodes[0], "b1", &batch), opened);
+    let (status, ()) = tokio::join!(site.submit(&site.nodes[0], "b1", &batch), store_returns);
     let again = site.submit(&site.nodes[0], "b1", &batch).await;
 
     assert_eq!((status, again), (202, 202));
@@ -130,6 +130,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_free_slot_moves_only_one_run_from_a_slow_target() {
     let site = Site::start(1, 4, 1).await;
+    // The two engines that are assigned to model-a.
     let [slow, fast, ..] = ["engine-0", "engine-2"];
     for engine in &site.engines {
         engine.set_pace(if engine.id == slow { 400 } else { 40 }, 5);
@@ -145,7 +146,7 @@
     assert_eq!(all.len(), ITEMS);
     let runs_of = |number| site.runs.of(&format!("b1i{number}"));
     let moved = (0..ITEMS).filter(|number| runs_of(*number).len() > 1).count();
-    assert!(moved > 0, "some have moved to {fast}");
+    assert!(moved > 0, "no run has moved from {slow} to {fast}");
     for number in 0..ITEMS {
         let runs = runs_of(number);
         assert!(runs.len() <= 2, "item {number} ran at {:?}", runs.iter().map(|r| &r.worker));
@@ -168,9 +169,9 @@
 
     site.store.change("cm/h/b1", |record| {
         // The `ended` flag follows the time of acceptance, a variable-length integer.
-        let flag =
+        let time_end =
             record.iter().position(|byte| byte & 0x80 == 0).expect("the last byte of the time");
-        record[flag + 1] = 1;
+        record[time_end + 1] = 1;
     });
 
     until("all runs are cancelled before they complete", || async {
@@ -204,6 +205,7 @@
     node.signal("STOP");
     site.store.put_bytes("cm/d/b1/c00000", postcard::to_stdvec(&chunk).expect("a chunk"));
     site.store.change("cm/h/b1", |record| {
+        // Names node-9 as the owner.
         let name = record.windows(6).position(|bytes| bytes == b"node-0").expect("the owner");
         record[name + 5] = b'9';
     });
@@ -285,7 +287,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     // Not read from the trail: a watch from before the outage may be answered late and log a
     // return.
-    let opened_ms = UnixMs::from_wall_clock().0;
+    let store_returned_ms = UnixMs::from_wall_clock().0;
     set_modes(StoreMode::Normal);
 
     let taken = until("another node takes over the batch", || async {
@@ -294,8 +296,11 @@
     })
     .await;
     let taken_ms = taken["at_unix_ms"].as_u64().expect("a time");
-    let story: String = others.iter().map(|number| site.nodes[*number].audit_trail()).collect();
-    assert!(taken_ms < opened_ms + TAKEN_WITHIN_MS, "{opened_ms} {taken}\n{story}");
+    let trails: String = others.iter().map(|number| site.nodes[*number].audit_trail()).collect();
+    assert!(
+        taken_ms < store_returned_ms + TAKEN_WITHIN_MS,
+        "the store returned at {store_returned_ms}, limit {TAKEN_WITHIN_MS} ms: {taken}\n{trails}"
+    );
 }
 
 // Guards against items that run long after their batch was ended: all nodes are restarted while it
@@ -353,8 +358,9 @@
     assert_eq!(site.end(&site.nodes[1], "b1").await, 200);
 }
 
-// Guards against a step that waits for one item until its trainer gives up, or an output joined
-// from two runs: a target stops sending in the middle of a stream and keeps the connection open.
+// Guards against a step that waits for one item until its trainer gives up, or an output in which
+// two runs overlap or a part is missing: a target stops sending in the middle of a stream and keeps
+// the connection open.
 #[tokio::test(flavor = "multi_thread")]
 async fn outputs_of_a_silent_target_continue_on_another() {
     let site = Site::start(1, 2, 1).await;
@@ -449,10 +455,10 @@
 }
 
 // Guards against a step that takes as long as a whole run of a long item left over from an earlier
-// step. A version is published while the item runs; the trainer leaves its group, and submits it
-// again with a newer oldest version, so output under the older weights cannot be used.
+// step. A version is published while the item runs; the trainer does not use its group, and
+// submits it again with a newer oldest version, so output under the older weights cannot be used.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_that_its_trainer_left_continues_from_a_second_run_under_newer_weights() {
+async fn an_item_that_its_trainer_did_not_use_continues_from_a_second_run_under_newer_weights() {
     const LONG_EVENTS: u8 = 120;
     let site = Site::start(1, 4, 1).await;
     for engine in &site.engines {
@@ -482,6 +488,8 @@
     assert!(last.after > 0, "it continues from the output of its second run");
 }
 
+// Guards against a batch that is acknowledged but never run: the store commits the owner's write
+// and never answers it, and the node that accepts the submission instead finds the owner's record.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_batch_is_run_when_the_answer_to_its_owners_write_is_lost() {
     let site = Site::start(6, 3, 1).await;
--- a/tests/all/site/crashes.rs
+++ b/tests/all/site/crashes.rs
@@ -361,7 +361,7 @@
     assert_eq!(ended["why"], "targets have ended while they ran this request");
 }
 
-/// Waits until all nodes know the incarnation of the only target that follows `ends` ends.
+/// Waits until all nodes know that the only target has restarted `ends` times.
 async fn wait_until_restarted(site: &Site, ends: usize) {
     for node in &site.nodes {
         until("the target has restarted", || async {
@@ -406,7 +406,11 @@
     assert_eq!(send(1, "barred", "crash a").await, 503);
     assert!(site.runs.of("barred").is_empty());
     send(2, "cleared", "crash b").await;
-    assert_eq!(site.runs.of("cleared").len(), 1, "the other request explains its ends");
+    assert_eq!(
+        site.runs.of("cleared").len(),
+        1,
+        "the evidence against it is attributed to the other request"
+    );
 }
 
 // Guards against healthy requests that are blocked because of a planned stop: a draining target
@@ -423,6 +427,7 @@
             let text = String::from_utf8_lossy(value).replace("\"ready\"", "\"draining\"");
             *value = text.into_bytes();
         });
+        // A draining target is noted as left.
         until("the node knows that the target is draining", || async {
             (!node.lines("target_left").is_empty()).then_some(())
         })
@@ -443,19 +448,19 @@
     let site = Site::start(1, 0, 1).await;
     let node = &site.nodes[0];
     site.plain[0].set_restart_after(RESTART_AFTER);
-    let behind = Proxy::start(site.plain[0].address()).await;
+    let proxy = Proxy::start(site.plain[0].address()).await;
     site.store.change("servers/plain-0", |value| {
         let entry = String::from_utf8_lossy(value);
         let direct = site.plain[0].address().to_string();
-        *value = entry.replace(&direct, &behind.address.to_string()).into_bytes();
+        *value = entry.replace(&direct, &proxy.address.to_string()).into_bytes();
     });
-    behind.set(Link::Resets);
+    proxy.set(Link::Resets);
     until("calls go to the proxy", || async {
         let answer = site.call(node, "/check/a", "q").await.expect("an answer");
         (answer.status() == 502).then_some(())
     })
     .await;
-    behind.set(Link::Open);
+    proxy.set(Link::Open);
 
     let answer = site.call_with(node, "/check/a", "p", CRASHING_BODY).await;
 
@@ -479,26 +484,26 @@
     let mut site = Site::start(1, 0, 1).await;
     site.plain[0].report_start_time(1);
     site.plain[0].set_pace(10, 200);
-    for life in 1..=4 {
-        let id = format!("q{life}");
-        let started = site.call(&site.nodes[0], "/check/a", &id);
+    for incarnation in 1..=4 {
+        let id = format!("q{incarnation}");
+        let call = site.call(&site.nodes[0], "/check/a", &id);
         let crash = async {
             until("it runs", || async { (!site.runs.of(&id).is_empty()).then_some(()) }).await;
             site.plain[0].crash();
         };
-        let (answer, ()) = futures::future::join(started, crash).await;
+        let (answer, ()) = futures::future::join(call, crash).await;
         assert_eq!(answer.expect("an answer").status(), 502);
         until("the crash is detected", || async {
-            (site.nodes[0].lines("target_ended").len() == life as usize).then_some(())
+            (site.nodes[0].lines("target_ended").len() == incarnation as usize).then_some(())
         })
         .await;
-        site.plain[0].restart_under_same_id(life + 1).await;
+        site.plain[0].restart_under_same_id(incarnation + 1).await;
         until("the target has restarted", || async {
-            let lives = site.nodes[0].lines("target_reborn");
-            lives.iter().any(|line| line["born_at_unix_ms"] == life + 1).then_some(())
+            let restarts = site.nodes[0].lines("target_reborn");
+            restarts.iter().any(|line| line["born_at_unix_ms"] == incarnation + 1).then_some(())
         })
         .await;
-        if life == 2 {
+        if incarnation == 2 {
             let answer = site.call(&site.nodes[0], "/check/a", "between").await;
             assert_eq!(answer.expect("an answer").status(), 200);
         }
--- a/tests/all/site/soak.rs
+++ b/tests/all/site/soak.rs
@@ -2,8 +2,8 @@
 //! from what callers and targets observe.
 //!
 //! A seed determines the faults, which overlap. CI runs a few seeds. To run more:
-//! `SOAK_SEEDS=50 cargo test --release --test all soak -- --nocapture`, with `SOAK_FROM` as the first
-//! seed. Seeds that have failed stay in [`FAILED_SEEDS`], each with its cause.
+//! `SOAK_SEEDS=50 cargo test --release --test all soak -- --nocapture`, with `SOAK_FROM` as the
+//! first seed. Seeds that have failed stay in [`FAILED_SEEDS`], each with its cause.
 
 use super::harness::{Site, complete_output, document, submission, until};
 use super::proxy::Link;
@@ -117,6 +117,7 @@
             });
         }
         6 => {
+            // The count of store calls only rises, as versions have to.
             let mut changed = document(10 + site.store.calls("kv-txn"));
             changed["limits"]["maxHeaderBytes"] = json!(16_384 + seed % 100);
             site.store.lose_history_with("op/config", &changed);
@@ -177,7 +178,9 @@
     let known = batches.get_mut(id).expect("an accepted batch");
     for (offset, result) in page.into_iter().enumerate() {
         match known.get(after + offset) {
-            Some(before) => assert_eq!(*before, result, "{id}: a result changed its position"),
+            Some(before) => {
+                assert_eq!(*before, result, "{id}: the result at {} changed", after + offset);
+            }
             None => known.push(result),
         }
     }
@@ -229,7 +232,7 @@
     sleep(BLOCKED_EVERYWHERE_WITHIN).await;
     let mut ran = 0;
     for (number, node) in site.nodes.iter().enumerate() {
-        let id = format!("held{number}");
+        let id = format!("blocked{number}");
         drop(site.call_with(node, "/lookup/a", &id, CRASHING_BODY).await);
         ran += site.runs.of(&id).len();
     }
@@ -266,7 +269,8 @@
         }
         for node in &site.nodes[1..] {
             let same = || async { (site.read(node, id, 0).await? == all).then_some(()) };
-            until("the same results at every node", same).await;
+            let what = format!("seed {seed}: {id} reads the same at every node");
+            until(&what, same).await;
         }
     }
 }
