--- a/tests/all/site/batches.rs
+++ b/tests/all/site/batches.rs
@@ -130,7 +130,6 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_free_slot_moves_only_one_run_from_a_slow_target() {
     let site = Site::start(1, 4, 1).await;
-    // The two engines that are assigned to model-a.
     let [slow, fast, ..] = ["engine-0", "engine-2"];
     for engine in &site.engines {
         engine.set_pace(if engine.id == slow { 400 } else { 40 }, 5);
@@ -299,7 +298,7 @@
     let trails: String = others.iter().map(|number| site.nodes[*number].audit_trail()).collect();
     assert!(
         taken_ms < store_returned_ms + TAKEN_WITHIN_MS,
-        "the store returned at {store_returned_ms}, limit {TAKEN_WITHIN_MS} ms: {taken}\n{trails}"
+        "{store_returned_ms} {taken}\n{trails}"
     );
 }
 
@@ -358,9 +357,8 @@
     assert_eq!(site.end(&site.nodes[1], "b1").await, 200);
 }
 
-// Guards against a step that waits for one item until its trainer gives up, or an output in which
-// two runs overlap or a part is missing: a target stops sending in the middle of a stream and keeps
-// the connection open.
+// Guards against a step that waits for one item until its trainer gives up, or an output with a gap
+// or a repeated part: a target stops sending in mid-stream and keeps the connection open.
 #[tokio::test(flavor = "multi_thread")]
 async fn outputs_of_a_silent_target_continue_on_another() {
     let site = Site::start(1, 2, 1).await;
@@ -488,8 +486,7 @@
     assert!(last.after > 0, "it continues from the output of its second run");
 }
 
-// Guards against a batch that is acknowledged but never run: the store commits the owner's write
-// and never answers it, and the node that accepts the submission instead finds the owner's record.
+// Guards against a batch that is never run because its owner does not know of its own record.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_batch_is_run_when_the_answer_to_its_owners_write_is_lost() {
     let site = Site::start(6, 3, 1).await;
