--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -225,7 +225,7 @@
 fn ticket_table(tickets: usize) -> TicketTable {
     let limits =
         TicketLimits { answers_max_bytes: 64 << 20, retention_ms: 600_000, tickets_max: 100_000 };
-    let mut table = TicketTable::open(limits);
+    let mut table = TicketTable::new(limits);
     for number in 0..tickets {
         let ticket = ticket(number);
         if table.begin(UnixMs(0), &ticket) == TicketDecision::Run {
@@ -435,7 +435,7 @@
     );
     let rng = Pcg64Mcg::seed_from_u64(1);
     let settings = MembershipSettings::default();
-    let mut view = Membership::open(node_fact(0), Vec::new(), settings, rng);
+    let mut view = Membership::new(node_fact(0), Vec::new(), settings, rng);
     for number in 0..NODES as usize {
         view.observe(UnixMs(0), Fact::Node(node_fact(number)));
     }
@@ -468,7 +468,7 @@
 
 fn time_requests(add: &mut impl FnMut(&'static str, f64)) {
     let limits = AdmissionLimits { in_flight_max: 512, queue_max: 256 };
-    let mut admission = Admission::open(limits);
+    let mut admission = Admission::new(limits);
     add(
         "request admitted and finished",
         nanoseconds(5_000, |number| {
@@ -478,7 +478,7 @@
             admission.finish(now, "workspace", 2_000);
         }),
     );
-    let mut targets = TargetBalancer::open(TargetSettings::default());
+    let mut targets = TargetBalancer::new(TargetSettings::default());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let names: Vec<Name> = (0..20).map(|number| name(&format!("worker-{number:04}"))).collect();
     add(
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -151,7 +151,7 @@
         let seeds = if node == 0 { vec![address(1)] } else { vec![address(0)] };
         let rng = Pcg64Mcg::seed_from_u64(self.rng.random());
         let settings = MembershipSettings::default();
-        let view = Membership::open(node_fact(node, incarnation), seeds, settings, rng);
+        let view = Membership::new(node_fact(node, incarnation), seeds, settings, rng);
         let member = Member {
             changes: Vec::new(),
             paused: false,
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -144,9 +144,9 @@
         let ejected_max_percent = if scenario.protected { 50 } else { 0 };
         let settings = TargetSettings { ejected_max_percent, policy, ..TargetSettings::default() };
         let node = |number: usize| NodeSim {
-            budget: RetryBudget::open(if scenario.protected { 10 } else { 100_000 }),
+            budget: RetryBudget::new(if scenario.protected { 10 } else { 100_000 }),
             candidates: stable_subset(&target_name(1_000 + number), &names, SUBSET_SIZE),
-            targets: TargetBalancer::open(settings),
+            targets: TargetBalancer::new(settings),
         };
         Self {
             attempts: 0,
@@ -365,7 +365,7 @@
     } else {
         AdmissionLimits { in_flight_max: SLOTS, queue_max: u32::MAX }
     };
-    let mut admission = Admission::open(limits);
+    let mut admission = Admission::new(limits);
     let mut tally = OverloadTally::default();
     let mut waiting: IndexMap<WaitId, (u64, CallClass)> = IndexMap::new();
     let mut ends: BinaryHeap<Reverse<(u64, u64, bool)>> = BinaryHeap::new();
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -159,7 +159,7 @@
 
 impl Membership {
     /// Creates the view of node `me`, which initially knows only the addresses `seeds`.
-    pub fn open(
+    pub fn new(
         me: NodeFact,
         seeds: Vec<SocketAddr>,
         settings: MembershipSettings,
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -99,7 +99,7 @@
         let StartArguments { inputs, me, runtime, shared, socket } = start;
         let settings = &shared.settings;
         let rng = Pcg64Mcg::seed_from_u64(me.incarnation.0 ^ u64::from(me.control.port()));
-        let membership = Membership::open(me, settings.peers.clone(), settings.membership, rng);
+        let membership = Membership::new(me, settings.peers.clone(), settings.membership, rng);
         let control = Control {
             changed: true,
             configuration: Configuration::default(),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -131,15 +131,15 @@
     pub(crate) fn open(seed: u64) -> Self {
         let limits = catkinmast_config::Limits::default();
         Self {
-            admission: Mutex::new(Admission::open(AdmissionLimits {
+            admission: Mutex::new(Admission::new(AdmissionLimits {
                 in_flight_max: limits.in_flight_max,
                 queue_max: limits.queue_max,
             })),
             admission_waiting: Mutex::default(),
-            budget: Mutex::new(RetryBudget::open(limits.retry_budget_percent)),
+            budget: Mutex::new(RetryBudget::new(limits.retry_budget_percent)),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
-            targets: Mutex::new(TargetBalancer::open(TargetSettings::default())),
-            tickets: Mutex::new(TicketTable::open(TicketLimits {
+            targets: Mutex::new(TargetBalancer::new(TargetSettings::default())),
+            tickets: Mutex::new(TicketTable::new(TicketLimits {
                 answers_max_bytes: TICKET_ANSWERS_MAX_BYTES,
                 retention_ms: limits.ticket_memory_ms,
                 tickets_max: TICKETS_MAX,
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -70,7 +70,7 @@
 
 impl Admission {
     /// Creates an admission control without requests.
-    pub fn open(limits: AdmissionLimits) -> Self {
+    pub fn new(limits: AdmissionLimits) -> Self {
         Self {
             in_flight: 0,
             limits,
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -18,7 +18,7 @@
 
 impl RetryBudget {
     /// Creates an empty budget that allows `percent` retries for each hundred first attempts.
-    pub const fn open(percent: u32) -> Self {
+    pub const fn new(percent: u32) -> Self {
         Self { earned_millis: percent as u64 * 10, saved_millis: 0 }
     }
 
--- a/crates/route/src/targets.rs
+++ b/crates/route/src/targets.rs
@@ -110,7 +110,7 @@
 
 impl TargetBalancer {
     /// Creates a balancer that knows no targets yet.
-    pub fn open(settings: TargetSettings) -> Self {
+    pub fn new(settings: TargetSettings) -> Self {
         Self { stats: IndexMap::new(), settings, round_robin_index: 0 }
     }
 
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -140,7 +140,7 @@
 
 impl TicketTable {
     /// Creates an empty table.
-    pub fn open(limits: TicketLimits) -> Self {
+    pub fn new(limits: TicketLimits) -> Self {
         Self { answers_bytes: 0, latest: UnixMs(0), limits, entries: IndexMap::new() }
     }
 
--- a/crates/serve/src/peers/mod.rs
+++ b/crates/serve/src/peers/mod.rs
@@ -85,7 +85,7 @@
     };
     let rng = Pcg64Mcg::seed_from_u64(node.random_u64());
     node.joined_at.set(Some(clock::now()));
-    *node.members.borrow_mut() = Some(Membership::open(me, seeds, MEMBERSHIP, rng));
+    *node.members.borrow_mut() = Some(Membership::new(me, seeds, MEMBERSHIP, rng));
 }
 
 /// Returns the time until this node knows the other nodes, in milliseconds; none before it has
--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -83,7 +83,7 @@
     let settings = MembershipSettings { probe_every_ms: PING_EVERY_MS, ..Default::default() };
     let me = node_of("me", 250);
     let rng = Pcg64Mcg::seed_from_u64(1);
-    let mut members = Membership::open(me, Vec::new(), settings, rng);
+    let mut members = Membership::new(me, Vec::new(), settings, rng);
     let from = SocketAddr::from(([127, 0, 0, 2], 7_400));
     let (start, mut pulled_after_ms) = (UnixMs(100_000), None);
     members.receive(start, from, Message::Facts { facts: vec![Fact::Node(node_of("other", 250))] });
@@ -190,7 +190,7 @@
     };
     let rng = Pcg64Mcg::seed_from_u64(1);
     let settings = MembershipSettings::default();
-    let mut view = Membership::open(node(1), Vec::new(), settings, rng);
+    let mut view = Membership::new(node(1), Vec::new(), settings, rng);
     view.observe(UnixMs(0), Fact::Node(node(2)));
     let probed = view
         .tick(UnixMs(100))
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -72,15 +72,15 @@
         let ticket_limits =
             TicketLimits { answers_max_bytes: 1_000, retention_ms: 10_000, tickets_max: 2 };
         Self {
-            admission: Admission::open(limits),
-            budget: RetryBudget::open(10),
+            admission: Admission::new(limits),
+            budget: RetryBudget::new(10),
             choices: Vec::new(),
             folder,
             follower: Follower::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
-            targets: TargetBalancer::open(TargetSettings::default()),
+            targets: TargetBalancer::new(TargetSettings::default()),
             tenure: LeaseClaim::open(holder()),
-            tickets: TicketTable::open(ticket_limits),
+            tickets: TicketTable::new(ticket_limits),
             waiting: IndexMap::new(),
         }
     }
