--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -15,7 +15,7 @@
 fn settled(nodes: usize, seed: u64, loss_percent: u32) -> VirtualFleet {
     let mut fleet = VirtualFleet::open(nodes, seed, loss_percent);
     let agreed = fleet.run_until_holds(UnixMs(60_000), VirtualFleet::all_agree);
-    assert!(agreed.is_some(), "all nodes have the same facts");
+    assert!(agreed.is_some(), "{nodes} nodes, seed {seed}: facts still differ after 60 s");
     fleet
 }
 
@@ -90,7 +90,7 @@
 
     for ping in 1..40 {
         let now = start.plus(ping * PING_EVERY_MS);
-        // Three of four pings bring a new fact; the digest differs by the missed one.
+        // Three of four pings bring a new fact. The digest is made up, so it always differs.
         let facts = match ping % 4 {
             0 => Vec::new(),
             _ => vec![target(ping, InstanceState::Live, TargetFactSource::List)],
@@ -140,7 +140,7 @@
     let agreed = fleet.run_until_holds(killed_at.plus(60_000), VirtualFleet::all_agree);
 
     // Assert: a probe every second, then the time to refute, then the spread of the fact.
-    let took_ms = agreed.expect("agreed").since_ms(killed_at);
+    let took_ms = agreed.expect("facts differ 60 s after the kill").since_ms(killed_at);
     assert!(took_ms <= 15_000, "{took_ms} ms");
 }
 
@@ -162,9 +162,10 @@
     }
     let back = fleet.run_until_holds(fleet.now().plus(30_000), VirtualFleet::all_agree);
 
-    // Assert: it was declared gone meanwhile and refuted that; no other node was ever suspected.
+    // Assert: it was gone at the end of the last pause and refuted that; no other node was ever
+    // suspected.
     assert_eq!(believed_gone, Some(NodeState::Gone));
-    assert!(back.is_some(), "all are live again");
+    assert!(back.is_some(), "facts differ 30 s after the last pause");
     let suspected_others = (0..8).flat_map(|node| fleet.changes(node).to_vec()).any(|(_, fact)| {
         let Fact::Node(node) = fact else { return false };
         node.name.as_str() != "entry-3" && node.state > NodeState::Live
@@ -220,7 +221,7 @@
     let agreed = fleet.run_until_holds(fleet.now().plus(30_000), VirtualFleet::all_agree);
 
     // Assert
-    assert!(agreed.is_some());
+    assert!(agreed.is_some(), "facts differ 30 s after the restart");
     let newest = fleet.changes(0).iter().rev().find_map(|(_, fact)| match fact {
         Fact::Node(node) if node.name.as_str() == "entry-2" => Some(node.incarnation),
         _ => None,
@@ -246,7 +247,7 @@
 
     // Assert
     assert_eq!(forgotten, None, "node 3 is in the other region");
-    let took_ms = agreed.expect("healed").since_ms(healed_at);
+    let took_ms = agreed.expect("facts differ 60 s after the partition").since_ms(healed_at);
     assert!(took_ms <= 30_000, "{took_ms} ms");
 }
 
@@ -267,7 +268,7 @@
     let known = fleet.run_until_holds(accepted_at.plus(9_000), |fleet| fleet.all_know(&config(7)));
 
     // Assert
-    assert!(known.is_some());
+    assert!(known.is_some(), "seed {seed}: not on all nodes within 9 s");
 }
 
 /// Guards against a configuration that reverts and a leaving target that gets work again. Older
@@ -287,7 +288,8 @@
     fleet.observe(5, target(1, InstanceState::Live, TargetFactSource::List));
     fleet.run_until(fleet.now().plus(5_000));
 
-    // Assert on every node, at every change.
+    // Assert: all nodes have the newest facts, and on each node the revisions other than the late
+    // one only rose.
     assert!(fleet.all_know(&config(9)));
     assert!(fleet.all_know(&leaving));
     for node in 0..16 {
--- a/tests/all/platform_parsers.rs
+++ b/tests/all/platform_parsers.rs
@@ -42,7 +42,7 @@
     ]
 }
 
-/// Replaces the field with this number, counted depth-first through the tree.
+/// Replaces the value with index `number` in depth-first order, if the tree has that many.
 fn replace(tree: &mut Value, number: &mut usize, value: &Value) {
     let children: Vec<&mut Value> = match tree {
         Value::Object(fields) => fields.values_mut().collect(),
@@ -128,12 +128,12 @@
         };
 
         // Workers with earlier software do not write their start time.
-        prop_assert_eq!(decode(&without).is_err(), field != "born");
+        prop_assert_eq!(decode(&without).is_err(), field != "born", "{}", field);
         if of_another_type(&valid[field])(&value) {
             prop_assert!(decode(&other_type).is_err(), "{field}: {value}");
         }
         let known = ["ready", "draining"].contains(&state.as_str());
-        prop_assert_eq!(decode(&other_state).is_ok(), known);
+        prop_assert_eq!(decode(&other_state).is_ok(), known, "{}", state);
     }
 
     #[test]
--- a/tests/all/routing.rs
+++ b/tests/all/routing.rs
@@ -2,18 +2,21 @@
 
 use catkinmast_bench::{Chooser, SCENARIOS, Scenario, run_choice, run_overload};
 
-fn scene(name: &str) -> Scenario {
+fn scenario(name: &str) -> Scenario {
     let found = SCENARIOS.iter().find(|(title, _)| *title == name);
-    found.expect("a scene").1
+    found.expect("a scenario").1
 }
 
 /// Guards against dead targets that multiply the load on the others. Three of nine targets refuse
 /// every connection at 70 % load; without a retry budget and ejection they are tried repeatedly.
 #[test]
 fn a_third_of_targets_dead_adds_at_most_a_tenth_to_attempts() {
-    let protected = run_choice(scene("a third dead, 70 % load, protected"), Chooser::Least, 1);
-    let unprotected =
-        run_choice(scene("a third dead, 70 % load, no budget and no ejection"), Chooser::Least, 1);
+    let protected = run_choice(scenario("a third dead, 70 % load, protected"), Chooser::Least, 1);
+    let unprotected = run_choice(
+        scenario("a third dead, 70 % load, no budget and no ejection"),
+        Chooser::Least,
+        1,
+    );
     assert!(protected.attempts_percent <= 110, "{protected:?}");
     assert!(protected.failed <= 120, "of 60,000: {protected:?}");
     assert!(unprotected.attempts_percent >= 200, "without budget and ejection: {unprotected:?}");
@@ -23,11 +26,14 @@
 /// a policy that ignores latency, or learns it late, keeps choosing them.
 #[test]
 fn slow_targets_do_not_raise_tail_latency() {
-    let slow = scene("a third four times slower, 70 % load");
+    let slow = scenario("a third four times slower, 70 % load");
     let default_policy = run_choice(slow, Chooser::Least, 1);
     let round_robin = run_choice(slow, Chooser::RoundRobin, 1);
     assert!(default_policy.p99_us <= 45_000, "{default_policy:?}");
-    assert!(default_policy.p99_us * 10 <= round_robin.p99_us, "{round_robin:?}");
+    assert!(
+        default_policy.p99_us * 10 <= round_robin.p99_us,
+        "{default_policy:?}, {round_robin:?}"
+    );
 }
 
 /// Guards against overload in which no request is served in time. Lookups, acts and audits arrive
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -53,7 +53,7 @@
     follower: Follower,
     rng: Pcg64Mcg,
     targets: TargetBalancer,
-    tenure: LeaseClaim,
+    lease: LeaseClaim,
     tickets: TicketTable,
     waiting: IndexMap<WaitId, String>,
 }
@@ -79,7 +79,7 @@
             follower: Follower::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
             targets: TargetBalancer::new(TargetSettings::default()),
-            tenure: LeaseClaim::open(holder()),
+            lease: LeaseClaim::open(holder()),
             tickets: TicketTable::new(ticket_limits),
             waiting: IndexMap::new(),
         }
@@ -123,7 +123,7 @@
 }
 
 fn take_positional<'a>(args: &mut ArgumentConsumer<'a>) -> Result<&'a str, Box<dyn Error>> {
-    args.next_pos().ok_or_else(|| "an event is missing".into())
+    args.next_pos().ok_or_else(|| "a positional argument is missing".into())
 }
 
 fn select(args: &mut ArgumentConsumer<'_>) -> Output {
@@ -167,7 +167,7 @@
             (self.read(take_positional(args)?)?, self.read(take_positional(args)?)?);
         Ok(match merge(&base, &ours, &theirs) {
             Ok(merged) => lines(&diff(&base, &merged), ""),
-            Err(collisions) => lines(&collisions, "collides: "),
+            Err(conflicts) => lines(&conflicts, "conflict: "),
         })
     }
 
@@ -178,11 +178,11 @@
         match event.as_str() {
             "tick" => {
                 let wanted = take_required(args, "wanted")?;
-                let (action, change) = self.tenure.tick(now, wanted);
+                let (action, change) = self.lease.tick(now, wanted);
                 writeln!(output, "action {action:?}, change {change:?}")?;
             }
             "fence" => {
-                let (acts, orders) = (self.tenure.fence(now), self.tenure.order_fence(now));
+                let (acts, orders) = (self.lease.fence(now), self.lease.order_fence(now));
                 writeln!(output, "acts {acts:?}, orders {orders:?}")?;
             }
             report => {
@@ -197,7 +197,7 @@
                     "unknown" => Report::Unknown,
                     other => return Err(format!("unknown report '{other}'").into()),
                 };
-                writeln!(output, "change {:?}", self.tenure.report(now, &report))?;
+                writeln!(output, "change {:?}", self.lease.report(now, &report))?;
             }
         }
         Ok(output)
@@ -317,7 +317,7 @@
                     }
                     catkinmast_route::AdmissionDecision::Refused(refusal) => writeln!(
                         output,
-                        "{who} is refused, {}, come back at {:?}: {}",
+                        "{who} is refused, {}, retry at {:?}: {}",
                         refusal.verdict,
                         refusal.retry_at_unix_ms.map(|at| at.0),
                         refusal.message
