--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,19 +1,20 @@
 //! Dispatch decisions between callers and targets, without I/O.
 //!
-//! The types here are plain state machines: the caller reports what happened and when, and they
-//! return what to do. They own no socket, clock, thread or random source, so that tests can drive
-//! each decision.
+//! The types here are plain state machines: the code that uses them reports what happened and when,
+//! and they return what to do. They own no socket, clock, thread or random source, so that tests
+//! can drive each decision.
 //!
 //! - [`Document`]: the operators' routes and services, and the route of a request.
-//! - [`TargetTable`]: which targets may receive work, by a registry that lags and has outages.
-//! - [`LoadBalancer`]: the load of each target by this process's own calls, and the choice among
-//!   targets.
+//! - [`TargetTable`]: which targets may receive work, as listed by a registry that lags and has
+//!   outages.
+//! - [`LoadBalancer`]: the load of each target as observed from this process's own calls, and the
+//!   choice among targets.
 //! - [`WaitQueue`]: fair queueing while all targets refuse for load.
 //! - [`Batch`]: a batch submission, its items, and the results at their fixed positions.
 //! - [`Freshness`]: how old a node's view of the store is, and when it must read the store itself.
 //! - [`RunTimeEstimator`]: how long items run.
 //! - [`Lookahead`]: which weights a later batch of the same items will accept.
-//! - [`Rollout`]: which target loads which weight version, and when.
+//! - [`WeightRollout`]: which target loads which weight version, and when.
 //! - [`Demand`]: how many targets each model gets.
 //! - [`EventReader`]: a parser for token streams.
 //! - [`SentTexts`] and [`CopiedTexts`]: incremental copies of partial texts.
@@ -40,10 +41,10 @@
 pub use freshness::{ChangeBound, ConfirmationSource, Freshness, WATCHERS};
 pub use load::{CallOutcome, Candidate, LoadBalancer, LoadBalancerSettings};
 pub use lookahead::Lookahead;
-pub use rollout::{LoadOrder, LoadOutcome, Rollout, RolloutSettings, RolloutTarget};
+pub use rollout::{LoadOrder, LoadOutcome, RolloutSettings, RolloutTarget, WeightRollout};
 pub use run_time::RunTimeEstimator;
 pub use shares::{Demand, interleave};
 pub use stream::{EventReader, StreamEvent};
-pub use submission::{Item, ItemResult, ItemState, Progress, Reward, Submission};
+pub use submission::{Item, ItemResult, ItemState, Progress, RewardRequest, Submission};
 pub use targets::{TargetChange, TargetEntry, TargetTable};
 pub use wait_queue::{WaitQueue, WaiterId};
--- a/crates/serve/src/runs/placement.rs
+++ b/crates/serve/src/runs/placement.rs
@@ -127,14 +127,14 @@
 ) -> Option<ChosenTarget> {
     // Most runs are on targets of normal speed; a free target is searched only for the others.
     let (current_ms, fastest_ms) = {
-        let load = node.load.borrow();
+        let load = node.balancer.borrow();
         (load.latency_ms(target), model_targets.fastest_ms(&load))
     };
     if current_ms * 10 < fastest_ms * MOVE_MIN_RATIO_TENTHS {
         return None;
     }
     let (id, address) = pick_free(node, local, index, MOVED_RUN_EXPECTED_MS, model_targets)?;
-    let candidate_ms = node.load.borrow().latency_ms(&id);
+    let candidate_ms = node.balancer.borrow().latency_ms(&id);
     (candidate_ms > 0 && current_ms * 10 >= candidate_ms * MOVE_MIN_RATIO_TENTHS)
         .then_some(ChosenTarget { address, id })
 }
@@ -184,7 +184,7 @@
             candidates.iter().filter(is_model_target).copied().collect();
         // If all targets of the model are backing off, use the others rather than none.
         let all_back_off =
-            model_candidates.iter().all(|candidate| load.is_backing_off(now, candidate.id));
+            model_candidates.iter().all(|candidate| load.is_unavailable(now, candidate.id));
         let from = if all_back_off { candidates } else { &model_candidates };
         let preferred = preferred.map(String::as_str);
         load.choose_with_free_slot(now, from, preferred, run_ms, random)
--- a/tests/all/dispatch/shares.rs
+++ b/tests/all/dispatch/shares.rs
@@ -1,7 +1,7 @@
 //! Sharing of targets among models by their work.
 
 use catkinmast_dispatch::{
-    Demand, Rollout, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, interleave,
+    Demand, RolloutSettings, RolloutTarget, TargetEntry, TargetTable, WeightRollout, interleave,
 };
 use catkinmast_model::UnixMs;
 use indexmap::IndexMap;
@@ -10,7 +10,7 @@
     ["long", "longer", "short"].map(str::to_owned).to_vec()
 }
 
-/// Work of three models whose steps have 200 to 230 items of 11 and 20 events.
+/// Work of three models whose steps have 200 to 232 items of 11 or 20 tokens.
 fn uneven() -> Demand {
     let mut demand = Demand::default();
     demand.record_batch("short", 200 * 11);
@@ -48,7 +48,7 @@
     table
 }
 
-fn counts(rollout: &Rollout, targets: &[RolloutTarget]) -> Vec<usize> {
+fn counts(rollout: &WeightRollout, targets: &[RolloutTarget]) -> Vec<usize> {
     let of = |model: &String| {
         targets.iter().filter(|target| rollout.model_of(&target.id) == Some(model)).count()
     };
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_large_step_moves_a_share_by_a_quarter_only() {
+fn one_large_step_counts_for_a_quarter_of_the_mean_work() {
     let mut demand = uneven();
     demand.record_batch("short", 200 * 11 * 5);
 
@@ -115,7 +115,7 @@
 // the work of the others together, must not share 45 targets equally.
 #[test]
 fn a_model_is_kept_current_on_as_many_targets_as_its_work_asks_for() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
 
     rollout.plan(UnixMs(0), &targets, &models(), &uneven());
@@ -124,8 +124,8 @@
 }
 
 #[test]
-fn owners_and_the_order_holder_agree_before_anything_is_loaded() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+fn batch_owners_and_the_node_that_orders_loads_agree_before_anything_is_loaded() {
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
     let (table, demand) = (table(&targets), uneven());
     rollout.plan(UnixMs(0), &targets, &models(), &Demand::default());
@@ -142,10 +142,10 @@
 // over the orders, while steps wait. The successor must assign targets by the versions that they
 // hold.
 #[test]
-fn a_new_holder_leaves_targets_with_the_models_that_they_hold() {
+fn a_new_node_that_orders_loads_leaves_targets_with_the_models_that_they_hold() {
     let mut targets = targets(9);
     let mut versions = IndexMap::new();
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     for (number, target) in targets.iter_mut().enumerate() {
         target.models[(number + 1) % 3].1 = 7;
     }
@@ -164,7 +164,7 @@
 
 #[test]
 fn small_changes_of_work_move_no_target() {
-    let mut rollout = Rollout::open(RolloutSettings::default());
+    let mut rollout = WeightRollout::open(RolloutSettings::default());
     let targets = targets(45);
     let mut demand = uneven();
     rollout.version_published("long", 1);
