--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -149,7 +149,11 @@
     }
     for address in [settings.ready, settings.directory].into_iter().flatten() {
         let probes = bind(address).await?;
-        spawn_local(listener::accept(Rc::clone(node), probes, listener::serve_operators));
+        spawn_local(listener::accept(
+            Rc::clone(node),
+            probes,
+            listener::serve_readiness_and_addresses,
+        ));
     }
     if let Some(port) = metrics_port {
         let metrics = bind(SocketAddr::new(settings.peer.ip(), port)).await?;
